--- a/bench/engines/lockstep_patterns.py
+++ b/bench/engines/lockstep_patterns.py
@@ -5,7 +5,7 @@
 import attrs
 
 from bench.engines import call_bounds, pace
-from tamarackthread.policy import crowding
+from tamarackthread.policy import concurrency
 
 
 @attrs.frozen(kw_only=True)
@@ -83,7 +83,7 @@
     route: str
     maps: str
     shares: bool = False
-    bound: type[crowding.CallBound] | None = None
+    bound: type[concurrency.CallBound] | None = None
 
 
 PATTERNS = (
@@ -108,7 +108,7 @@
         'ours',
         'static',
         shares=True,
-        bound=crowding.Places,
+        bound=concurrency.Places,
     ),
     Variant(
         'tried_static', 'ours', 'static', shares=True, bound=call_bounds.Tried
@@ -118,12 +118,16 @@
         'ours',
         'static',
         shares=True,
-        bound=crowding.Proportional,
+        bound=concurrency.Proportional,
     ),
     Variant('ours_unbounded', 'ours', 'ours', shares=True),
-    Variant('ours_places', 'ours', 'ours', shares=True, bound=crowding.Places),
+    Variant(
+        'ours_places', 'ours', 'ours', shares=True, bound=concurrency.Places
+    ),
     Variant('ours_tried', 'ours', 'ours', shares=True, bound=call_bounds.Tried),
-    Variant('ours', 'ours', 'ours', shares=True, bound=crowding.Proportional),
+    Variant(
+        'ours', 'ours', 'ours', shares=True, bound=concurrency.Proportional
+    ),
     Variant('oracle_unshared', 'ours', 'oracle'),
     Variant('oracle', 'ours', 'oracle', shares=True),
 )
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -23,7 +23,7 @@
 import attrs
 
 from tamarackthread.entry.direct import records, starts, targets
-from tamarackthread.policy import backpressure, cold, fleets
+from tamarackthread.policy import backpressure, cold_start, fleets
 from tamarackthread.shared.site import announcements
 
 ENTRIES = 30
@@ -134,7 +134,7 @@
     ) -> targets.Targets:
         fleet = fleets.Fleet(name, functools.partial(tuple, names))
         known = targets.Targets(
-            'z', 1.0, random.Random(number), cold.Shares(fleet), fleet
+            'z', 1.0, random.Random(number), cold_start.Shares(fleet), fleet
         )
         for target in self._targets:
             known.take(
--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -11,11 +11,11 @@
 from bench.surge import fleet, players, views, workload
 from tamarackthread.policy import (
     admission,
+    allocator,
     ejection,
     fairness,
     migration,
     retries,
-    room,
     routing,
 )
 from tamarackthread.policy import load as target_load
@@ -40,7 +40,7 @@
     admission: dict[str, admission.AdmissionSettings] = attrs.field(
         factory=_admission_settings,
     )
-    room: room.RoomSettings = attrs.field(factory=room.RoomSettings)
+    room: allocator.RoomSettings = attrs.field(factory=allocator.RoomSettings)
     routing: routing.RoutingSettings = attrs.field(
         factory=routing.RoutingSettings,
     )
@@ -140,7 +140,7 @@
     settings: OwnSettings,
 ) -> admission.Admission:
     policy = routing.ExpectedFirstToken(zone, generator, settings.routing)
-    place = room.TargetRoom(policy, settings.room)
+    place = allocator.TargetRoom(policy, settings.room)
     place.set_targets(targets)
     budget = retries.RetryBudget(retries.RetrySettings(), 0)
     return admission.Admission(
--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import suspects
+from tamarackthread.policy import poison_calls
 
 # An entry that says nothing for so long counts for nothing.  It speaks many
 # times as often; one that was killed has closed its connections to targets,
@@ -104,12 +104,14 @@
         """Join what all entries but one know of calls that crash targets."""
         now = asyncio.get_running_loop().time()
         rows = (
-            suspects.of_message(row).older(now - share.suspects_at)
+            poison_calls.of_message(row).older(now - share.suspects_at)
             for other, share in self._shares.items()
             if other != entry
             for row in share.suspects
         )
-        return [suspects.to_message(row) for row in suspects.merge(rows)]
+        return [
+            poison_calls.to_message(row) for row in poison_calls.merge(rows)
+        ]
 
     def _put(self, entry: str, rows: dict[str, Sum], now: float) -> None:
         held = self._shares.get(entry)
--- a/tamarackthread/entry/direct/admitting.py
+++ b/tamarackthread/entry/direct/admitting.py
@@ -16,7 +16,7 @@
 import attrs
 
 from tamarackthread.entry.direct import calls, failures, targets
-from tamarackthread.policy import crowding, opening
+from tamarackthread.policy import concurrency, outages
 from tamarackthread.shared.site import configuration
 
 # A call comes within one pass, its prompt is read in the next, at the end of which
@@ -50,7 +50,7 @@
     def __init__(
         self,
         service: str,
-        bound: crowding.CallBound,
+        bound: concurrency.CallBound,
         known: targets.Targets,
         entries: Entries,
     ) -> None:
@@ -59,18 +59,18 @@
         self._bound = bound
         self._known = known
         self._entries = entries
-        self._opening = opening.Opening()
+        self._opening = outages.Opening()
         self._waiting: list[_Waiting] = []
         self._part: float = 0
         self._answer_seconds: float = 0
 
     @property
-    def bound(self) -> crowding.CallBound:
+    def bound(self) -> concurrency.CallBound:
         """Return what bounds the calls."""
         return self._bound
 
     @bound.setter
-    def bound(self, fresh: crowding.CallBound) -> None:
+    def bound(self, fresh: concurrency.CallBound) -> None:
         self._bound = fresh
 
     def __len__(self) -> int:
@@ -143,14 +143,14 @@
             self._part = max(1, free / max(1, self._entries()))
         self._grant()
 
-    def _crowd(self) -> crowding.Crowd:
+    def _crowd(self) -> concurrency.Crowd:
         return self._known.crowd(self._service, self._entries())
 
     def _free(self) -> float:
         """Return how many calls more the ranks may have."""
         return self._free_of(self._crowd())
 
-    def _free_of(self, crowd: crowding.Crowd) -> float:
+    def _free_of(self, crowd: concurrency.Crowd) -> float:
         now = asyncio.get_running_loop().time()
         return self._bound.most(crowd, now) - crowd.calls
 
@@ -199,10 +199,10 @@
             self._held[service.name] = found
             self._bind(
                 service.name,
-                crowding.Proportional(found[1], service.passes.empty),
+                concurrency.Proportional(found[1], service.passes.empty),
             )
 
-    def _bind(self, service: str, bound: crowding.CallBound) -> None:
+    def _bind(self, service: str, bound: concurrency.CallBound) -> None:
         """Bound the calls of a service; those that wait stay in their line."""
         line = self._lines.get(service)
         if line is not None:
--- a/tamarackthread/entry/direct/crashing.py
+++ b/tamarackthread/entry/direct/crashing.py
@@ -9,7 +9,7 @@
 
 from tamarackthread.entry.direct import calls, failures, sending, starts
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import suspects
+from tamarackthread.policy import poison_calls
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
@@ -29,11 +29,11 @@
 
     def __init__(self) -> None:
         """Begin without suspects."""
-        self._known = suspects.Suspects()
+        self._known = poison_calls.Suspects()
 
     def check(self, call: calls.Call) -> None:
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
-        if self._verdict(call) is not suspects.Verdict.REFUSED:
+        if self._verdict(call) is not poison_calls.Verdict.REFUSED:
             return
         figures.CALLS_SUSPECTED.labels('refused').inc()
         self._tell(call, 'refused')
@@ -43,7 +43,7 @@
 
     def may_repeat(self, call: calls.Call) -> bool:
         """Tell whether this entry may try a call once more by itself."""
-        return self._verdict(call) is suspects.Verdict.FREE
+        return self._verdict(call) is poison_calls.Verdict.FREE
 
     def failed(
         self,
@@ -78,7 +78,7 @@
     def own(self) -> list[messages.SiteSuspect]:
         """List what other entries have to know."""
         now = asyncio.get_running_loop().time()
-        return [suspects.to_message(row) for row in self._known.own(now)]
+        return [poison_calls.to_message(row) for row in self._known.own(now)]
 
     def share(
         self,
@@ -86,11 +86,11 @@
     ) -> None:
         """Take what all other entries know."""
         now = asyncio.get_running_loop().time()
-        self._known.share([suspects.of_message(row) for row in rows], now)
+        self._known.share([poison_calls.of_message(row) for row in rows], now)
 
-    def _verdict(self, call: calls.Call) -> suspects.Verdict:
+    def _verdict(self, call: calls.Call) -> poison_calls.Verdict:
         if not self._known:
-            return suspects.Verdict.FREE
+            return poison_calls.Verdict.FREE
         now = asyncio.get_running_loop().time()
         return self._known.verdict(mark_of(call), now)
 
--- a/tamarackthread/entry/direct/learned.py
+++ b/tamarackthread/entry/direct/learned.py
@@ -5,7 +5,7 @@
 import logging
 
 from tamarackthread.entry.direct import admitting, table, targets
-from tamarackthread.policy import cold
+from tamarackthread.policy import cold_start
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import (
     announcements,
@@ -29,7 +29,7 @@
         reader: configuration.Reader,
         tables: table.Holder,
         admission: admitting.Admission,
-        shares: cold.Shares,
+        shares: cold_start.Shares,
     ) -> None:
         """Put what is learned into the parts that need it."""
         self._shares = shares
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -21,7 +21,7 @@
     targets,
 )
 from tamarackthread.generated import settings as generated
-from tamarackthread.policy import cold, fleets
+from tamarackthread.policy import cold_start, fleets
 from tamarackthread.shared import log_events, peers, process
 from tamarackthread.shared.site import configuration, figures, following, places
 
@@ -53,7 +53,7 @@
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
-        shares = cold.Shares(
+        shares = cold_start.Shares(
             fleet, self._site.cold_allowance, self._site.cold_slack
         )
         self._targets = targets.Targets(
--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -6,7 +6,7 @@
 import collections.abc
 
 from tamarackthread.entry.direct import starts, target_lines
-from tamarackthread.policy import cold, fleets, rate_limit
+from tamarackthread.policy import cold_start, fleets, rate_limit
 from tamarackthread.shared.site import groups, zones
 
 # The targets of a zone that is taken back are taken for cold for so long, whatever
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        shares: cold.Shares | None = None,
+        shares: cold_start.Shares | None = None,
         fleet: fleets.Fleet | None = None,
     ) -> None:
         """Begin with every target in service.
@@ -86,7 +86,7 @@
         if self._shares is None or not target.is_cold(now):
             return True
         most = self._shares.calls(target.said.service, target.name)
-        lately = target.sent.lately(now, cold.SPAN_SECONDS)
+        lately = target.sent.lately(now, cold_start.SPAN_SECONDS)
         return most is None or lately < most
 
     def demand(self, service: str, found: rate_limit.Demand | None) -> None:
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -14,6 +14,7 @@
 from tamarackthread.policy import (
     admission,
     affinity,
+    allocator,
     buckets,
     ejection,
     fairness,
@@ -21,7 +22,6 @@
     migration,
     preemption,
     retries,
-    room,
     routing,
 )
 from tamarackthread.shared import link
@@ -203,9 +203,9 @@
         self._reduced: set[str] = set()
         for contact in self._contacts.values():
             contact.view.share = 1
-        self._place = room.TargetRoom(
+        self._place = allocator.TargetRoom(
             self._routing(profile),
-            room.RoomSettings(
+            allocator.RoomSettings(
                 reserved_share=profile.admission.urgent_reserve_share,
             ),
         )
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -11,18 +11,18 @@
 import random
 
 from tamarackthread.policy import (
+    allocator,
     buckets,
+    call_queue,
     calls,
     fairness,
-    limits,
     migration,
-    outlook,
     preemption,
+    queue_limits,
     refusals,
-    room,
-    running,
+    running_calls,
     tickets,
-    waiting,
+    wait_estimator,
 )
 from tamarackthread.shared import errors
 
@@ -32,7 +32,7 @@
 _SWEEP_SECONDS = 0.05
 
 
-AdmissionSettings = limits.AdmissionSettings
+AdmissionSettings = queue_limits.AdmissionSettings
 Ticket = tickets.Ticket
 
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        place: room.Room,
+        place: allocator.Room,
         shares: fairness.Shares,
         generator: random.Random,
         settings: AdmissionSettings | None = None,
@@ -53,15 +53,15 @@
         self._settings = settings or AdmissionSettings()
         self._room = place
         self._portions = portions or buckets.Portions()
-        self._line = waiting.WaitingLine(shares, self._settings.credit)
-        self._outlook = outlook.Outlook(place, self._line, generator)
-        self._limits = limits.QueueLimits(
+        self._line = call_queue.WaitingLine(shares, self._settings.credit)
+        self._outlook = wait_estimator.Outlook(place, self._line, generator)
+        self._limits = queue_limits.QueueLimits(
             self._settings,
             place,
             self._line,
             self._outlook,
         )
-        self._running = running.RunningCalls(
+        self._running = running_calls.RunningCalls(
             place,
             preempt or preemption.NewestDraft(),
             move or migration.StayPut(),
@@ -92,7 +92,7 @@
         self._charge(call, now)
         granted = asyncio.get_running_loop().create_future()
         entry = self._line.push(
-            waiting.WaitingCall(call, granted, now + budget, now),
+            call_queue.WaitingCall(call, granted, now + budget, now),
         )
         self._outlook.arrived(call, now)
         self.wake()
@@ -112,7 +112,7 @@
         self._running.remove(ticket)
         self.wake()
 
-    async def _wait(self, entry: waiting.WaitingEntry) -> Ticket:
+    async def _wait(self, entry: call_queue.WaitingEntry) -> Ticket:
         granted = entry.item.granted
         try:
             return await granted
@@ -120,7 +120,7 @@
             self._abandon(entry)
             raise
 
-    def _abandon(self, entry: waiting.WaitingEntry) -> None:
+    def _abandon(self, entry: call_queue.WaitingEntry) -> None:
         """Clean up after a caller that left.
 
         The ticket may have been granted in the same turn of the loop; not
@@ -157,7 +157,7 @@
             if not self._place(entry, now):
                 return
 
-    def _next(self, now: float) -> waiting.WaitingEntry | None:
+    def _next(self, now: float) -> call_queue.WaitingEntry | None:
         """Pick the next call, or one just behind it with a cached prefix.
 
         In a full service only one target has room at a time, so the routing
@@ -174,7 +174,7 @@
             head.item.passed_over += 1
         return best
 
-    def _must_go(self, head: waiting.WaitingEntry, now: float) -> bool:
+    def _must_go(self, head: call_queue.WaitingEntry, now: float) -> bool:
         item = head.item
         if item.call.is_ahead:
             return True
@@ -182,7 +182,7 @@
             return True
         return item.latest_start - now < _LAST_SECONDS
 
-    def _place(self, entry: waiting.WaitingEntry, now: float) -> bool:
+    def _place(self, entry: call_queue.WaitingEntry, now: float) -> bool:
         call = entry.item.call
         try:
             placement = self._room.take(call, now)
@@ -215,13 +215,13 @@
                 continue
             ahead += entry.cost
 
-    def _refuse(self, entry: waiting.WaitingEntry, now: float) -> None:
+    def _refuse(self, entry: call_queue.WaitingEntry, now: float) -> None:
         retry = self._outlook.retry(entry.item.call, now)
         self._answer(entry, refusals.AdmissionRefused(retry_after=retry))
 
     def _answer(
         self,
-        entry: waiting.WaitingEntry,
+        entry: call_queue.WaitingEntry,
         refusal: errors.CodedError,
     ) -> None:
         self._drop(entry)
@@ -231,7 +231,7 @@
         if not entry.item.granted.done():
             entry.item.granted.set_exception(refusal)
 
-    def _drop(self, entry: waiting.WaitingEntry) -> None:
+    def _drop(self, entry: call_queue.WaitingEntry) -> None:
         if entry.removed:
             return
         self._line.remove(entry)
--- a/tamarackthread/policy/limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -4,7 +4,13 @@
 
 import attrs
 
-from tamarackthread.policy import calls, outlook, refusals, room, waiting
+from tamarackthread.policy import (
+    allocator,
+    call_queue,
+    calls,
+    refusals,
+    wait_estimator,
+)
 
 _LEAST_WAIT_SECONDS = 0.05
 
@@ -41,9 +47,9 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        place: room.Room,
-        line: waiting.WaitingLine,
-        expected: outlook.Outlook,
+        place: allocator.Room,
+        line: call_queue.WaitingLine,
+        expected: wait_estimator.Outlook,
     ) -> None:
         """Bound ``line`` by what ``expected`` says of it."""
         self._settings = settings
--- a/tamarackthread/policy/running.py
+++ b/tamarackthread/policy/running_calls.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from tamarackthread.policy import (
+    allocator,
     calls,
     migration,
     preemption,
-    room,
     tickets,
 )
 
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        place: room.Room,
+        place: allocator.Room,
         preempt: preemption.PreemptionPolicy,
         move: migration.MovePolicy,
     ) -> None:
--- a/tamarackthread/policy/tickets.py
+++ b/tamarackthread/policy/tickets.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tamarackthread.policy import calls, migration, preemption, room
+from tamarackthread.policy import allocator, calls, migration, preemption
 
 
 class Ticket:
@@ -16,7 +16,7 @@
     def __init__(
         self,
         call: calls.CallFacts,
-        placement: room.Placement,
+        placement: allocator.Placement,
         on_release: collections.abc.Callable[[Ticket], None],
     ) -> None:
         """Hold the placement until ``release``."""
--- a/tamarackthread/policy/outlook.py
+++ b/tamarackthread/policy/wait_estimator.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tamarackthread.policy import calls, pace, room, waiting
+from tamarackthread.policy import allocator, call_queue, calls, queue_rates
 
 _LEAST_RATE = 0.1
 _MOST_FLOWS = 4096
@@ -16,17 +16,17 @@
 
     def __init__(
         self,
-        place: room.Room,
-        line: waiting.WaitingLine,
+        place: allocator.Room,
+        line: call_queue.WaitingLine,
         generator: random.Random,
     ) -> None:
         """Watch ``line``, which drains into ``place``."""
         self._room = place
         self._line = line
-        self._retry_times = pace.RetryTimes(generator)
-        self._meter = pace.DrainMeter()
-        self._flows: dict[str, pace.DrainMeter] = {}
-        self._asked: dict[str, pace.ArrivalMeter] = {}
+        self._retry_times = queue_rates.RetryTimes(generator)
+        self._meter = queue_rates.DrainMeter()
+        self._flows: dict[str, queue_rates.DrainMeter] = {}
+        self._asked: dict[str, queue_rates.ArrivalMeter] = {}
         self._mean_cost: float = 1
 
     def asked(self, call: calls.CallFacts, now: float) -> None:
@@ -34,7 +34,7 @@
         meter = self._asked.get(call.organisation)
         if meter is None:
             self._tidy(now)
-            meter = pace.ArrivalMeter()
+            meter = queue_rates.ArrivalMeter()
             self._asked[call.organisation] = meter
         meter.add(call.cost, now)
 
@@ -43,7 +43,7 @@
         self._mean_cost += (call.cost - self._mean_cost) / 64
         if _flow(call) not in self._flows:
             self._tidy(now)
-            self._flows[_flow(call)] = pace.DrainMeter()
+            self._flows[_flow(call)] = queue_rates.DrainMeter()
         self._flows[_flow(call)].observe(True, now)
         self._meter.observe(True, now)
 
--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -9,9 +9,9 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import (
     admission,
+    allocator,
     calls,
     fairness,
-    room,
     routing,
 )
 from tamarackthread.policy import load as target_load
@@ -69,7 +69,7 @@
     """Build an admission in front of some targets."""
     generator = random.Random(SEED)
     policy = routing.ExpectedFirstToken('east', generator)
-    place = room.TargetRoom(policy, room.RoomSettings(urgent_extra=0))
+    place = allocator.TargetRoom(policy, allocator.RoomSettings(urgent_extra=0))
     place.set_targets(views)
     settings = admission.AdmissionSettings(**fields.pop('settings', {}))
     shares = fields.pop('shares', fairness.EqualShares())
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -22,7 +22,7 @@
     records,
     targets,
 )
-from tamarackthread.policy import crowding, opening
+from tamarackthread.policy import concurrency, outages
 from tamarackthread.shared.site import announcements, configuration
 from tests import policy_case
 
@@ -35,7 +35,7 @@
 
 def crowd(held, ranks=10, places=50, pace=1.0):
     """Build a group of ranks with some calls."""
-    return crowding.Crowd(calls=held, ranks=ranks, places=places, pace=pace)
+    return concurrency.Crowd(calls=held, ranks=ranks, places=places, pace=pace)
 
 
 def call_of(aim=0.5, timeout=8.0, priority=1, call_id='c'):
@@ -66,7 +66,7 @@
     )
 
 
-class FixedBound(crowding.CallBound):
+class FixedBound(concurrency.CallBound):
     """Bound the calls by a number that a test sets."""
 
     def __init__(self, most):
@@ -86,7 +86,7 @@
         """
         bound = _bound_after(crowd(30), GAP)
         each = (GAP - EMPTY) / 30
-        limit = GAP * crowding.USED_SHARE
+        limit = GAP * concurrency.USED_SHARE
         self.assertAlmostEqual(
             (limit - EMPTY) / each, bound.most(crowd(30), now=1)
         )
@@ -104,7 +104,7 @@
     def test_even_ranks(self):
         """Full ranks stay within the pause: places are all that bounds."""
         most = _bound_after(crowd(50), 0.08).most(crowd(50), now=1)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_calls_that_wait_at_ranks(self):
         """Calls behind the places of a rank do not make its passes longer."""
@@ -121,16 +121,16 @@
         """
         slow = crowd(20, pace=8)
         most = _bound_after(slow, 0.25).most(slow, now=1)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_old_passes(self):
         """Nothing was seen of late: what was seen before says nothing."""
         most = _bound_after(crowd(30), GAP).most(crowd(30), now=2)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_no_targets(self):
         """No rank is known to be ready: no bound, so that calls are tried."""
-        bound = crowding.Proportional(GAP, EMPTY)
+        bound = concurrency.Proportional(GAP, EMPTY)
         self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
 
 
@@ -339,7 +339,7 @@
 
 def _bound_after(held, seconds):
     """Return a bound that has seen one pass of a group's calls, until now = 1."""
-    bound = crowding.Proportional(GAP, EMPTY)
+    bound = concurrency.Proportional(GAP, EMPTY)
     bound.most(held, now=1 - seconds)
     bound.note(seconds, now=1)
     return bound
@@ -400,7 +400,7 @@
             if opens:
                 line.heard()
             else:
-                await asyncio.sleep(2 * opening.APART_SECONDS)
+                await asyncio.sleep(2 * outages.APART_SECONDS)
             self.assertFalse(line.is_closed)
 
     async def _full(self):
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -10,17 +10,17 @@
 from tamarackthread.control.site import loads
 from tamarackthread.entry.direct import crashing, sending, sharing, starts
 from tamarackthread.entry.direct import failures as refusals
-from tamarackthread.policy import suspects
+from tamarackthread.policy import poison_calls
 from tamarackthread.shared.site import announcements, configuration
-from tests import policy_case, test_admitting, direct_case
+from tests import direct_case, policy_case, test_admitting
 from tests import test_shared_calls as shared_calls
 
 BAD = b'b'
 GOOD = b'g'
-FREE = suspects.Verdict.FREE
-WATCHED = suspects.Verdict.WATCHED
-REFUSED = suspects.Verdict.REFUSED
-SETTLED = suspects.TOGETHER_SECONDS
+FREE = poison_calls.Verdict.FREE
+WATCHED = poison_calls.Verdict.WATCHED
+REFUSED = poison_calls.Verdict.REFUSED
+SETTLED = poison_calls.TOGETHER_SECONDS
 SEED = 9
 ENTRIES = 6
 
@@ -29,7 +29,7 @@
     """Answer the load in which one call takes down one target after another."""
 
     def setUp(self):
-        self.known = suspects.Suspects()
+        self.known = poison_calls.Suspects()
 
     def test_three_targets(self):
         """The third target that is lost by a call is the last one."""
@@ -55,7 +55,7 @@
         Many targets are lost at once, which tells nothing of any call.
         """
         for number in range(3):
-            for target in range(suspects.TOGETHER_TARGETS):
+            for target in range(poison_calls.TOGETHER_TARGETS):
                 mark = BAD if target == 0 else bytes([target])
                 self.known.lost(mark, f't{number}-{target}', 10.0 * number)
         self.assertEqual(FREE, self.known.verdict(BAD, 21))
@@ -73,15 +73,15 @@
         """A call is let through after a minute, and known again by its losses."""
         for number in range(3):
             self.known.lost(BAD, f't{number}', 10.0 * number)
-        later = 20 + suspects.REMEMBERED_SECONDS + 1
+        later = 20 + poison_calls.REMEMBERED_SECONDS + 1
         self.assertEqual(FREE, self.known.verdict(BAD, later))
         self.assertFalse(self.known)
 
     def test_bounded(self):
         """Calls without end are lost; so many are remembered and no more."""
-        for number in range(10 * suspects.MOST_CALLS):
+        for number in range(10 * poison_calls.MOST_CALLS):
             self.known.lost(number.to_bytes(4), f't{number}', number / 100)
-        self.assertLessEqual(len(self.known.own(13)), suspects.MOST_CALLS)
+        self.assertLessEqual(len(self.known.own(13)), poison_calls.MOST_CALLS)
 
     def test_ordinary_losses(self):
         """Targets crash at random; no call of thousands is refused for it.
@@ -199,7 +199,7 @@
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
         call = test_admitting.call_of()
-        for _ in range(int(2 * suspects.REMEMBERED_SECONDS)):
+        for _ in range(int(2 * poison_calls.REMEMBERED_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
         for entry in entries:
@@ -271,7 +271,7 @@
         self.assertEqual(502, status)
         fake.close()
         # What was lost with it is known at once, so that the loss counts.
-        with mock.patch.object(suspects, 'TOGETHER_SECONDS', 0):
+        with mock.patch.object(poison_calls, 'TOGETHER_SECONDS', 0):
             rows = self.crashing.own()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
