--- a/bench/engines/call_bounds.py
+++ b/bench/engines/call_bounds.py
@@ -14,15 +14,15 @@
 GROWTH = 0.1
 
 
-class Unbounded(concurrency.CallBound):
+class Unbounded(concurrency.ConcurrencyLimit):
     """Let the ranks have all calls."""
 
-    def most(self, crowd: concurrency.Crowd, now: float) -> float:
+    def most(self, crowd: concurrency.GroupLoad, now: float) -> float:
         """Return infinity."""
         return math.inf
 
 
-class Tried(concurrency.Places):
+class Tried(concurrency.SlotLimit):
     """Find the bound by trying: less after a long pass, else slowly more."""
 
     def __init__(self, gap: float, empty: float) -> None:
@@ -31,7 +31,7 @@
         self._most = math.inf
         self._tried_at = -math.inf
 
-    def most(self, crowd: concurrency.Crowd, now: float) -> float:
+    def most(self, crowd: concurrency.GroupLoad, now: float) -> float:
         """Return the bound as it is found by now."""
         usual = self._passes.usual(now)
         if usual and now - self._tried_at >= TRY_SECONDS:
@@ -39,7 +39,7 @@
             self._try(usual, crowd)
         return min(self._most, super().most(crowd, now))
 
-    def _try(self, usual: float, crowd: concurrency.Crowd) -> None:
+    def _try(self, usual: float, crowd: concurrency.GroupLoad) -> None:
         if usual > self._limit:
             fallen = min(self._most, crowd.calls) * FALL_SHARE
             self._most = max(crowd.ranks, fallen)
--- a/bench/engines/lockstep_patterns.py
+++ b/bench/engines/lockstep_patterns.py
@@ -83,7 +83,7 @@
     route: str
     maps: str
     shares: bool = False
-    bound: type[concurrency.CallBound] | None = None
+    bound: type[concurrency.ConcurrencyLimit] | None = None
 
 
 PATTERNS = (
@@ -108,7 +108,7 @@
         'ours',
         'static',
         shares=True,
-        bound=concurrency.Places,
+        bound=concurrency.SlotLimit,
     ),
     Variant(
         'tried_static', 'ours', 'static', shares=True, bound=call_bounds.Tried
@@ -118,15 +118,15 @@
         'ours',
         'static',
         shares=True,
-        bound=concurrency.Proportional,
+        bound=concurrency.LatencyLimit,
     ),
     Variant('ours_unbounded', 'ours', 'ours', shares=True),
     Variant(
-        'ours_places', 'ours', 'ours', shares=True, bound=concurrency.Places
+        'ours_places', 'ours', 'ours', shares=True, bound=concurrency.SlotLimit
     ),
     Variant('ours_tried', 'ours', 'ours', shares=True, bound=call_bounds.Tried),
     Variant(
-        'ours', 'ours', 'ours', shares=True, bound=concurrency.Proportional
+        'ours', 'ours', 'ours', shares=True, bound=concurrency.LatencyLimit
     ),
     Variant('oracle_unshared', 'ours', 'oracle'),
     Variant('oracle', 'ours', 'oracle', shares=True),
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -134,7 +134,11 @@
     ) -> targets.Targets:
         fleet = fleets.Fleet(name, functools.partial(tuple, names))
         known = targets.Targets(
-            'z', 1.0, random.Random(number), cold_start.Shares(fleet), fleet
+            'z',
+            1.0,
+            random.Random(number),
+            cold_start.ColdStartLimits(fleet),
+            fleet,
         )
         for target in self._targets:
             known.take(
--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -40,7 +40,9 @@
     admission: dict[str, admission.AdmissionSettings] = attrs.field(
         factory=_admission_settings,
     )
-    room: allocator.RoomSettings = attrs.field(factory=allocator.RoomSettings)
+    room: allocator.AllocatorSettings = attrs.field(
+        factory=allocator.AllocatorSettings
+    )
     routing: routing.RoutingSettings = attrs.field(
         factory=routing.RoutingSettings,
     )
@@ -140,7 +142,7 @@
     settings: OwnSettings,
 ) -> admission.Admission:
     policy = routing.ExpectedFirstToken(zone, generator, settings.routing)
-    place = allocator.TargetRoom(policy, settings.room)
+    place = allocator.TargetAllocator(policy, settings.room)
     place.set_targets(targets)
     budget = retries.RetryBudget(retries.RetrySettings(), 0)
     return admission.Admission(
--- a/tamarackthread/entry/direct/admitting.py
+++ b/tamarackthread/entry/direct/admitting.py
@@ -50,7 +50,7 @@
     def __init__(
         self,
         service: str,
-        bound: concurrency.CallBound,
+        bound: concurrency.ConcurrencyLimit,
         known: targets.Targets,
         entries: Entries,
     ) -> None:
@@ -59,18 +59,18 @@
         self._bound = bound
         self._known = known
         self._entries = entries
-        self._opening = outages.Opening()
+        self._opening = outages.OutageDetector()
         self._waiting: list[_Waiting] = []
         self._part: float = 0
         self._answer_seconds: float = 0
 
     @property
-    def bound(self) -> concurrency.CallBound:
+    def bound(self) -> concurrency.ConcurrencyLimit:
         """Return what bounds the calls."""
         return self._bound
 
     @bound.setter
-    def bound(self, fresh: concurrency.CallBound) -> None:
+    def bound(self, fresh: concurrency.ConcurrencyLimit) -> None:
         self._bound = fresh
 
     def __len__(self) -> int:
@@ -143,14 +143,14 @@
             self._part = max(1, free / max(1, self._entries()))
         self._grant()
 
-    def _crowd(self) -> concurrency.Crowd:
+    def _crowd(self) -> concurrency.GroupLoad:
         return self._known.crowd(self._service, self._entries())
 
     def _free(self) -> float:
         """Return how many calls more the ranks may have."""
         return self._free_of(self._crowd())
 
-    def _free_of(self, crowd: concurrency.Crowd) -> float:
+    def _free_of(self, crowd: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
         return self._bound.most(crowd, now) - crowd.calls
 
@@ -199,10 +199,10 @@
             self._held[service.name] = found
             self._bind(
                 service.name,
-                concurrency.Proportional(found[1], service.passes.empty),
+                concurrency.LatencyLimit(found[1], service.passes.empty),
             )
 
-    def _bind(self, service: str, bound: concurrency.CallBound) -> None:
+    def _bind(self, service: str, bound: concurrency.ConcurrencyLimit) -> None:
         """Bound the calls of a service; those that wait stay in their line."""
         line = self._lines.get(service)
         if line is not None:
--- a/tamarackthread/entry/direct/crashing.py
+++ b/tamarackthread/entry/direct/crashing.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         """Begin without suspects."""
-        self._known = poison_calls.Suspects()
+        self._known = poison_calls.PoisonCalls()
 
     def check(self, call: calls.Call) -> None:
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
--- a/tamarackthread/entry/direct/learned.py
+++ b/tamarackthread/entry/direct/learned.py
@@ -29,7 +29,7 @@
         reader: configuration.Reader,
         tables: table.Holder,
         admission: admitting.Admission,
-        shares: cold_start.Shares,
+        shares: cold_start.ColdStartLimits,
     ) -> None:
         """Put what is learned into the parts that need it."""
         self._shares = shares
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -53,7 +53,7 @@
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
-        shares = cold_start.Shares(
+        shares = cold_start.ColdStartLimits(
             fleet, self._site.cold_allowance, self._site.cold_slack
         )
         self._targets = targets.Targets(
--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        shares: cold_start.Shares | None = None,
+        shares: cold_start.ColdStartLimits | None = None,
         fleet: fleets.Fleet | None = None,
     ) -> None:
         """Begin with every target in service.
@@ -91,7 +91,7 @@
 
     def demand(self, service: str, found: rate_limit.Demand | None) -> None:
         """Take how much of a service's calls this entry has."""
-        self._demands[service] = found or rate_limit.ALONE
+        self._demands[service] = found or rate_limit.SOLE_ENTRY
 
     def is_in_service(self, target: starts.Start) -> bool:
         """Tell whether a target neither leaves nor is in an evacuated zone."""
@@ -121,10 +121,10 @@
     def _is_within_limit(self, target: starts.Start, now: float) -> bool:
         if target.limit.rate is None:
             return True
-        demand = self._demands.get(target.said.service, rate_limit.ALONE)
-        part = rate_limit.Part(demand, 1, 0)
+        demand = self._demands.get(target.said.service, rate_limit.SOLE_ENTRY)
+        part = rate_limit.EntryShare(demand, 1, 0)
         if self._fleet is not None:
-            part = rate_limit.Part(
+            part = rate_limit.EntryShare(
                 demand,
                 self._fleet.count(),
                 self._fleet.place(target.name),
--- a/tamarackthread/entry/direct/starts.py
+++ b/tamarackthread/entry/direct/starts.py
@@ -52,7 +52,7 @@
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
     asked: backpressure.Backpressure = backpressure.NONE
-    rest: backpressure.Rest = attrs.field(factory=backpressure.Rest)
+    rest: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
     leaving_at: float = 0
     _lifetimes: set[asyncio.Timeout] = attrs.field(factory=set)
 
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -37,7 +37,7 @@
         zone: str,
         beat_seconds: float,
         generator: random.Random,
-        shares: cold_start.Shares | None = None,
+        shares: cold_start.ColdStartLimits | None = None,
         fleet: fleets.Fleet | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
@@ -149,7 +149,7 @@
         self,
         service: str,
         entries: int,
-    ) -> concurrency.Crowd:
+    ) -> concurrency.GroupLoad:
         """Count the calls and the places at the targets of a service.
 
         An entry that does not know the calls of the others takes it that all
@@ -166,7 +166,7 @@
         others = own * max(0, entries - 1)
         if self._knows_others:
             others = sum(target.others for target in found)
-        return concurrency.Crowd(
+        return concurrency.GroupLoad(
             calls=own + others,
             ranks=len(ready),
             places=sum(target.slots for target in ready),
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -203,9 +203,9 @@
         self._reduced: set[str] = set()
         for contact in self._contacts.values():
             contact.view.share = 1
-        self._place = allocator.TargetRoom(
+        self._place = allocator.TargetAllocator(
             self._routing(profile),
-            allocator.RoomSettings(
+            allocator.AllocatorSettings(
                 reserved_share=profile.admission.urgent_reserve_share,
             ),
         )
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        place: allocator.Room,
+        place: allocator.Allocator,
         shares: fairness.Shares,
         generator: random.Random,
         settings: AdmissionSettings | None = None,
@@ -53,8 +53,10 @@
         self._settings = settings or AdmissionSettings()
         self._room = place
         self._portions = portions or buckets.Portions()
-        self._line = call_queue.WaitingLine(shares, self._settings.credit)
-        self._outlook = wait_estimator.Outlook(place, self._line, generator)
+        self._line = call_queue.CallQueue(shares, self._settings.credit)
+        self._outlook = wait_estimator.WaitEstimator(
+            place, self._line, generator
+        )
         self._limits = queue_limits.QueueLimits(
             self._settings,
             place,
@@ -92,7 +94,7 @@
         self._charge(call, now)
         granted = asyncio.get_running_loop().create_future()
         entry = self._line.push(
-            call_queue.WaitingCall(call, granted, now + budget, now),
+            call_queue.QueuedCall(call, granted, now + budget, now),
         )
         self._outlook.arrived(call, now)
         self.wake()
@@ -112,7 +114,7 @@
         self._running.remove(ticket)
         self.wake()
 
-    async def _wait(self, entry: call_queue.WaitingEntry) -> Ticket:
+    async def _wait(self, entry: call_queue.QueueEntry) -> Ticket:
         granted = entry.item.granted
         try:
             return await granted
@@ -120,7 +122,7 @@
             self._abandon(entry)
             raise
 
-    def _abandon(self, entry: call_queue.WaitingEntry) -> None:
+    def _abandon(self, entry: call_queue.QueueEntry) -> None:
         """Clean up after a caller that left.
 
         The ticket may have been granted in the same turn of the loop; not
@@ -157,7 +159,7 @@
             if not self._place(entry, now):
                 return
 
-    def _next(self, now: float) -> call_queue.WaitingEntry | None:
+    def _next(self, now: float) -> call_queue.QueueEntry | None:
         """Pick the next call, or one just behind it with a cached prefix.
 
         In a full service only one target has room at a time, so the routing
@@ -174,7 +176,7 @@
             head.item.passed_over += 1
         return best
 
-    def _must_go(self, head: call_queue.WaitingEntry, now: float) -> bool:
+    def _must_go(self, head: call_queue.QueueEntry, now: float) -> bool:
         item = head.item
         if item.call.is_ahead:
             return True
@@ -182,7 +184,7 @@
             return True
         return item.latest_start - now < _LAST_SECONDS
 
-    def _place(self, entry: call_queue.WaitingEntry, now: float) -> bool:
+    def _place(self, entry: call_queue.QueueEntry, now: float) -> bool:
         call = entry.item.call
         try:
             placement = self._room.take(call, now)
@@ -215,13 +217,13 @@
                 continue
             ahead += entry.cost
 
-    def _refuse(self, entry: call_queue.WaitingEntry, now: float) -> None:
+    def _refuse(self, entry: call_queue.QueueEntry, now: float) -> None:
         retry = self._outlook.retry(entry.item.call, now)
         self._answer(entry, refusals.AdmissionRefused(retry_after=retry))
 
     def _answer(
         self,
-        entry: call_queue.WaitingEntry,
+        entry: call_queue.QueueEntry,
         refusal: errors.CodedError,
     ) -> None:
         self._drop(entry)
@@ -231,7 +233,7 @@
         if not entry.item.granted.done():
             entry.item.granted.set_exception(refusal)
 
-    def _drop(self, entry: call_queue.WaitingEntry) -> None:
+    def _drop(self, entry: call_queue.QueueEntry) -> None:
         if entry.removed:
             return
         self._line.remove(entry)
--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -36,7 +36,7 @@
         self.target.load.finished(self.flight, now)
 
 
-class Room(abc.ABC):
+class Allocator(abc.ABC):
     """Place calls while there is room."""
 
     @abc.abstractmethod
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class RoomSettings:
+class AllocatorSettings:
     """Hold how full targets are kept.
 
     ``reserved_share`` of each target's slots, rounded up, is kept free of
@@ -81,17 +81,17 @@
     urgent_extra: int = 2
 
 
-class TargetRoom(Room):
+class TargetAllocator(Allocator):
     """Place calls at the targets that a routing policy chooses."""
 
     def __init__(
         self,
         policy: routing.RoutingPolicy,
-        settings: RoomSettings | None = None,
+        settings: AllocatorSettings | None = None,
     ) -> None:
         """Start without targets."""
         self._policy = policy
-        self._settings = settings or RoomSettings()
+        self._settings = settings or AllocatorSettings()
         self._targets: list[routing.TargetView] = []
 
     @property
--- a/tamarackthread/policy/backpressure.py
+++ b/tamarackthread/policy/backpressure.py
@@ -29,7 +29,7 @@
 NONE = Backpressure()
 
 
-class Rest:
+class Cooldown:
     """The time for which a target wants no call, and the call that ends it.
 
     A target that is given all calls again at the moment its rest is over is
--- a/tamarackthread/policy/call_queue.py
+++ b/tamarackthread/policy/call_queue.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class WaitingCall:
+class QueuedCall:
     """A call in the queue.
 
     ``granted`` gets the ticket or the refusal.  After ``latest_start``
@@ -25,10 +25,10 @@
     passed_over: int = 0
 
 
-WaitingEntry = fairness.Entry[WaitingCall]
+QueueEntry = fairness.Entry[QueuedCall]
 
 
-class WaitingLine:
+class CallQueue:
     """One fair queue for urgent calls and one for all others behind it.
 
     Urgent calls are few and are served strictly first.  The other calls of an
@@ -39,18 +39,16 @@
     def __init__(self, shares: fairness.Shares, credit: float) -> None:
         """Start empty; ``credit`` is what an organisation may catch up."""
         self._shares = shares
-        self._urgent: fairness.FairQueue[WaitingCall] = fairness.FairQueue(
-            credit
-        )
-        self._other: fairness.FairQueue[WaitingCall] = fairness.FairQueue(
+        self._urgent: fairness.FairQueue[QueuedCall] = fairness.FairQueue(
             credit
         )
+        self._other: fairness.FairQueue[QueuedCall] = fairness.FairQueue(credit)
 
     def __len__(self) -> int:
         """Count the waiting calls."""
         return len(self._urgent) + len(self._other)
 
-    def push(self, waiting: WaitingCall) -> WaitingEntry:
+    def push(self, waiting: QueuedCall) -> QueueEntry:
         """Let a call wait behind its organisation's calls of its priority."""
         call = waiting.call
         entry = fairness.Entry(
@@ -63,27 +61,27 @@
         self._queue(call).push(entry, weight)
         return entry
 
-    def head(self) -> WaitingEntry | None:
+    def head(self) -> QueueEntry | None:
         """Return the call that goes next."""
         return self._urgent.head() or self._other.head()
 
-    def first(self, count: int) -> list[WaitingEntry]:
+    def first(self, count: int) -> list[QueueEntry]:
         """List the next calls, all of them urgent or none."""
         return self._urgent.first(count) or self._other.first(count)
 
-    def take(self, entry: WaitingEntry) -> None:
+    def take(self, entry: QueueEntry) -> None:
         """Take out a call that is served."""
         self._queue(entry.item.call).take(entry)
 
-    def remove(self, entry: WaitingEntry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Take out a call that isn't served; a second time changes nothing."""
         self._queue(entry.item.call).remove(entry)
 
-    def entries(self) -> list[WaitingEntry]:
+    def entries(self) -> list[QueueEntry]:
         """List the calls in the order in which they'd be served."""
         return self.urgent() + self._other.first(len(self._other))
 
-    def urgent(self) -> list[WaitingEntry]:
+    def urgent(self) -> list[QueueEntry]:
         """List the urgent calls."""
         return self._urgent.first(len(self._urgent))
 
@@ -114,7 +112,7 @@
     def _queue(
         self,
         call: calls.CallFacts,
-    ) -> fairness.FairQueue[WaitingCall]:
+    ) -> fairness.FairQueue[QueuedCall]:
         if call.is_ahead:
             return self._urgent
         return self._other
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -19,7 +19,7 @@
 PARTS = 2
 
 
-class Shares:
+class ColdStartLimits:
     """Work out how many calls this entry may send to a cold target.
 
     A share does not grow when other entries fall silent: they may be cut off
--- a/tamarackthread/policy/concurrency.py
+++ b/tamarackthread/policy/concurrency.py
@@ -33,7 +33,7 @@
 FULL_SHARE = 1.1
 
 
-class Recent:
+class MovingMedian:
     """Know what is usual among the figures of the last moments."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Crowd:
+class GroupLoad:
     """The calls at the ranks of a group, which run so many at once.
 
     ``own`` of the ``calls`` are this entry's.  ``places`` counts the calls that
@@ -73,7 +73,7 @@
     own: int = 0
 
 
-class CallBound(abc.ABC):
+class ConcurrencyLimit(abc.ABC):
     """Say how many calls the ranks of a group may have in all."""
 
     def __init__(self, gap: float, empty: float) -> None:
@@ -83,7 +83,7 @@
         """
         self._limit = gap * USED_SHARE
         self._empty = empty
-        self._passes = Recent()
+        self._passes = MovingMedian()
 
     def note(self, seconds: float, now: float) -> None:
         """Take the time between two pieces of one stream."""
@@ -94,19 +94,19 @@
         return self._passes.usual(now)
 
     @abc.abstractmethod
-    def most(self, crowd: Crowd, now: float) -> float:
+    def most(self, crowd: GroupLoad, now: float) -> float:
         """Return how many calls the ranks may have, infinity without a bound."""
 
 
-class Places(CallBound):
+class SlotLimit(ConcurrencyLimit):
     """Let the ranks have what they run at once, and little more."""
 
-    def most(self, crowd: Crowd, now: float) -> float:
+    def most(self, crowd: GroupLoad, now: float) -> float:
         """Return the places of all ranks and some to follow at once."""
         return crowd.places * FULL_SHARE if crowd.places else math.inf
 
 
-class Proportional(Places):
+class LatencyLimit(SlotLimit):
     """Work the bound out from what each call is seen to add to a pass.
 
     How much that is changes by the factor of three with the evenness of the
@@ -119,8 +119,8 @@
     def __init__(self, gap: float, empty: float) -> None:
         """Begin without having seen a pass."""
         super().__init__(gap, empty)
-        self._each = Recent()
-        self._crowds: collections.deque[tuple[float, Crowd]] = (
+        self._each = MovingMedian()
+        self._crowds: collections.deque[tuple[float, GroupLoad]] = (
             collections.deque()
         )
 
@@ -134,7 +134,7 @@
         added = max(LEAST_SECONDS, seconds - self._empty * crowd.pace)
         self._each.note(added / running, now)
 
-    def most(self, crowd: Crowd, now: float) -> float:
+    def most(self, crowd: GroupLoad, now: float) -> float:
         """Return how many calls fit within the pause.
 
         Where already one call a rank is too much, calls are not what makes
@@ -149,12 +149,12 @@
         found = room / each
         return places if found < crowd.ranks else min(found, places)
 
-    def _keep(self, crowd: Crowd, now: float) -> None:
+    def _keep(self, crowd: GroupLoad, now: float) -> None:
         self._crowds.append((now, crowd))
         while now - self._crowds[0][0] > KEPT_SECONDS:
             self._crowds.popleft()
 
-    def _crowd_at(self, moment: float) -> Crowd | None:
+    def _crowd_at(self, moment: float) -> GroupLoad | None:
         """Return the calls that were there at a moment, if known."""
         found = None
         for seen_at, crowd in self._crowds:
--- a/tamarackthread/policy/outages.py
+++ b/tamarackthread/policy/outages.py
@@ -16,7 +16,7 @@
 LEAST_TARGETS = 2
 
 
-class Opening:
+class OutageDetector:
     """Know whether a group is closed, as one entry sees it."""
 
     def __init__(self) -> None:
--- a/tamarackthread/policy/poison_calls.py
+++ b/tamarackthread/policy/poison_calls.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Evidence:
+class CrashHistory:
     """What is known of one call.
 
     ``starts`` are the starts of targets that were lost while they ran it.  The last
@@ -59,23 +59,23 @@
         """Tell whether a target has answered the call since the last loss."""
         return self.answered <= self.lost
 
-    def says_the_same(self, other: Evidence) -> bool:
+    def says_the_same(self, other: CrashHistory) -> bool:
         """Tell whether another one differs by nothing but its age."""
         is_alike = self.is_harmless == other.is_harmless
         return is_alike and self.starts == other.starts
 
-    def older(self, seconds: float) -> Evidence:
+    def older(self, seconds: float) -> CrashHistory:
         """Return the same as it is some seconds later."""
         return attrs.evolve(
             self, lost=self.lost + seconds, answered=self.answered + seconds
         )
 
-    def joined(self, other: Evidence) -> Evidence:
+    def joined(self, other: CrashHistory) -> CrashHistory:
         """Return what both know; an answer voids the losses before it."""
         answered = min(self.answered, other.answered)
         counted = [row for row in (self, other) if row.lost < answered]
         starts = frozenset[str]().union(*(row.starts for row in counted))
-        return Evidence(
+        return CrashHistory(
             mark=self.mark,
             starts=starts,
             lost=min(self.lost, other.lost),
@@ -99,7 +99,7 @@
     answered_at: float = -math.inf
 
 
-class Suspects:
+class PoisonCalls:
     """Hold what one entry has seen, and what the others told of.
 
     Each entry remembers what all of them know, so that it outlives the entries
@@ -143,7 +143,7 @@
 
     def share(
         self,
-        others: collections.abc.Iterable[Evidence],
+        others: collections.abc.Iterable[CrashHistory],
         now: float,
     ) -> None:
         """Take what all other entries know."""
@@ -161,7 +161,7 @@
             row.lost_at = now - joined.lost
             row.answered_at = now - joined.answered
 
-    def own(self, now: float) -> list[Evidence]:
+    def own(self, now: float) -> list[CrashHistory]:
         """List what this entry knows."""
         self._settle(now)
         return [self._evidence(mark, now) for mark in self._rows]
@@ -186,11 +186,11 @@
             self._rows.popitem(last=False)
         return row
 
-    def _evidence(self, mark: bytes, now: float) -> Evidence:
+    def _evidence(self, mark: bytes, now: float) -> CrashHistory:
         row = self._rows.get(mark)
         if row is None:
-            return Evidence(mark=mark)
-        return Evidence(
+            return CrashHistory(mark=mark)
+        return CrashHistory(
             mark=mark,
             starts=frozenset(row.starts),
             lost=now - row.lost_at,
@@ -230,16 +230,16 @@
                 self._rows.pop(mark)
 
 
-def merge(rows: collections.abc.Iterable[Evidence]) -> list[Evidence]:
+def merge(rows: collections.abc.Iterable[CrashHistory]) -> list[CrashHistory]:
     """Join what several entries know of the same calls."""
-    found: dict[bytes, Evidence] = {}
+    found: dict[bytes, CrashHistory] = {}
     for row in rows:
         held = found.get(row.mark)
         found[row.mark] = row if held is None else held.joined(row)
     return list(found.values())
 
 
-def to_message(row: Evidence) -> messages.SiteSuspect:
+def to_message(row: CrashHistory) -> messages.SiteSuspect:
     """Put what is known of a call into a message between nodes."""
     return messages.SiteSuspect(
         mark=row.mark,
@@ -249,12 +249,12 @@
     )
 
 
-def of_message(row: messages.SiteSuspect) -> Evidence:
+def of_message(row: messages.SiteSuspect) -> CrashHistory:
     """Read what ``to_message`` wrote."""
     answered = math.inf
     if row.answered_ms is not None:
         answered = row.answered_ms / MILLISECONDS
-    return Evidence(
+    return CrashHistory(
         mark=row.mark,
         starts=frozenset(row.starts),
         lost=(row.lost_ms or 0) / MILLISECONDS if row.starts else math.inf,
--- a/tamarackthread/policy/queue_limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -47,9 +47,9 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        place: allocator.Room,
-        line: call_queue.WaitingLine,
-        expected: wait_estimator.Outlook,
+        place: allocator.Allocator,
+        line: call_queue.CallQueue,
+        expected: wait_estimator.WaitEstimator,
     ) -> None:
         """Bound ``line`` by what ``expected`` says of it."""
         self._settings = settings
--- a/tamarackthread/policy/queue_rates.py
+++ b/tamarackthread/policy/queue_rates.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class PaceSettings:
+class RateSettings:
     """Hold how the drain rate is smoothed, in seconds.
 
     ``prior_seconds`` is the weight of the capacity that the load reports
@@ -28,9 +28,9 @@
     Idle time isn't counted: it says nothing about how fast a queue drains.
     """
 
-    def __init__(self, settings: PaceSettings | None = None) -> None:
+    def __init__(self, settings: RateSettings | None = None) -> None:
         """Start with nothing measured."""
-        self._settings = settings or PaceSettings()
+        self._settings = settings or RateSettings()
         self._busy: float = 0
         self._served: float = 0
         self._is_waiting = False
@@ -88,7 +88,7 @@
         return self._level * math.exp((self._seen_at - now) / self._window)
 
 
-class RetryTimes:
+class RetrySchedule:
     """Tell refused callers when to come back.
 
     Each refusal books the organisation's next free place at its share of the
@@ -98,11 +98,11 @@
     def __init__(
         self,
         generator: random.Random,
-        settings: PaceSettings | None = None,
+        settings: RateSettings | None = None,
     ) -> None:
         """Start with no places booked."""
         self._random = generator
-        self._settings = settings or PaceSettings()
+        self._settings = settings or RateSettings()
         self._next: dict[str, float] = {}
 
     def book(
--- a/tamarackthread/policy/rate_limit.py
+++ b/tamarackthread/policy/rate_limit.py
@@ -41,7 +41,7 @@
     entries: int = 1
 
 
-ALONE = Demand()
+SOLE_ENTRY = Demand()
 
 
 class RateLimit:
@@ -65,7 +65,7 @@
     def may_take(
         self,
         sent: sent_calls.SentCalls,
-        part: Part,
+        part: EntryShare,
         now: float,
     ) -> bool:
         """Tell whether one call more is within this entry's part."""
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class Part:
+class EntryShare:
     """This entry's part of what one target takes.
 
     ``fleet`` counts all entries that may send to it, and ``place`` is this
--- a/tamarackthread/policy/running_calls.py
+++ b/tamarackthread/policy/running_calls.py
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        place: allocator.Room,
+        place: allocator.Allocator,
         preempt: preemption.PreemptionPolicy,
         move: migration.MovePolicy,
     ) -> None:
--- a/tamarackthread/policy/wait_estimator.py
+++ b/tamarackthread/policy/wait_estimator.py
@@ -11,19 +11,19 @@
 _LEAST_SPARE = 0.3
 
 
-class Outlook:
+class WaitEstimator:
     """Judge the queue of one service by how fast it drains."""
 
     def __init__(
         self,
-        place: allocator.Room,
-        line: call_queue.WaitingLine,
+        place: allocator.Allocator,
+        line: call_queue.CallQueue,
         generator: random.Random,
     ) -> None:
         """Watch ``line``, which drains into ``place``."""
         self._room = place
         self._line = line
-        self._retry_times = queue_rates.RetryTimes(generator)
+        self._retry_times = queue_rates.RetrySchedule(generator)
         self._meter = queue_rates.DrainMeter()
         self._flows: dict[str, queue_rates.DrainMeter] = {}
         self._asked: dict[str, queue_rates.ArrivalMeter] = {}
--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -69,7 +69,9 @@
     """Build an admission in front of some targets."""
     generator = random.Random(SEED)
     policy = routing.ExpectedFirstToken('east', generator)
-    place = allocator.TargetRoom(policy, allocator.RoomSettings(urgent_extra=0))
+    place = allocator.TargetAllocator(
+        policy, allocator.AllocatorSettings(urgent_extra=0)
+    )
     place.set_targets(views)
     settings = admission.AdmissionSettings(**fields.pop('settings', {}))
     shares = fields.pop('shares', fairness.EqualShares())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -304,7 +304,7 @@
         They come back at the organisation's share of the drain rate, 10 a
         second, and not as the next wave.
         """
-        times = queue_rates.RetryTimes(random.Random(policy_case.SEED))
+        times = queue_rates.RetrySchedule(random.Random(policy_case.SEED))
         found = [
             times.book('a', cost=1, rate=10, wait=0.2, now=0)
             for _ in range(100)
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -35,7 +35,9 @@
 
 def crowd(held, ranks=10, places=50, pace=1.0):
     """Build a group of ranks with some calls."""
-    return concurrency.Crowd(calls=held, ranks=ranks, places=places, pace=pace)
+    return concurrency.GroupLoad(
+        calls=held, ranks=ranks, places=places, pace=pace
+    )
 
 
 def call_of(aim=0.5, timeout=8.0, priority=1, call_id='c'):
@@ -66,7 +68,7 @@
     )
 
 
-class FixedBound(concurrency.CallBound):
+class FixedBound(concurrency.ConcurrencyLimit):
     """Bound the calls by a number that a test sets."""
 
     def __init__(self, most):
@@ -130,7 +132,7 @@
 
     def test_no_targets(self):
         """No rank is known to be ready: no bound, so that calls are tried."""
-        bound = concurrency.Proportional(GAP, EMPTY)
+        bound = concurrency.LatencyLimit(GAP, EMPTY)
         self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
 
 
@@ -339,7 +341,7 @@
 
 def _bound_after(held, seconds):
     """Return a bound that has seen one pass of a group's calls, until now = 1."""
-    bound = concurrency.Proportional(GAP, EMPTY)
+    bound = concurrency.LatencyLimit(GAP, EMPTY)
     bound.most(held, now=1 - seconds)
     bound.note(seconds, now=1)
     return bound
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -122,7 +122,7 @@
 
     def test_one_call_first(self):
         """Guards against all calls at the moment at which a rest is over."""
-        rest = backpressure.Rest()
+        rest = backpressure.Cooldown()
         self.assertTrue(rest.may_take(1))
         rest.ask(3, now=1)
         self.assertFalse(rest.may_take(3.9))
@@ -134,21 +134,21 @@
 
     def test_call_without_an_answer(self):
         """Guards against a target that gets nothing more after a lost call."""
-        rest = backpressure.Rest()
+        rest = backpressure.Cooldown()
         rest.ask(3, now=1)
         rest.sent(4)
         self.assertTrue(rest.may_take(4 + backpressure.TRIAL_SECONDS))
 
     def test_answer_to_an_earlier_call(self):
         """Guards against a rest that ends when an earlier call is answered."""
-        rest = backpressure.Rest()
+        rest = backpressure.Cooldown()
         rest.ask(3, now=1)
         rest.taken(2)
         self.assertFalse(rest.may_take(2))
 
     def test_shorter_rest(self):
         """Guards against a rest cut short by a shorter one."""
-        rest = backpressure.Rest()
+        rest = backpressure.Cooldown()
         rest.ask(3, now=1)
         rest.ask(0.5, now=1.1)
         self.assertAlmostEqual(1.9, rest.left(2.1))
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -30,7 +30,9 @@
 
 
 def shares_of(own, seen, rates=None):
-    found = cold_start.Shares(fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK)
+    found = cold_start.ColdStartLimits(
+        fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK
+    )
     found.learn({SERVICE: RATE} if rates is None else rates)
     return found
 
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -29,7 +29,7 @@
     """Answer the load in which one call takes down one target after another."""
 
     def setUp(self):
-        self.known = poison_calls.Suspects()
+        self.known = poison_calls.PoisonCalls()
 
     def test_three_targets(self):
         """The third target that is lost by a call is the last one."""
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -15,8 +15,8 @@
 from tamarackthread.control.site import loads
 from tamarackthread.policy import backpressure, fleets, rate_limit, sent_calls
 from tamarackthread.shared.site import configuration
-from tests import policy_case, test_backpressure, test_shared_calls
 from tests import direct_case as direct
+from tests import policy_case, test_backpressure, test_shared_calls
 
 TARGET = 't'
 TICK = 0.05
@@ -32,7 +32,7 @@
 class Sender:
     """An entry: its limit, what it sent, and its part."""
 
-    part: rate_limit.Part
+    part: rate_limit.EntryShare
     demand: float
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
@@ -62,7 +62,7 @@
         ]
         fleet = fleets.Fleet(name, functools.partial(tuple, names))
         share = weights[number] / sum(side)
-        part = rate_limit.Part(
+        part = rate_limit.EntryShare(
             rate_limit.Demand(share=share, entries=len(side)),
             fleet.count(),
             fleet.place(TARGET),
@@ -162,7 +162,7 @@
     def setUp(self):
         self.sent = sent_calls.SentCalls()
         self.limit = rate_limit.RateLimit()
-        self.part = rate_limit.Part(rate_limit.ALONE, 1, 0)
+        self.part = rate_limit.EntryShare(rate_limit.SOLE_ENTRY, 1, 0)
 
     def test_answer_without_a_limit(self):
         """Guards against a limit that outlives the target's need."""
