--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -26,7 +26,7 @@
     targets,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 from tamarackthread.shared.site import announcements, configuration
 
 SHIFT_SHARE = 0.65
@@ -234,7 +234,7 @@
         return planning.plan(
             self._group.placement_in_force,
             self._group.demand.tolist(),
-            evening.Bounds(shape.places, shape.places),
+            rebalancing.Bounds(shape.places, shape.places),
             paces,
         )
 
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -23,7 +23,7 @@
 import attrs
 
 from tamarackthread.entry.direct import records, starts, targets
-from tamarackthread.policy import backpressure, cold, fleets
+from tamarackthread.policy import backpressure, cold, known_entries
 from tamarackthread.shared.site import announcements
 
 ENTRIES = 30
@@ -132,7 +132,7 @@
     def _entry(
         self, name: str, names: tuple[str, ...], number: int
     ) -> targets.Targets:
-        fleet = fleets.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.Fleet(name, functools.partial(tuple, names))
         known = targets.Targets(
             'z', 1.0, random.Random(number), cold.Shares(fleet), fleet
         )
--- a/bench/slopes/planning.py
+++ b/bench/slopes/planning.py
@@ -10,7 +10,7 @@
     expert_map,
     forecast,
     placement,
-    ranks,
+    subset_ranking,
     subsets,
 )
 
@@ -92,14 +92,14 @@
     sizes = (20, 60, 120) if quick else (60, 120, 240, 370)
     for entries in sizes:
         known = _places('entry', entries)
-        ranked = ranks.RankedTargets(known['entry-0'])
+        ranked = subset_ranking.RankedTargets(known['entry-0'])
         began = time.process_time()
         ranked.set_entries(known)
         ranked.set_targets(_places('target', targets))
         spent = time.process_time() - began
         starting.append((float(entries * targets), spent))
     for count in (targets, targets * 5, targets * 15):
-        ranked = ranks.RankedTargets(_place('entry', 0))
+        ranked = subset_ranking.RankedTargets(_place('entry', 0))
         ranked.set_targets(_places('target', count))
         began = time.process_time()
         ranked.set_entries(_places('entry', JOINING))
--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -17,8 +17,8 @@
     retries,
     room,
     routing,
+    target_load,
 )
-from tamarackthread.policy import load as target_load
 from tamarackthread.shared import errors
 
 
--- a/bench/surge/views.py
+++ b/bench/surge/views.py
@@ -8,8 +8,13 @@
 
 from bench.surge import fleet, workload
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import admission, calls, ejection, routing
-from tamarackthread.policy import load as target_load
+from tamarackthread.policy import (
+    admission,
+    calls,
+    ejection,
+    routing,
+    target_load,
+)
 
 NONE_TRIED: frozenset[str] = frozenset()
 
--- a/tamarackthread/control/site/maps/deciding.py
+++ b/tamarackthread/control/site/maps/deciding.py
@@ -11,7 +11,7 @@
     switching,
     watched,
 )
-from tamarackthread.policy import evening, staging
+from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared import log_events, offload
 from tamarackthread.shared.site import figures
 
@@ -94,8 +94,8 @@
         """
         if known.has_long_copies:
             return await self._stage(known, tokens, paces)
-        for least in (evening.COARSE_STEP, evening.FINE_STEP):
-            bounds = evening.Bounds(
+        for least in (rebalancing.COARSE_STEP, rebalancing.FINE_STEP):
+            bounds = rebalancing.Bounds(
                 known.shape.places, known.shape.spare, least
             )
             wanted = await self._work.run(
@@ -114,9 +114,9 @@
         paces: planning.Paces,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
-        bounds = evening.Bounds(known.shape.places, known.shape.spare)
+        bounds = rebalancing.Bounds(known.shape.places, known.shape.spare)
         wanted = await self._work.run(
-            staging.plan,
+            group_planning.plan,
             known.placement,
             tokens,
             bounds,
--- a/tamarackthread/control/site/maps/planning.py
+++ b/tamarackthread/control/site/maps/planning.py
@@ -5,7 +5,7 @@
 import collections.abc
 
 from tamarackthread.control.site.maps import ranks
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 
 Tokens = collections.abc.Sequence[collections.abc.Sequence[float]]
 Paces = collections.abc.Sequence[float]
@@ -14,7 +14,7 @@
 def skew(placement: ranks.GroupMap, tokens: Tokens, paces: Paces) -> float:
     """Return the mean over the sets: each set's busiest rank is waited for."""
     found = [
-        evening.skew(held, counts, paces)
+        rebalancing.skew(held, counts, paces)
         for held, counts in zip(placement, tokens, strict=True)
     ]
     return sum(found) / max(1, len(found))
@@ -23,12 +23,12 @@
 def plan(
     placement: ranks.GroupMap,
     tokens: Tokens,
-    bounds: evening.Bounds,
+    bounds: rebalancing.Bounds,
     paces: Paces,
 ) -> ranks.GroupMap:
     """Return a map that is evener in each set."""
     return tuple(
-        evening.even(held, counts, bounds, paces)
+        rebalancing.even(held, counts, bounds, paces)
         for held, counts in zip(placement, tokens, strict=True)
     )
 
@@ -45,5 +45,6 @@
 def copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
     """Count the experts that any rank has to copy."""
     return sum(
-        evening.copies(old, new) for old, new in zip(before, after, strict=True)
+        rebalancing.copies(old, new)
+        for old, new in zip(before, after, strict=True)
     )
--- a/tamarackthread/control/site/maps/ranks.py
+++ b/tamarackthread/control/site/maps/ranks.py
@@ -7,9 +7,9 @@
 
 import attrs
 
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 
-GroupMap = tuple[evening.SetMap, ...]
+GroupMap = tuple[rebalancing.SetMap, ...]
 # The version in force and a rank's experts by set.
 Placement = tuple[int, tuple[tuple[int, ...], ...]]
 # A rank answers within some milliseconds, and one whose link has lost a packet
--- a/tamarackthread/control/site/maps/watched.py
+++ b/tamarackthread/control/site/maps/watched.py
@@ -5,7 +5,7 @@
 import attrs
 
 from tamarackthread.control.site.maps import demand, ranks, switching
-from tamarackthread.policy import staging
+from tamarackthread.policy import group_planning
 from tamarackthread.shared.site import configuration
 
 # A step that is shorter than this delays nobody, however uneven its ranks are:
@@ -124,9 +124,9 @@
         """Tell whether a map waits for a reading of the new demand alone."""
         return self.has_long_copies and self.demand.is_mixed
 
-    def cost(self, now: float) -> staging.Cost:
+    def cost(self, now: float) -> group_planning.Cost:
         """Say what a map that is planned now costs in time."""
-        return staging.Cost(
+        return group_planning.Cost(
             copy_seconds=self.shape.copy_seconds * self.copy_slack,
             switch_seconds=SWITCH_SECONDS,
             lasts_seconds=self.demand.lasts(now),
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -21,7 +21,7 @@
     targets,
 )
 from tamarackthread.generated import settings as generated
-from tamarackthread.policy import cold, fleets
+from tamarackthread.policy import cold, known_entries
 from tamarackthread.shared import log_events, peers, process
 from tamarackthread.shared.site import configuration, figures, following, places
 
@@ -49,7 +49,7 @@
             most_backoff=places.MOST_BACKOFF_SECONDS,
             dial_seconds=places.DIAL_SECONDS,
         )
-        fleet = fleets.Fleet(
+        fleet = known_entries.Fleet(
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -6,7 +6,7 @@
 import collections.abc
 
 from tamarackthread.entry.direct import starts, target_lines
-from tamarackthread.policy import cold, fleets, rate_limit
+from tamarackthread.policy import cold, known_entries, rate_limit
 from tamarackthread.shared.site import groups, zones
 
 # The targets of a zone that is taken back are taken for cold for so long, whatever
@@ -26,7 +26,7 @@
     def __init__(
         self,
         shares: cold.Shares | None = None,
-        fleet: fleets.Fleet | None = None,
+        fleet: known_entries.Fleet | None = None,
     ) -> None:
         """Begin with every target in service.
 
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -18,7 +18,7 @@
     starts,
     target_lines,
 )
-from tamarackthread.policy import cold, crowding, fleets
+from tamarackthread.policy import cold, crowding, known_entries
 from tamarackthread.shared.site import announcements, figures, groups, zones
 
 State = announcements.State
@@ -38,7 +38,7 @@
         beat_seconds: float,
         generator: random.Random,
         shares: cold.Shares | None = None,
-        fleet: fleets.Fleet | None = None,
+        fleet: known_entries.Fleet | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -10,7 +10,7 @@
 from tamarackthread.entry import directory, pools
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import buckets, ranks, subsets
+from tamarackthread.policy import buckets, subset_ranking, subsets
 from tamarackthread.shared import errors, link, peers
 
 RETRY_SECONDS = 0.2
@@ -36,7 +36,7 @@
         self._rng = rng
         self._portions = buckets.Portions()
         self._own = subsets.Place(node, zone)
-        self._ranks: dict[str, ranks.RankedTargets] = {}
+        self._ranks: dict[str, subset_ranking.RankedTargets] = {}
         self._around = pools.Surroundings(zone, known, self._portions, rng)
         self._peers: peers.Peers | None = None
         self._pools: dict[str, pools.Pool] = {}
@@ -122,7 +122,7 @@
         for service, places in targets.items():
             ranked = self._ranks.get(service)
             if ranked is None:
-                ranked = ranks.RankedTargets(self._own)
+                ranked = subset_ranking.RankedTargets(self._own)
                 self._ranks[service] = ranked
             ranked.set_entries(entries)
             ranked.set_targets(places)
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -17,12 +17,12 @@
     buckets,
     ejection,
     fairness,
-    load,
     migration,
     preemption,
     retries,
     room,
     routing,
+    target_load,
 )
 from tamarackthread.shared import link
 
@@ -122,8 +122,8 @@
         view = routing.TargetView(
             name=name,
             zone=details.zone,
-            load=load.TargetLoad(
-                load.LoadSettings(
+            load=target_load.TargetLoad(
+                target_load.LoadSettings(
                     trust_seconds=rules.report_age_limit_seconds / 2,
                 ),
             ),
--- a/tamarackthread/policy/cold.py
+++ b/tamarackthread/policy/cold.py
@@ -9,7 +9,7 @@
 
 import collections.abc
 
-from tamarackthread.policy import fleets
+from tamarackthread.policy import known_entries
 
 # Calls are counted over the second that a target counts, and what they may be
 # held up on their way there: the time in which a connection is made.
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        fleet: fleets.Fleet,
+        fleet: known_entries.Fleet,
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
--- a/tamarackthread/policy/staging.py
+++ b/tamarackthread/policy/group_planning.py
@@ -12,9 +12,9 @@
 
 import attrs
 
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 
-GroupMap = tuple[evening.SetMap, ...]
+GroupMap = tuple[rebalancing.SetMap, ...]
 Tokens = collections.abc.Sequence[collections.abc.Sequence[float]]
 Paces = collections.abc.Sequence[float]
 
@@ -47,7 +47,7 @@
 
 
 @attrs.define(eq=False)
-class RankCopies(evening.Copies):
+class RankCopies(rebalancing.Copies):
     """Count what each rank has to copy, over all sets; bound it by ``most``."""
 
     by_rank: list[int]
@@ -69,14 +69,14 @@
         self,
         current: GroupMap,
         tokens: Tokens,
-        bounds: evening.Bounds,
+        bounds: rebalancing.Bounds,
         paces: Paces = (),
     ) -> None:
         """Begin with the map in force."""
         ranks = len(current[0]) if current else 0
         self._copies = RankCopies([0 for _ in range(ranks)])
         self._plans = [
-            evening.Plan(held, counts, bounds, paces, self._copies)
+            rebalancing.Plan(held, counts, bounds, paces, self._copies)
             for held, counts in zip(current, tokens, strict=True)
         ]
 
@@ -117,7 +117,7 @@
 def plan(
     current: GroupMap,
     tokens: Tokens,
-    bounds: evening.Bounds,
+    bounds: rebalancing.Bounds,
     paces: Paces,
     cost: Cost,
 ) -> GroupMap:
@@ -139,5 +139,5 @@
     return best
 
 
-def _skew_of(held: evening.Plan) -> float:
+def _skew_of(held: rebalancing.Plan) -> float:
     return held.skew
--- a/tamarackthread/policy/room.py
+++ b/tamarackthread/policy/room.py
@@ -13,8 +13,13 @@
 
 import attrs
 
-from tamarackthread.policy import calls, migration, refusals, routing
-from tamarackthread.policy import load as target_load
+from tamarackthread.policy import (
+    calls,
+    migration,
+    refusals,
+    routing,
+    target_load,
+)
 
 _STEADY_FACTOR = 1.5
 
--- a/tamarackthread/policy/routing.py
+++ b/tamarackthread/policy/routing.py
@@ -13,8 +13,7 @@
 
 import attrs
 
-from tamarackthread.policy import affinity, calls
-from tamarackthread.policy import load as target_load
+from tamarackthread.policy import affinity, calls, target_load
 
 
 @attrs.define(slots=True, eq=False)
--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -13,8 +13,8 @@
     fairness,
     room,
     routing,
+    target_load,
 )
-from tamarackthread.policy import load as target_load
 
 SEED = 20261202
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -5,7 +5,7 @@
 
 from tamarackthread.control.site import book
 from tamarackthread.entry.direct import targets
-from tamarackthread.policy import cold, fleets
+from tamarackthread.policy import cold, known_entries
 from tamarackthread.shared.site import announcements, zones
 from tests import policy_case
 
@@ -30,7 +30,9 @@
 
 
 def shares_of(own, seen, rates=None):
-    found = cold.Shares(fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK)
+    found = cold.Shares(
+        known_entries.Fleet(own, lambda: seen), ALLOWANCE, SLACK
+    )
     found.learn({SERVICE: RATE} if rates is None else rates)
     return found
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -18,7 +18,7 @@
     ranks,
     watched,
 )
-from tamarackthread.policy import evening, staging
+from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared.site import configuration
 from tests import policy_case, test_site_maps
 
@@ -148,11 +148,11 @@
         held, tokens = uneven()
         self.current = held
         self.tokens = tokens
-        self.bounds = evening.Bounds(PLACES, SPARE)
+        self.bounds = rebalancing.Bounds(PLACES, SPARE)
 
     def test_short_while(self):
         """Callers lose less by few copies at once than by the evenest map."""
-        cost = staging.Cost(
+        cost = group_planning.Cost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
             lasts_seconds=SHIFT_SECONDS / 2,
@@ -169,7 +169,7 @@
 
     def test_time_enough(self):
         """Demand that stays is worth the evenest map."""
-        cost = staging.Cost(
+        cost = group_planning.Cost(
             copy_seconds=COPY_SECONDS, switch_seconds=0, lasts_seconds=1000
         )
         evenest = planning.plan(self.current, self.tokens, self.bounds, ())
@@ -181,7 +181,7 @@
 
     def test_no_time(self):
         """No copy is made for demand that is over before it is there."""
-        cost = staging.Cost(
+        cost = group_planning.Cost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
             lasts_seconds=SWITCH_SECONDS,
@@ -190,7 +190,7 @@
 
     def test_bound_of_a_rank(self):
         """No rank copies more than the bound, however many sets there are."""
-        stages = staging.Stages(self.current, self.tokens, self.bounds)
+        stages = group_planning.Stages(self.current, self.tokens, self.bounds)
         for most in (1, 2):
             stages.improve(most)
             self.assertEqual(
@@ -199,7 +199,9 @@
             self.assertEqual(most, stages.most_copies)
 
     def plan(self, cost):
-        return staging.plan(self.current, self.tokens, self.bounds, (), cost)
+        return group_planning.plan(
+            self.current, self.tokens, self.bounds, (), cost
+        )
 
     def lost(self, cost, before, wanted):
         return cost.lost(
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -13,7 +13,12 @@
 from hypothesis import strategies
 
 from tamarackthread.control.site import loads
-from tamarackthread.policy import backpressure, fleets, rate_limit, sent_calls
+from tamarackthread.policy import (
+    backpressure,
+    known_entries,
+    rate_limit,
+    sent_calls,
+)
 from tamarackthread.shared.site import configuration
 from tests import policy_case, test_backpressure, test_shared_calls
 from tests import direct_case as direct
@@ -60,7 +65,7 @@
             for weight, where in zip(weights, sides, strict=True)
             if where == sides[number]
         ]
-        fleet = fleets.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.Fleet(name, functools.partial(tuple, names))
         share = weights[number] / sum(side)
         part = rate_limit.Part(
             rate_limit.Demand(share=share, entries=len(side)),
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,7 +8,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from tamarackthread.policy import ejection, ranks, routing, subsets
+from tamarackthread.policy import ejection, routing, subset_ranking, subsets
 from tests import policy_case
 
 
@@ -100,7 +100,7 @@
     """Give each entry its stable part of the targets."""
 
     def names(self, entry, entries, targets, healthy=None, size=12):
-        ranked = ranks.RankedTargets(entry)
+        ranked = subset_ranking.RankedTargets(entry)
         ranked.set_entries({place.name: place for place in entries})
         ranked.set_targets({place.name: place for place in targets})
         return ranked.choose(
--- a/tests/test_subset_links.py
+++ b/tests/test_subset_links.py
@@ -3,7 +3,7 @@
 import collections
 import unittest
 
-from tamarackthread.policy import ranks, subsets
+from tamarackthread.policy import subset_ranking, subsets
 
 ZONES = ('a', 'b', 'c')
 
@@ -19,7 +19,7 @@
 
 
 def subset_of(entry, entries, targets, size=12, unusable=()):
-    ranked = ranks.RankedTargets(entry)
+    ranked = subset_ranking.RankedTargets(entry)
     ranked.set_entries(entries)
     ranked.set_targets(targets)
     return ranked.choose(size, lambda name: name not in unusable)
@@ -41,7 +41,7 @@
 
     def test_following_changes_gives_the_same_as_working_it_out_anew(self):
         own = self.entries['entry-3']
-        ranked = ranks.RankedTargets(own)
+        ranked = subset_ranking.RankedTargets(own)
         ranked.set_entries(self.entries)
         ranked.set_targets(self.targets)
         for name in ('entry-1', 'entry-9', 'target-7'):
