--- a/bench/engines/notices.py
+++ b/bench/engines/notices.py
@@ -89,18 +89,18 @@
         seconds: float,
     ) -> bool:
         """Replay the window; tell whether every move was done within it."""
-        watch = moves.UrgentWatch()
+        watch = moves.UrgentCallMonitor()
         events = _Events(notices)
         now = float(0)
         busy_until = float('-inf')
         self.waits.notices += len(notices)
         while now < seconds:
             self._hand_over(events.pass_to(now, watch), busy_until)
-            piece = queue.start(self._pauses and watch.is_near(now))
+            piece = queue.start(self._pauses and watch.must_pause(now))
             if piece is None:
                 if queue.progress.is_complete:
                     break
-                now = min(watch.quiet_at(now), events.next_time(seconds))
+                now = min(watch.resume_at(now), events.next_time(seconds))
                 now = max(now, events.passed)
                 continue
             done = now + self._settings.piece_seconds
@@ -121,7 +121,7 @@
         self,
         queue: moves.MoveQueue,
         events: '_Events',
-        watch: moves.UrgentWatch,
+        watch: moves.UrgentCallMonitor,
         busy_until: float,
         seconds: float,
     ) -> bool:
@@ -158,7 +158,9 @@
         self._warnings = numpy.array(warnings)
         self.passed = float(0)
 
-    def pass_to(self, now: float, watch: moves.UrgentWatch) -> list[float]:
+    def pass_to(
+        self, now: float, watch: moves.UrgentCallMonitor
+    ) -> list[float]:
         """Tell the watch all up to ``now``; return the hand-over times."""
         handed = []
         while self._at < len(self._moments):
--- a/bench/engines/plan_timer.py
+++ b/bench/engines/plan_timer.py
@@ -32,7 +32,7 @@
     ticker = asyncio.create_task(_tick(gaps))
     for _ in range(repeats):
         shares = random.dirichlet(numpy.ones(size[1]), size[0])
-        outlook = forecast.Outlook(shares, 300)
+        outlook = forecast.LoadForecast(shares, 300)
         cold = expert_map.cold_start(SHAPE)
         started = time.perf_counter()
         await work.run(planner.plan, cold, outlook)
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -132,7 +132,9 @@
     def _entry(
         self, name: str, names: tuple[str, ...], number: int
     ) -> targets.Targets:
-        fleet = known_entries.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.KnownEntries(
+            name, functools.partial(tuple, names)
+        )
         known = targets.Targets(
             'z', 1.0, random.Random(number), cold.Shares(fleet), fleet
         )
--- a/bench/experiments/skew.py
+++ b/bench/experiments/skew.py
@@ -46,7 +46,9 @@
         self.skews.append(expert_map.skew(loads))
         self.slowdowns.append(expert_map.slowdown(loads))
 
-    def move(self, outlook: forecast.Outlook, calls: list, span: float) -> None:
+    def move(
+        self, outlook: forecast.LoadForecast, calls: list, span: float
+    ) -> None:
         """Plan, load what the plan adds, and switch if all was loaded."""
         started = time.perf_counter()
         plan = self.planner.plan(self.map, outlook)
@@ -58,7 +60,7 @@
         )
         complete = self.path.run(queue, calls, span)
         if complete or self.always_switches:
-            self.map = plan.target
+            self.map = plan.new_map
         self.moved.append(len(plan.moves))
         self.interrupted.append(self.path.waits.interrupted - before)
 
@@ -152,19 +154,19 @@
         }
 
     def _start(self, shares: numpy.ndarray) -> None:
-        outlook = forecast.Outlook(shares, self.span)
+        outlook = forecast.LoadForecast(shares, self.span)
         cold = expert_map.cold_start(self._shape)
-        first = placement.GreedyReplan().plan(cold, outlook).target
+        first = placement.GreedyPlanner().plan(cold, outlook).new_map
         path = notices.PathSettings()
         paused = {'pauses': True, 'settings': path}
         self.variants = {
             'static': Variant(
-                placement.StaticMap(),
+                placement.StaticPlanner(),
                 first,
                 notices.PathReplay(**paused),
             ),
             'replan': Variant(
-                placement.GreedyReplan(),
+                placement.GreedyPlanner(),
                 first,
                 notices.PathReplay(path, pauses=False),
                 always_switches=True,
@@ -194,10 +196,10 @@
         draws = self._random.poisson(equal, ranks)
         self.sampling.append(expert_map.skew(draws))
         self.bounds.append(expert_map.skew_bound(shares, self._shape))
-        known = forecast.Outlook(shares, self.span)
+        known = forecast.LoadForecast(shares, self.span)
         today = self.variants['static'].map
-        best = placement.GreedyReplan().plan(today, known)
-        served = _step_loads(best.target, counts)
+        best = placement.GreedyPlanner().plan(today, known)
+        served = _step_loads(best.new_map, counts)
         self.oracle.append(expert_map.skew(served))
 
     def _plan(self, reported: numpy.ndarray, number: int) -> None:
@@ -206,10 +208,10 @@
             self.span,
             notices.PathSettings(),
         )
-        plain = forecast.Outlook(reported, self.span)
+        plain = forecast.LoadForecast(reported, self.span)
         ahead = plain
         if not self._forecaster.is_cold:
-            ahead = self._forecaster.outlook((number + 1) * self.span)
+            ahead = self._forecaster.forecast((number + 1) * self.span)
         for variant in self.variants.values():
             outlook = ahead if variant.forecasts else plain
             variant.move(outlook, calls, self.span)
--- a/bench/slopes/planning.py
+++ b/bench/slopes/planning.py
@@ -81,7 +81,7 @@
     cold = expert_map.cold_start(shape)
     planner = placement.IncrementalPlanner(placement.EVEN)
     began = time.process_time()
-    planner.plan(cold, forecast.Outlook(shares, TRUST_SECONDS))
+    planner.plan(cold, forecast.LoadForecast(shares, TRUST_SECONDS))
     return time.process_time() - began
 
 
@@ -111,10 +111,10 @@
     ]
 
 
-def _places(kind: str, count: int) -> dict[str, subsets.Place]:
+def _places(kind: str, count: int) -> dict[str, subsets.Endpoint]:
     places = [_place(kind, number) for number in range(count)]
     return {place.name: place for place in places}
 
 
-def _place(kind: str, number: int) -> subsets.Place:
-    return subsets.Place(f'{kind}-{number}', f'zone-{number % 14}')
+def _place(kind: str, number: int) -> subsets.Endpoint:
+    return subsets.Endpoint(f'{kind}-{number}', f'zone-{number % 14}')
--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -148,5 +148,5 @@
         fairness.EqualShares(),
         generator,
         settings.admission[service],
-        move=migration.LateStreams(budget),
+        move=migration.MigrateLateStreams(budget),
     )
--- a/bench/surge/views.py
+++ b/bench/surge/views.py
@@ -89,7 +89,7 @@
         judge = self.ejections.get(service)
         if judge is None:
             return
-        judge.report(
+        judge.observe_step(
             view.name,
             view.load.step_seconds * 1000,
             report.running,
--- a/tamarackthread/agent/balancer.py
+++ b/tamarackthread/agent/balancer.py
@@ -110,7 +110,7 @@
     async def _balance(self) -> None:
         today = await self._today()
         now = asyncio.get_running_loop().time()
-        outlook = self._forecaster.outlook(now + self._settings.ahead_seconds)
+        outlook = self._forecaster.forecast(now + self._settings.ahead_seconds)
         present = set(self._owner.transport.ranks)
         lost = set(range(today.shape.ranks)) - present
         plan = await self._work.run(self._planner.plan, today, outlook, lost)
@@ -123,7 +123,7 @@
             plan.skew_before,
             plan.skew_after,
         )
-        await self._driver.switch_to(plan.target)
+        await self._driver.switch_to(plan.new_map)
 
     async def _today(self) -> expert_map.ExpertMap:
         latest = await self._owner.control.latest(self._owner.group)
--- a/tamarackthread/agent/group_part.py
+++ b/tamarackthread/agent/group_part.py
@@ -66,7 +66,7 @@
         """
         self._settings = settings
         self._store = _store(settings, control)
-        self.urgent = urgent or loading.UrgentSignal(moves.UrgentWatch())
+        self.urgent = urgent or loading.UrgentSignal(moves.UrgentCallMonitor())
         self.book = maps.MapBook(
             settings.initial,
             ranks.PeerMaps(settings.group, transport),
@@ -110,7 +110,7 @@
     def balance(
         self,
         source: balancer.TokenSource,
-        weights: placement.BalanceWeights,
+        weights: placement.BalanceSettings,
         settings: balancer.BalancerSettings,
     ) -> balancer.Balancer:
         """Plan for the group while this rank owns it.
--- a/tamarackthread/agent/grouping.py
+++ b/tamarackthread/agent/grouping.py
@@ -69,7 +69,7 @@
         self._node = node
         self._links = links
         self._control = control
-        self._watch = moves.UrgentWatch()
+        self._watch = moves.UrgentCallMonitor()
         self._urgent = loading.UrgentSignal(self._watch)
         self._client = engine_client.EngineClient(
             own.target_url,
@@ -131,7 +131,7 @@
     def use(self, balance: generated.Balance) -> None:
         """Balance from now on as the profile says."""
         self._balance = balance
-        self._watch.quiet_seconds = balance.urgent_pause_seconds
+        self._watch.pause_seconds = balance.urgent_pause_seconds
         self._apply()
 
     async def handle_order(
@@ -240,13 +240,13 @@
     return own.candidate == 'yes'
 
 
-def trade_off(balance: generated.Balance) -> placement.BalanceWeights:
+def trade_off(balance: generated.Balance) -> placement.BalanceSettings:
     """Turn a profile's weights into the planner's trade-off."""
     worth = max(balance.evenness_weight, _LEAST_WORTH)
-    return placement.BalanceWeights(
-        move_seconds=balance.move_weight / worth,
-        least_gain=balance.hysteresis_share,
-        moves_a_layer=balance.moves_per_change,
+    return placement.BalanceSettings(
+        move_cost_seconds=balance.move_weight / worth,
+        min_gain=balance.hysteresis_share,
+        max_moves_per_layer=balance.moves_per_change,
     )
 
 
--- a/tamarackthread/agent/loading.py
+++ b/tamarackthread/agent/loading.py
@@ -18,7 +18,7 @@
 class UrgentSignal:
     """Tell a loader about urgent work the moment that it is known."""
 
-    def __init__(self, watch: moves.UrgentWatch) -> None:
+    def __init__(self, watch: moves.UrgentCallMonitor) -> None:
         """Share the watch with the gate, which calls the three methods."""
         self._watch = watch
         self._came = asyncio.Event()
@@ -39,7 +39,7 @@
 
     def is_near(self) -> bool:
         """Tell whether loading must stand still."""
-        return self._watch.is_near(self._now())
+        return self._watch.must_pause(self._now())
 
     async def wait_near(self) -> None:
         """Wait for the next urgent call."""
--- a/tamarackthread/control/site/maps/deciding.py
+++ b/tamarackthread/control/site/maps/deciding.py
@@ -94,7 +94,7 @@
         """
         if known.has_long_copies:
             return await self._stage(known, tokens, paces)
-        for least in (rebalancing.COARSE_STEP, rebalancing.FINE_STEP):
+        for least in (rebalancing.COARSE_MIN_GAIN, rebalancing.MIN_GAIN):
             bounds = rebalancing.Bounds(
                 known.shape.places, known.shape.spare, least
             )
--- a/tamarackthread/control/site/maps/planning.py
+++ b/tamarackthread/control/site/maps/planning.py
@@ -28,7 +28,7 @@
 ) -> ranks.GroupMap:
     """Return a map that is evener in each set."""
     return tuple(
-        rebalancing.even(held, counts, bounds, paces)
+        rebalancing.rebalance(held, counts, bounds, paces)
         for held, counts in zip(placement, tokens, strict=True)
     )
 
@@ -45,6 +45,6 @@
 def copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
     """Count the experts that any rank has to copy."""
     return sum(
-        rebalancing.copies(old, new)
+        rebalancing.count_copies(old, new)
         for old, new in zip(before, after, strict=True)
     )
--- a/tamarackthread/control/site/maps/watched.py
+++ b/tamarackthread/control/site/maps/watched.py
@@ -124,12 +124,12 @@
         """Tell whether a map waits for a reading of the new demand alone."""
         return self.has_long_copies and self.demand.is_mixed
 
-    def cost(self, now: float) -> group_planning.Cost:
+    def cost(self, now: float) -> group_planning.MapCost:
         """Say what a map that is planned now costs in time."""
-        return group_planning.Cost(
+        return group_planning.MapCost(
             copy_seconds=self.shape.copy_seconds * self.copy_slack,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=self.demand.lasts(now),
+            stable_seconds=self.demand.lasts(now),
         )
 
     def readable(self, rest_seconds: float) -> int | None:
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -56,7 +56,7 @@
         self._ticket = ticket
         self._sink = sink
         self._progress = progress
-        self._point = outcomes.Point.CONNECTING
+        self._point = outcomes.CallStage.CONNECTING
         self._call: stream.Stream | None = None
         self._gave_way = False
         self._cutter = events.EventCutter()
@@ -64,7 +64,7 @@
     @property
     def handed_over(self) -> bool:
         """Tell whether the whole call has left for the agent."""
-        return self._point >= outcomes.Point.BYTES_LEFT
+        return self._point >= outcomes.CallStage.BYTES_SENT
 
     async def run(self, opening: messages.OpenCall, body: bytes) -> None:
         """Run the attempt; raise ``AttemptFailed`` unless it was whole."""
@@ -93,7 +93,7 @@
         # The agent hands a call to its target only after this end of the
         # body.  Whatever fails before it has not run, whatever fails after
         # it may have: the bytes may have arrived though nothing came back.
-        self._point = outcomes.Point.BYTES_LEFT
+        self._point = outcomes.CallStage.BYTES_SENT
         self._call.finish(messages.CallEnd(call_id=opening.call_id))
         await self._relay(self._call)
 
@@ -114,7 +114,7 @@
         if head is None:
             raise self._ended(call)
         self._check_identity(call, head.call_id)
-        self._point = outcomes.Point.HEAD_SEEN
+        self._point = outcomes.CallStage.HEAD_RECEIVED
         found = answers.head_of(head)
         if _is_event_stream(head):
             await self._relay_events(call, found)
@@ -199,9 +199,9 @@
         ended = kind(end.text or '', (end.retry_after_ms or 0) / 1000)
         ended.ran = outcomes.classify(
             outcomes.Ending(
-                point=self._point,
-                cause=outcomes.Cause.AGENT_SAID,
-                said=end.ran,
+                stage=self._point,
+                cause=outcomes.Cause.AGENT_REPORTED,
+                reported=end.ran,
             ),
         )
         return AgentEnded(ended)
--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -182,7 +182,7 @@
         except attempt.AttemptFailed as exc:
             life.facts = attrs.evolve(
                 ticket.resumed,
-                start=life.progress.events,
+                resume_offset=life.progress.events,
             )
             pool.answered(ticket.target, is_good=not _is_broken(exc))
             raise
@@ -354,8 +354,8 @@
         if found is None:
             found = retries.RetryBudget(
                 retries.RetrySettings(
-                    share=rules.budget_share,
-                    least_rate=rules.budget_per_second,
+                    ratio=rules.budget_share,
+                    min_rate=rules.budget_per_second,
                 ),
                 asyncio.get_running_loop().time(),
             )
--- a/tamarackthread/entry/direct/budgets.py
+++ b/tamarackthread/entry/direct/budgets.py
@@ -56,10 +56,10 @@
         found = self._by_service.get(service)
         if found is None:
             settings = retries.RetrySettings(
-                share=self._site.retry_share, reserve=reserve, least_rate=0
+                ratio=self._site.retry_share, reserve=reserve, min_rate=0
             )
             level = reserve / 2 if entries else 0
             found = retries.RetryBudget(settings, self._now(), level)
             self._by_service[service] = found
-        found.limit(reserve)
+        found.set_reserve(reserve)
         return found
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -49,7 +49,7 @@
             most_backoff=places.MOST_BACKOFF_SECONDS,
             dial_seconds=places.DIAL_SECONDS,
         )
-        fleet = known_entries.Fleet(
+        fleet = known_entries.KnownEntries(
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         shares: cold.Shares | None = None,
-        fleet: known_entries.Fleet | None = None,
+        fleet: known_entries.KnownEntries | None = None,
     ) -> None:
         """Begin with every target in service.
 
@@ -127,7 +127,7 @@
             part = rate_limit.Part(
                 demand,
                 self._fleet.count(),
-                self._fleet.place(target.name),
+                self._fleet.position(target.name),
             )
         return target.limit.may_take(target.sent, part, now)
 
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -38,7 +38,7 @@
         beat_seconds: float,
         generator: random.Random,
         shares: cold.Shares | None = None,
-        fleet: known_entries.Fleet | None = None,
+        fleet: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -35,7 +35,7 @@
         self._directory = known
         self._rng = rng
         self._portions = buckets.Portions()
-        self._own = subsets.Place(node, zone)
+        self._own = subsets.Endpoint(node, zone)
         self._ranks: dict[str, subset_ranking.RankedTargets] = {}
         self._around = pools.Surroundings(zone, known, self._portions, rng)
         self._peers: peers.Peers | None = None
@@ -109,16 +109,16 @@
 
     def _rank(self) -> None:
         entries = {
-            name: subsets.Place(name, details.zone)
+            name: subsets.Endpoint(name, details.zone)
             for name, details in self._directory.entries.items()
         }
-        targets: dict[str, dict[str, subsets.Place]] = {
+        targets: dict[str, dict[str, subsets.Endpoint]] = {
             service: {} for service in self._directory.services
         }
         for name, details in self._directory.targets.items():
             places = targets.get(details.service)
             if places is not None:
-                places[name] = subsets.Place(name, details.zone)
+                places[name] = subsets.Endpoint(name, details.zone)
         for service, places in targets.items():
             ranked = self._ranks.get(service)
             if ranked is None:
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -124,7 +124,7 @@
             zone=details.zone,
             load=target_load.TargetLoad(
                 target_load.LoadSettings(
-                    trust_seconds=rules.report_age_limit_seconds / 2,
+                    half_life_seconds=rules.report_age_limit_seconds / 2,
                 ),
             ),
             prefixes=affinity.PrefixView(),
@@ -170,14 +170,16 @@
             report.prefix_sequence or 0,
         )
         step_ms = view.load.step_seconds * 1000
-        self._ejection.report(view.name, step_ms, report.running or 0, now)
+        self._ejection.observe_step(
+            view.name, step_ms, report.running or 0, now
+        )
         self._share(view.name, now)
         self._admission.wake()
 
     def answered(self, target: str, is_good: bool) -> None:
         """Count how a call ended at a target."""
         now = asyncio.get_running_loop().time()
-        self._ejection.answered(target, is_good, now)
+        self._ejection.record_result(target, is_good, now)
         self._share(target, now)
 
     def _share(self, changed: str, now: float) -> None:
@@ -234,8 +236,8 @@
             self._around.zone,
             rng,
             routing.RoutingSettings(
-                extra_load=rules.affinity_load_ratio,
-                zone_seconds=rules.zone_spill_seconds,
+                affinity_load_factor=rules.affinity_load_ratio,
+                cross_zone_seconds=rules.zone_spill_seconds,
             ),
         )
 
@@ -247,26 +249,26 @@
     return ejection.EjectionSettings(
         slow_factor=rules.step_ratio,
         slow_seconds=rules.observe_seconds,
-        most_share=rules.share_limit,
-        return_seconds=max(rules.return_seconds, 1e-3),
+        max_ejected_share=rules.share_limit,
+        slow_start_seconds=max(rules.return_seconds, 1e-3),
     )
 
 
 def _preemption(profile: generated.Profile) -> preemption.PreemptionPolicy:
     if profile.admission.preemption and profile.resume.enabled:
-        return preemption.NewestDraft()
+        return preemption.LowestPriorityFirst()
     return preemption.NoPreemption()
 
 
-def _moves(profile: generated.Profile) -> migration.MovePolicy:
+def _moves(profile: generated.Profile) -> migration.MigrationPolicy:
     if not profile.resume.enabled:
-        return migration.StayPut()
+        return migration.NeverMigrate()
     rules = profile.retries
     budget = retries.RetryBudget(
         retries.RetrySettings(
-            share=rules.budget_share,
-            least_rate=rules.budget_per_second,
+            ratio=rules.budget_share,
+            min_rate=rules.budget_per_second,
         ),
         asyncio.get_running_loop().time(),
     )
-    return migration.LateStreams(budget)
+    return migration.MigrateLateStreams(budget)
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -47,7 +47,7 @@
         settings: AdmissionSettings | None = None,
         portions: buckets.Portions | None = None,
         preempt: preemption.PreemptionPolicy | None = None,
-        move: migration.MovePolicy | None = None,
+        move: migration.MigrationPolicy | None = None,
     ) -> None:
         """Start empty; must be used from within a running loop."""
         self._settings = settings or AdmissionSettings()
@@ -63,8 +63,8 @@
         )
         self._running = running.RunningCalls(
             place,
-            preempt or preemption.NewestDraft(),
-            move or migration.StayPut(),
+            preempt or preemption.LowestPriorityFirst(),
+            move or migration.NeverMigrate(),
         )
         self._timer: asyncio.TimerHandle | None = None
         self._shed_at: float = 0
@@ -135,7 +135,7 @@
 
     def _charge(self, call: calls.CallFacts, now: float) -> None:
         portion = self._portions.find(call.organisation)
-        if portion is None or call.start or call.goes_first:
+        if portion is None or call.resume_offset or call.is_resumed:
             return
         wait = portion.take(1, now)
         if wait:
@@ -176,7 +176,7 @@
 
     def _must_go(self, head: waiting.WaitingEntry, now: float) -> bool:
         item = head.item
-        if item.call.is_ahead:
+        if item.call.bypasses_queue:
             return True
         if item.passed_over >= self._settings.most_passes:
             return True
--- a/tamarackthread/policy/affinity.py
+++ b/tamarackthread/policy/affinity.py
@@ -24,15 +24,15 @@
 class AffinitySettings:
     """Hold the limits of the memory for one target.
 
-    ``guess`` is the trust, from 0 to 1, in a prefix that the cache must hold
+    ``sent_confidence`` is the trust, from 0 to 1, in a prefix that the cache must hold
     because a call with it was just sent there, and ``gap_factor`` what a gap
     leaves of the trust in everything older.
     """
 
-    limit: int = 4096
-    guess: float = 0.7
+    max_prefixes: int = 4096
+    sent_confidence: float = 0.7
     gap_factor: float = 0.5
-    floor: float = 0.1
+    min_confidence: float = 0.1
 
 
 def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
@@ -82,14 +82,14 @@
         """Guess that the target will cache a call's prefixes."""
         for prefix in prefixes:
             known = self._trust.get(prefix, 0)
-            self._set(prefix, max(known, self._settings.guess))
+            self._set(prefix, max(known, self._settings.sent_confidence))
 
     def cached_tokens(self, prefixes: collections.abc.Iterable[int]) -> float:
         """Estimate how many leading prompt tokens need no prefill."""
         total: float = 0
         for prefix in prefixes:
             trust = self._trust.get(prefix, 0)
-            if trust < self._settings.floor:
+            if trust < self._settings.min_confidence:
                 break
             total += trust * BLOCK_TOKENS
         return total
@@ -119,5 +119,5 @@
     def _set(self, prefix: int, trust: float) -> None:
         self._trust[prefix] = trust
         self._trust.move_to_end(prefix)
-        if len(self._trust) > self._settings.limit:
+        if len(self._trust) > self._settings.max_prefixes:
             self._trust.popitem(last=False)
--- a/tamarackthread/policy/calls.py
+++ b/tamarackthread/policy/calls.py
@@ -26,8 +26,8 @@
     ``deadline`` is in the loop's seconds.  ``answer_tokens`` is the expected
     length of the answer, 0 when nobody knows; ``prefixes`` are the chained
     block hashes from ``affinity``, ``prefix_block_tokens`` tokens each.
-    ``excluded`` names targets that were tried already, and ``goes_first`` marks
-    a started call that lost its target.  ``start`` is the number of stream
+    ``excluded`` names targets that were tried already, and ``is_resumed`` marks
+    a started call that lost its target.  ``resume_offset`` is the number of stream
     events that the caller already has.
     """
 
@@ -39,13 +39,13 @@
     prefixes: tuple[int, ...] = ()
     idempotent: bool = False
     excluded: frozenset[str] = frozenset()
-    goes_first: bool = False
-    start: int = 0
+    is_resumed: bool = False
+    resume_offset: int = 0
 
     @property
-    def is_ahead(self) -> bool:
+    def bypasses_queue(self) -> bool:
         """Tell whether the call passes the fair queue."""
-        return self.goes_first or self.priority == Priority.URGENT
+        return self.is_resumed or self.priority == Priority.URGENT
 
     @property
     def cost(self) -> float:
--- a/tamarackthread/policy/cold.py
+++ b/tamarackthread/policy/cold.py
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        fleet: known_entries.Fleet,
+        fleet: known_entries.KnownEntries,
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
@@ -61,5 +61,5 @@
 
     def _is_drawn(self, target: str, places: int) -> bool:
         """Tell whether this entry is one of the few that a target is left to."""
-        place = self._fleet.place(target)
+        place = self._fleet.position(target)
         return place is not None and place < places
--- a/tamarackthread/policy/ejection.py
+++ b/tamarackthread/policy/ejection.py
@@ -17,20 +17,20 @@
     """Hold when a target is ejected and how it returns.
 
     A step of ``slow_factor`` times the median for ``slow_seconds`` ejects.
-    At most ``most_share`` of the targets, but one of three or more, are out
-    at a time.  A healthy one gets ``first_share`` of its calls at first and
-    all of them after ``return_seconds``.  Each new ejection soon after the
-    last doubles the time out, from ``out_seconds`` to ``most_out_seconds``.
+    At most ``max_ejected_share`` of the targets, but one of three or more, are out
+    at a time.  A healthy one gets ``initial_share`` of its calls at first and
+    all of them after ``slow_start_seconds``.  Each new ejection soon after the
+    last doubles the time out, from ``base_ejection_seconds`` to ``max_ejection_seconds``.
     """
 
     slow_factor: float = 1.8
     slow_seconds: float = 0.3
     smoothing: float = 0.5
-    most_share: float = 0.25
-    out_seconds: float = 1.0
-    most_out_seconds: float = 10.0
-    first_share: float = 0.1
-    return_seconds: float = 3.0
+    max_ejected_share: float = 0.25
+    base_ejection_seconds: float = 1.0
+    max_ejection_seconds: float = 10.0
+    initial_share: float = 0.1
+    slow_start_seconds: float = 3.0
     failures: int = 5
 
 
@@ -40,7 +40,7 @@
     slow_since: float | None = None
     out_until: float | None = None
     back_since: float | None = None
-    out_seconds: float = 0
+    ejection_seconds: float = 0
     failures: int = 0
 
 
@@ -52,7 +52,7 @@
         self._settings = settings or EjectionSettings()
         self._targets: dict[str, _Health] = {}
 
-    def report(
+    def observe_step(
         self,
         target: str,
         step_ms: float,
@@ -74,7 +74,7 @@
         health.step_ms += (step_ms - health.step_ms) * mix
         self._judge(target, health, now)
 
-    def answered(self, target: str, is_good: bool, now: float) -> None:
+    def record_result(self, target: str, is_good: bool, now: float) -> None:
         """Count an answer; only a row of bad ones ejects, never a single."""
         health = self._targets.setdefault(target, _Health())
         if is_good:
@@ -100,8 +100,8 @@
         if health.back_since is None:
             return 1
         settings = self._settings
-        passed = (now - health.back_since) / settings.return_seconds
-        first = settings.first_share
+        passed = (now - health.back_since) / settings.slow_start_seconds
+        first = settings.initial_share
         return min(1, first + (1 - first) * passed)
 
     def ejected(self, now: float) -> list[str]:
@@ -136,14 +136,16 @@
         settings = self._settings
         if health.out_until is not None or not self._may_eject(now):
             return
-        doubled = min(settings.most_out_seconds, 2 * health.out_seconds)
-        health.out_seconds = max(settings.out_seconds, doubled)
-        health.out_until = now + health.out_seconds
+        doubled = min(
+            settings.max_ejection_seconds, 2 * health.ejection_seconds
+        )
+        health.ejection_seconds = max(settings.base_ejection_seconds, doubled)
+        health.out_until = now + health.ejection_seconds
         health.back_since = None
 
     def _may_eject(self, now: float) -> bool:
         total = len(self._targets)
-        most = int(total * self._settings.most_share)
+        most = int(total * self._settings.max_ejected_share)
         if total >= 3:
             most = max(1, most)
         return len(self.ejected(now)) < most
@@ -157,7 +159,7 @@
             health.step_ms = 0
         if health.back_since is None:
             return
-        calm = settings.return_seconds + 2 * health.out_seconds
+        calm = settings.slow_start_seconds + 2 * health.ejection_seconds
         if now - health.back_since > calm:
             health.back_since = None
-            health.out_seconds = 0
+            health.ejection_seconds = 0
--- a/tamarackthread/policy/expert_map.py
+++ b/tamarackthread/policy/expert_map.py
@@ -72,7 +72,7 @@
         share = tokens / numpy.maximum(held.sum(axis=1), 1)
         return numpy.matmul(held, share[..., None])[..., 0]
 
-    def uncovered(self) -> numpy.ndarray:
+    def without_replica(self) -> numpy.ndarray:
         """List (layer, expert) pairs that have no replica left."""
         return numpy.argwhere(self.replicas() == 0)
 
@@ -96,7 +96,7 @@
         outside = (self.slots < EMPTY) | (self.slots >= shape.experts)
         if outside.any():
             raise ExpertMapInvalid('a slot names an unknown expert')
-        missing = self.uncovered()
+        missing = self.without_replica()
         if missing.size:
             raise ExpertMapInvalid(f'no replica at {missing[0].tolist()}')
 
--- a/tamarackthread/policy/forecast.py
+++ b/tamarackthread/policy/forecast.py
@@ -28,16 +28,16 @@
     error_weight: float = 0.2
     day_strength: float = 0.5
     day_smoothing: int = 6
-    trust_error: float = 0.25
-    longest_trust_seconds: float = 3600.0
+    max_error: float = 0.25
+    max_valid_seconds: float = 3600.0
 
 
 @attrs.frozen(eq=False)
-class Outlook:
+class LoadForecast:
     """A forecast: expected share of tokens and how long to trust it."""
 
     shares: numpy.ndarray
-    trust_seconds: float
+    valid_seconds: float
 
 
 class Model(abc.ABC):
@@ -198,29 +198,29 @@
             model.update(shares, window)
         self._last = window
 
-    def outlook(self, at: float) -> Outlook:
+    def forecast(self, at: float) -> LoadForecast:
         """Forecast the shares at ``at`` seconds; needs one window at least."""
         assert self._last is not None
         ahead = max(1.0, at / self._settings.window_seconds - self._last)
         guesses = [model.predict(ahead) for model in self._models]
         self._pending.append((self._last + round(ahead), guesses))
         if self._errors is None:
-            return Outlook(guesses[0], self._settings.window_seconds)
+            return LoadForecast(guesses[0], self._settings.window_seconds)
         best = self._errors.argmin(axis=0)
         shares = numpy.stack(guesses)[best, numpy.arange(best.size)]
         shares = shares / shares.sum(axis=1, keepdims=True)
-        return Outlook(shares, self._trust(float(ahead)))
+        return LoadForecast(shares, self._trust(float(ahead)))
 
     def _trust(self, ahead: float) -> float:
         # Error grows about as the square root of the time ahead, so the time
         # until it reaches the limit grows with the square of what is left.
         assert self._errors is not None
         error = float(self._errors.min(axis=0).mean()) + _TINY
-        reach = ahead * (self._settings.trust_error / error) ** 2
+        reach = ahead * (self._settings.max_error / error) ** 2
         seconds = reach * self._settings.window_seconds
         return min(
             max(seconds, self._settings.window_seconds),
-            self._settings.longest_trust_seconds,
+            self._settings.max_valid_seconds,
         )
 
     def _score(self, shares: numpy.ndarray, window: int) -> None:
--- a/tamarackthread/policy/group_planning.py
+++ b/tamarackthread/policy/group_planning.py
@@ -20,34 +20,36 @@
 
 
 @attrs.frozen(kw_only=True)
-class Cost:
+class MapCost:
     """Say what a map costs in time, in seconds.
 
     A switch takes ``switch_seconds`` without copies and ``copy_seconds`` for each
-    copy of the rank that has most of them.  ``lasts_seconds`` is how long demand
+    copy of the rank that has most of them.  ``stable_seconds`` is how long demand
     is expected to stay as it is from now.
     """
 
     copy_seconds: float
     switch_seconds: float
-    lasts_seconds: float
+    stable_seconds: float
 
-    def wait(self, copies: int) -> float:
+    def delay(self, copies: int) -> float:
         """Return how long after the plan its map is in force."""
         taken = self.switch_seconds + copies * self.copy_seconds
-        return min(taken, self.lasts_seconds)
+        return min(taken, self.stable_seconds)
 
-    def lost(self, before: float, after: float, copies: int) -> float:
+    def relative_step_time(
+        self, before: float, after: float, copies: int
+    ) -> float:
         """Return the time that steps take until demand changes.
 
         It is in times of even ranks; ``before`` and ``after`` are the skews.
         """
-        wait = self.wait(copies)
-        return before * wait + after * (self.lasts_seconds - wait)
+        delay = self.delay(copies)
+        return before * delay + after * (self.stable_seconds - delay)
 
 
 @attrs.define(eq=False)
-class RankCopies(rebalancing.Copies):
+class RankCopyBudget(rebalancing.CopyBudget):
     """Count what each rank has to copy, over all sets; bound it by ``most``."""
 
     by_rank: list[int]
@@ -62,7 +64,7 @@
         self.by_rank[rank] += change
 
 
-class Stages:
+class StagedRebalancer:
     """The plans of all sets, evened under one bound on copies after another."""
 
     def __init__(
@@ -74,9 +76,9 @@
     ) -> None:
         """Begin with the map in force."""
         ranks = len(current[0]) if current else 0
-        self._copies = RankCopies([0 for _ in range(ranks)])
+        self._copies = RankCopyBudget([0 for _ in range(ranks)])
         self._plans = [
-            rebalancing.Plan(held, counts, bounds, paces, self._copies)
+            rebalancing.SetRebalancer(held, counts, bounds, paces, self._copies)
             for held, counts in zip(current, tokens, strict=True)
         ]
 
@@ -87,7 +89,7 @@
         return sum(found) / max(1, len(found))
 
     @property
-    def most_copies(self) -> int:
+    def max_copies(self) -> int:
         """Return the copies of the rank that has most of them."""
         return max(self._copies.by_rank, default=0)
 
@@ -119,25 +121,25 @@
     tokens: Tokens,
     bounds: rebalancing.Bounds,
     paces: Paces,
-    cost: Cost,
+    cost: MapCost,
 ) -> GroupMap:
     """Return the map by which callers lose least until demand changes.
 
     That is the map in force where no copy pays for its time.
     """
-    stages = Stages(current, tokens, bounds, paces)
+    stages = StagedRebalancer(current, tokens, bounds, paces)
     before = stages.skew
     best = current
-    least = cost.lost(before, before, 0)
-    for most in range(1, bounds.spare * len(current) + 1):
-        if not stages.improve(most) or cost.wait(most) >= cost.lasts_seconds:
+    least = cost.relative_step_time(before, before, 0)
+    for most in range(1, bounds.max_new * len(current) + 1):
+        if not stages.improve(most) or cost.delay(most) >= cost.stable_seconds:
             break
-        lost = cost.lost(before, stages.skew, stages.most_copies)
-        if lost < least:
+        total = cost.relative_step_time(before, stages.skew, stages.max_copies)
+        if total < least:
             best = stages.result
-            least = lost
+            least = total
     return best
 
 
-def _skew_of(held: rebalancing.Plan) -> float:
+def _skew_of(held: rebalancing.SetRebalancer) -> float:
     return held.skew
--- a/tamarackthread/policy/known_entries.py
+++ b/tamarackthread/policy/known_entries.py
@@ -9,29 +9,29 @@
 ASSUMED_ENTRIES = 32
 _HASH_BYTES = 8
 
-Entries = collections.abc.Callable[[], collections.abc.Sequence[str]]
+ListEntries = collections.abc.Callable[[], collections.abc.Sequence[str]]
 
 
-class Fleet:
+class KnownEntries:
     """Hold all entries that were ever known.
 
     Entries that fall silent stay: they may be cut off from this one and not
     from the target.
     """
 
-    def __init__(self, own: str, entries: Entries) -> None:
+    def __init__(self, own: str, entries: ListEntries) -> None:
         """Begin with the entries known now, of which this one is ``own``."""
         self._own = own
         self._entries = entries
         self._known: dict[str, None] = {}
-        self._places: dict[str, int] = {}
+        self._positions: dict[str, int] = {}
 
     def count(self) -> int:
         """Return how many entries may send to a target."""
         self._learn()
         return len(self._known) or ASSUMED_ENTRIES
 
-    def place(self, target: str) -> int | None:
+    def position(self, target: str) -> int | None:
         """Return this entry's place among all for one target, from 0.
 
         The order is another for each target and the same at all entries.
@@ -40,18 +40,18 @@
         self._learn()
         if self._own not in self._known:
             return None
-        if target not in self._places:
+        if target not in self._positions:
             own = _mark(self._own, target)
-            self._places[target] = sum(
+            self._positions[target] = sum(
                 _mark(entry, target) < own for entry in self._known
             )
-        return self._places[target]
+        return self._positions[target]
 
     def _learn(self) -> None:
         before = len(self._known)
         self._known.update(dict.fromkeys(self._entries()))
         if len(self._known) > before:
-            self._places.clear()
+            self._positions.clear()
 
 
 def _mark(entry: str, target: str) -> bytes:
--- a/tamarackthread/policy/limits.py
+++ b/tamarackthread/policy/limits.py
@@ -56,7 +56,7 @@
         until_end = call.deadline - now - self._room.answer_seconds(call, now)
         if until_end <= 0:
             raise refusals.DeadlineTooClose()
-        if call.is_ahead:
+        if call.bypasses_queue:
             return until_end
         settings = self._settings
         first = self._room.first_token_seconds(call, now)
@@ -78,7 +78,7 @@
         if length >= settings.organisation_limit:
             retry = self._outlook.retry(call, now)
             raise refusals.ShareExceeded(retry_after=retry)
-        if call.is_ahead:
+        if call.bypasses_queue:
             return
         if len(self._line) >= settings.queue_limit:
             retry = self._outlook.retry(call, now)
--- a/tamarackthread/policy/migration.py
+++ b/tamarackthread/policy/migration.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class MoveSettings:
+class MigrationSettings:
     """Hold when a move pays, times in seconds.
 
     A stream is moved if it would end later than ``margin`` before its
@@ -47,14 +47,14 @@
 
 
 @attrs.frozen(slots=True)
-class Comparison:
-    """The target's seconds a step, and the time needed ``elsewhere``."""
+class MigrationEstimate:
+    """The target's seconds a step, and the time needed ``elsewhere_seconds``."""
 
-    step: float
-    elsewhere: float
+    step_seconds: float
+    elsewhere_seconds: float
 
 
-class MovePolicy(abc.ABC):
+class MigrationPolicy(abc.ABC):
     """Decide on moves."""
 
     @abc.abstractmethod
@@ -62,34 +62,34 @@
         """Note a new call, which pays for a share of a move."""
 
     @abc.abstractmethod
-    def should_move(
+    def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: Comparison,
+        place: MigrationEstimate,
         now: float,
     ) -> bool:
         """Tell whether to move; only idempotent calls are asked about."""
 
 
-class StayPut(MovePolicy):
+class NeverMigrate(MigrationPolicy):
     """Leave every stream where it is."""
 
     def admitted(self, now: float) -> None:
         """Note nothing."""
 
-    def should_move(
+    def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: Comparison,
+        place: MigrationEstimate,
         now: float,
     ) -> bool:
         """Return false."""
         return False
 
 
-class LateStreams(MovePolicy):
+class MigrateLateStreams(MigrationPolicy):
     """Move streams that would end late and in time elsewhere.
 
     The budget keeps a slow moment of the whole service, where elsewhere only
@@ -99,30 +99,30 @@
     def __init__(
         self,
         budget: retries.RetryBudget,
-        settings: MoveSettings | None = None,
+        settings: MigrationSettings | None = None,
     ) -> None:
         """Pay for each move from ``budget``."""
         self._budget = budget
-        self._settings = settings or MoveSettings()
+        self._settings = settings or MigrationSettings()
 
     def admitted(self, now: float) -> None:
         """Pay a share of a move into the budget."""
         self._budget.earn(now)
 
-    def should_move(
+    def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: Comparison,
+        place: MigrationEstimate,
         now: float,
     ) -> bool:
         """Compare the time left here, there and until the deadline."""
         settings = self._settings
-        here = self._time_left(call, progress, place.step, now)
+        here = self._time_left(call, progress, place.step_seconds, now)
         until = call.deadline - settings.margin - now
-        if here <= until or place.elsewhere > until:
+        if here <= until or place.elsewhere_seconds > until:
             return False
-        if place.elsewhere > here * settings.gain:
+        if place.elsewhere_seconds > here * settings.gain:
             return False
         # Urgent calls are few, and one that ends late is lost work.
         if call.priority == calls.Priority.URGENT:
@@ -133,7 +133,7 @@
         self,
         call: calls.CallFacts,
         progress: Progress,
-        step: float,
+        step_seconds: float,
         now: float,
     ) -> float:
         """Estimate seconds to the end.
@@ -144,4 +144,4 @@
         least = call.answer_tokens * self._settings.least_left
         left = max(least, call.answer_tokens - progress.events)
         silence = now - progress.last_at
-        return silence + left * max(step, progress.pace)
+        return silence + left * max(step_seconds, progress.pace)
--- a/tamarackthread/policy/moves.py
+++ b/tamarackthread/policy/moves.py
@@ -58,33 +58,33 @@
         return self.loaded == self.total
 
 
-class UrgentWatch:
+class UrgentCallMonitor:
     """Know whether urgent work is near; times are in seconds.
 
     A hint comes when an entry has admitted an urgent call and its claim is
     still being recorded, so before the call itself.  After the last urgent
-    call the watch stays on for ``quiet_seconds``, because they come in bursts.
+    call the watch stays on for ``pause_seconds``, because they come in bursts.
     """
 
     def __init__(
         self,
-        quiet_seconds: float = 0.05,
+        pause_seconds: float = 0.05,
         hint_seconds: float = 0.25,
     ) -> None:
         """Set how long quiet must last and how long a hint counts."""
-        self._quiet_seconds = quiet_seconds
+        self._pause_seconds = pause_seconds
         self._hint_seconds = hint_seconds
         self._running = 0
         self._until = float('-inf')
 
     @property
-    def quiet_seconds(self) -> float:
+    def pause_seconds(self) -> float:
         """Give how long moves stand still after an urgent call."""
-        return self._quiet_seconds
+        return self._pause_seconds
 
-    @quiet_seconds.setter
-    def quiet_seconds(self, seconds: float) -> None:
-        self._quiet_seconds = seconds
+    @pause_seconds.setter
+    def pause_seconds(self, seconds: float) -> None:
+        self._pause_seconds = seconds
 
     def hint(self, now: float) -> None:
         """Take note that an urgent call is on its way."""
@@ -93,18 +93,18 @@
     def arrived(self, now: float) -> None:
         """Take note that an urgent call is here."""
         self._running += 1
-        self._until = max(self._until, now + self._quiet_seconds)
+        self._until = max(self._until, now + self._pause_seconds)
 
     def finished(self, now: float) -> None:
         """Take note that an urgent call has ended."""
         self._running -= 1
-        self._until = max(self._until, now + self._quiet_seconds)
+        self._until = max(self._until, now + self._pause_seconds)
 
-    def is_near(self, now: float) -> bool:
+    def must_pause(self, now: float) -> bool:
         """Tell whether moves must stand still."""
         return self._running > 0 or now < self._until
 
-    def quiet_at(self, now: float) -> float:
+    def resume_at(self, now: float) -> float:
         """Return the earliest time for moves, infinite while a call runs."""
         if self._running > 0:
             return float('inf')
@@ -146,7 +146,7 @@
             self._cancelled,
         )
 
-    def start(self, urgent_near: bool) -> Piece | None:
+    def start(self, urgent_active: bool) -> Piece | None:
         """Hand out the next piece; ``None`` while paused, busy or at the end.
 
         A move for an expert without a replica is never paused: every call
@@ -157,7 +157,7 @@
         if self._in_flight is not None or not self._moves:
             return None
         move = self._moves[0]
-        if urgent_near and not move.urgent:
+        if urgent_active and not move.urgent:
             return None
         self._in_flight = Piece(move, self._number)
         return self._in_flight
--- a/tamarackthread/policy/outcomes.py
+++ b/tamarackthread/policy/outcomes.py
@@ -13,27 +13,27 @@
 from tamarackthread.generated.messages import ttypes as messages
 
 
-class Point(enum.IntEnum):
+class CallStage(enum.IntEnum):
     """Order the points of a call's way, as its entry sees it."""
 
     QUEUED = 0
     CLAIMED = 1
     CONNECTING = 2
-    BYTES_LEFT = 3
+    BYTES_SENT = 3
     ACCEPTED = 4
-    HEAD_SEEN = 5
-    BODY_SEEN = 6
-    END_SEEN = 7
+    HEAD_RECEIVED = 5
+    BODY_RECEIVED = 6
+    END_RECEIVED = 7
 
 
 class Cause(enum.Enum):
     """Name what ended the call."""
 
     REFUSED_HERE = 'refused here'
-    AGENT_SAID = 'agent said'
+    AGENT_REPORTED = 'agent said'
     LINK_LOST = 'link lost'
     TIMEOUT = 'timeout'
-    CALLER_GONE = 'caller gone'
+    CALLER_DISCONNECTED = 'caller gone'
     CANCELLED = 'cancelled'
     WRONG_IDENTITY = 'wrong identity'
     DECODE_FAILED = 'decode failed'
@@ -43,25 +43,25 @@
 class Ending:
     """How a call ended at its entry.
 
-    ``said`` is what the agent's ``CallEnd`` says, or ``None`` without one.
+    ``reported`` is what the agent's ``CallEnd`` says, or ``None`` without one.
     ``is_whole`` tells whether all events that it counts have arrived.
     """
 
-    point: Point
+    stage: CallStage
     cause: Cause
-    said: messages.Ran | None = None
+    reported: messages.Ran | None = None
     is_whole: bool = False
 
 
 def classify(ending: Ending) -> messages.Ran:
     """Return what the caller may be told for certain."""
-    if ending.point < Point.BYTES_LEFT:
+    if ending.stage < CallStage.BYTES_SENT:
         return messages.Ran.NOT_RUN
-    if ending.cause != Cause.AGENT_SAID or ending.said is None:
+    if ending.cause != Cause.AGENT_REPORTED or ending.reported is None:
         return messages.Ran.MAY_HAVE_RUN
-    if ending.said == messages.Ran.NOT_RUN:
-        return _checked_refusal(ending.point)
-    if ending.said == messages.Ran.COMPLETE and ending.is_whole:
+    if ending.reported == messages.Ran.NOT_RUN:
+        return _checked_refusal(ending.stage)
+    if ending.reported == messages.Ran.COMPLETE and ending.is_whole:
         return messages.Ran.COMPLETE
     return messages.Ran.MAY_HAVE_RUN
 
@@ -73,12 +73,12 @@
     return idempotent and ran == messages.Ran.MAY_HAVE_RUN
 
 
-def _checked_refusal(point: Point) -> messages.Ran:
+def _checked_refusal(stage: CallStage) -> messages.Ran:
     """Believe 'not run' only while no part of an answer was seen.
 
     A frame of another call, or an agent's fault, could claim it after the
     target has begun to answer; a retry would then run the call twice.
     """
-    if point >= Point.HEAD_SEEN:
+    if stage >= CallStage.HEAD_RECEIVED:
         return messages.Ran.MAY_HAVE_RUN
     return messages.Ran.NOT_RUN
--- a/tamarackthread/policy/placement.py
+++ b/tamarackthread/policy/placement.py
@@ -28,21 +28,25 @@
 
 
 @attrs.frozen
-class BalanceWeights:
+class BalanceSettings:
     """A profile's trade-off between evenness and moves.
 
-    ``move_seconds`` is what moving one weight is worth in seconds of a
-    layer's full skew; ``least_gain`` is the skew that a layer must win
-    before anything of it moves; ``moves_a_layer`` caps one plan.
+    ``move_cost_seconds`` is what moving one weight is worth in seconds of a
+    layer's full skew; ``min_gain`` is the skew that a layer must win
+    before anything of it moves; ``max_moves_per_layer`` caps one plan.
     """
 
-    move_seconds: float
-    least_gain: float
-    moves_a_layer: int
+    move_cost_seconds: float
+    min_gain: float
+    max_moves_per_layer: int
 
 
-EVEN = BalanceWeights(move_seconds=0.3, least_gain=0.005, moves_a_layer=90)
-FEW_MOVES = BalanceWeights(move_seconds=4, least_gain=0.1, moves_a_layer=16)
+EVEN = BalanceSettings(
+    move_cost_seconds=0.3, min_gain=0.005, max_moves_per_layer=90
+)
+FEW_MOVES = BalanceSettings(
+    move_cost_seconds=4, min_gain=0.1, max_moves_per_layer=16
+)
 
 
 @attrs.frozen(eq=False)
@@ -52,7 +56,7 @@
     ``skew_before`` and ``skew_after`` are the forecast's means over layers.
     """
 
-    target: expert_map.ExpertMap
+    new_map: expert_map.ExpertMap
     moves: numpy.ndarray
     skew_before: float
     skew_after: float
@@ -69,51 +73,51 @@
     def plan(
         self,
         today: expert_map.ExpertMap,
-        outlook: forecast.Outlook,
+        outlook: forecast.LoadForecast,
         lost: set[int] | None = None,
     ) -> Plan:
         """Return the plan for the ranks that are not in ``lost``."""
         usable = today.without_ranks(lost) if lost else today
         alive = _alive(today, lost or set())
-        target = self._target(usable, outlook, alive)
+        new_map = self._new_map(usable, outlook, alive)
         before = usable.rank_loads(outlook.shares)[expert_map.ALL, alive]
-        after = target.rank_loads(outlook.shares)[expert_map.ALL, alive]
+        after = new_map.rank_loads(outlook.shares)[expert_map.ALL, alive]
         return Plan(
-            target,
-            expert_map.moves_between(usable, target),
+            new_map,
+            expert_map.moves_between(usable, new_map),
             float(expert_map.skew(before).mean()),
             float(expert_map.skew(after).mean()),
         )
 
     @abc.abstractmethod
-    def _target(
+    def _new_map(
         self,
         today: expert_map.ExpertMap,
-        outlook: forecast.Outlook,
+        outlook: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
         """Choose the map for the ranks numbered in ``alive``."""
 
 
-class StaticMap(Planner):
+class StaticPlanner(Planner):
     """Keep today's map and replace only experts with no replica left."""
 
-    def _target(
+    def _new_map(
         self,
         today: expert_map.ExpertMap,
-        outlook: forecast.Outlook,
+        outlook: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
-        return repair.cover(today, outlook.shares, alive)
+        return repair.restore_replicas(today, outlook.shares, alive)
 
 
-class GreedyReplan(Planner):
+class GreedyPlanner(Planner):
     """Plan anew each time, as if no weight were anywhere yet."""
 
-    def _target(
+    def _new_map(
         self,
         today: expert_map.ExpertMap,
-        outlook: forecast.Outlook,
+        outlook: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
         return greedy.place(today.shape, outlook.shares, alive)
@@ -122,29 +126,29 @@
 class IncrementalPlanner(Planner):
     """Change today's map as long as a change is worth its moves."""
 
-    def __init__(self, weights: BalanceWeights, rounds: int = 64) -> None:
+    def __init__(self, weights: BalanceSettings, rounds: int = 64) -> None:
         """Set the trade-off; ``rounds`` bounds the time of one plan."""
         self._weights = weights
         self._rounds = rounds
 
-    def _target(
+    def _new_map(
         self,
         today: expert_map.ExpertMap,
-        outlook: forecast.Outlook,
+        outlook: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
-        covered = repair.cover(today, outlook.shares, alive)
+        covered = repair.restore_replicas(today, outlook.shares, alive)
         slots = covered.slots.copy()
         loads = covered.rank_loads(outlook.shares)[expert_map.ALL, alive]
         # Below the least gain no change could pay: the layer is left alone.
-        uneven = expert_map.skew(loads) > self._weights.least_gain
+        uneven = expert_map.skew(loads) > self._weights.min_gain
         layers = numpy.flatnonzero(uneven)
-        price = self._weights.move_seconds / outlook.trust_seconds
+        price = self._weights.move_cost_seconds / outlook.valid_seconds
         for start in range(0, layers.size, _LAYERS_AT_ONCE):
             few = layers[start : start + _LAYERS_AT_ONCE]
             part = slots[few][expert_map.ALL, alive]
             trail = self._search(part, outlook.shares[few])
-            chosen = trail.best_slots(price, self._weights.least_gain)
+            chosen = trail.best_slots(price, self._weights.min_gain)
             slots[numpy.ix_(few, alive)] = chosen
         return expert_map.ExpertMap(covered.shape, slots)
 
@@ -155,7 +159,7 @@
             change = state.best_change()
             spent = trail.cost + change.cost
             chosen = (change.gain > _LEAST_FALL) & (
-                spent <= self._weights.moves_a_layer
+                spent <= self._weights.max_moves_per_layer
             )
             if not chosen.any():
                 break
@@ -193,13 +197,13 @@
         self._skews.append(expert_map.skew(loads))
         self._costs.append(self.cost + chosen * change.cost)
 
-    def best_slots(self, price: float, least_gain: float) -> numpy.ndarray:
+    def best_slots(self, price: float, min_gain: float) -> numpy.ndarray:
         """Replay each layer up to the step worth most after its price."""
         skews = numpy.stack(self._skews)
         worth = skews[0] - skews - price * numpy.stack(self._costs)
         steps = worth.argmax(axis=0)
         won = numpy.take_along_axis(skews[0] - skews, steps[None], axis=0)[0]
-        steps = numpy.where(won >= least_gain, steps, 0)
+        steps = numpy.where(won >= min_gain, steps, 0)
         slots = self._slots.astype(int)
         for number, (change, chosen) in enumerate(self._changes):
             _replay(slots, change, chosen & (steps > number))
--- a/tamarackthread/policy/preemption.py
+++ b/tamarackthread/policy/preemption.py
@@ -34,7 +34,7 @@
         """Return the call to pre-empt, or ``None`` to let all go on."""
 
 
-class NewestDraft(PreemptionPolicy):
+class LowestPriorityFirst(PreemptionPolicy):
     """Pre-empt the least urgent call, and of those the newest.
 
     The newest has the least work to lose or to resume.
--- a/tamarackthread/policy/rebalancing.py
+++ b/tamarackthread/policy/rebalancing.py
@@ -22,24 +22,24 @@
 
 # A step must take so much of the mean off the busiest rank; with less, copies are
 # made that no caller notices.
-FINE_STEP = 0.05
+MIN_GAIN = 0.05
 # Where evener ranks than that serve nobody better: half of the copies.
-COARSE_STEP = 0.15
+COARSE_MIN_GAIN = 0.15
 # Ranks with least to do that are weighed as takers in each step.
-TAKERS = 16
+MAX_RECIPIENTS = 16
 
 
 @attrs.frozen
 class Bounds:
     """Bound what a rank holds, and what of it may be new in one map.
 
-    ``least_step`` is what each copy must take off the busiest rank, as a part
+    ``min_gain`` is what each copy must take off the busiest rank, as a part
     of the mean.
     """
 
-    places: int
-    spare: int
-    least_step: float = FINE_STEP
+    slots: int
+    max_new: int
+    min_gain: float = MIN_GAIN
 
 
 @attrs.frozen
@@ -54,7 +54,7 @@
     dropped: int | None
 
 
-class Copies(abc.ABC):
+class CopyBudget(abc.ABC):
     """Bound the copies of ranks over several sets."""
 
     @abc.abstractmethod
@@ -66,7 +66,7 @@
         """Count copies that a rank has more, or less."""
 
 
-class Plan:
+class SetRebalancer:
     """A set's map while it is changed."""
 
     def __init__(
@@ -75,12 +75,12 @@
         tokens: collections.abc.Sequence[float],
         bounds: Bounds,
         paces: collections.abc.Sequence[float] = (),
-        copies: Copies | None = None,
+        copies: CopyBudget | None = None,
     ) -> None:
         """Begin with ``current``; what ranks copy is within ``copies`` too."""
         self._copies = copies
         self._tokens = tokens
-        self._least = bounds.least_step * sum(tokens) / max(1, len(current))
+        self._least = bounds.min_gain * sum(tokens) / max(1, len(current))
         self._paces = paces or tuple(1 for _ in current)
         self._bounds = bounds
         self._before = [frozenset(held) for held in current]
@@ -142,7 +142,7 @@
         for held in self._shared_by(busiest):
             yield _Step(busiest, None, held)
         takers = sorted(range(len(self._loads)), key=self._loads.__getitem__)
-        for taker in takers[:TAKERS]:
+        for taker in takers[:MAX_RECIPIENTS]:
             if taker == busiest or not self._takes_more(taker):
                 continue
             for expert in self._held[busiest] - self._held[taker]:
@@ -152,7 +152,7 @@
     def _takes_more(self, rank: int) -> bool:
         if self._copies is not None and not self._copies.has_room(rank):
             return False
-        return self._fresh(rank) < self._bounds.spare
+        return self._fresh(rank) < self._bounds.max_new
 
     def _fresh(self, rank: int) -> int:
         """Count the experts that are new to a rank."""
@@ -160,7 +160,7 @@
 
     def _droppable(self, rank: int) -> list[int] | list[None]:
         """List what may make room: nothing, or experts held elsewhere too."""
-        if len(self._held[rank]) < self._bounds.places:
+        if len(self._held[rank]) < self._bounds.slots:
             return [None]
         return self._shared_by(rank)
 
@@ -224,10 +224,10 @@
     ``paces`` are how much longer than usual each rank takes; 1 without any
     tokens.
     """
-    return Plan(current, tokens, Bounds(0, 0), paces).skew
+    return SetRebalancer(current, tokens, Bounds(0, 0), paces).skew
 
 
-def even(
+def rebalance(
     current: SetMap,
     tokens: collections.abc.Sequence[float],
     bounds: Bounds,
@@ -236,11 +236,11 @@
     """Return a map that differs from ``current`` by few experts.
 
     ``tokens`` are the expected tokens by expert.  Each expert keeps a rank at
-    least, no rank holds more than ``places`` or gets more than ``spare`` new.  A rank
+    least, no rank holds more than ``slots`` or gets more than ``max_new`` new.  A rank
     that takes longer than usual, by ``paces``, is left less to do.
     """
-    plan = Plan(current, tokens, bounds, paces)
-    if not bounds.least_step * sum(tokens):
+    plan = SetRebalancer(current, tokens, bounds, paces)
+    if not bounds.min_gain * sum(tokens):
         return plan.result
     is_better = True
     while is_better:
@@ -248,7 +248,7 @@
     return plan.result
 
 
-def copies(before: SetMap, after: SetMap) -> int:
+def count_copies(before: SetMap, after: SetMap) -> int:
     """Count the experts that are new to their rank."""
     return sum(
         len(set(new).difference(old))
--- a/tamarackthread/policy/repair.py
+++ b/tamarackthread/policy/repair.py
@@ -11,13 +11,13 @@
 from tamarackthread.policy import expert_map
 
 
-def cover(
+def restore_replicas(
     today: expert_map.ExpertMap,
     shares: numpy.ndarray,
     alive: numpy.ndarray,
 ) -> expert_map.ExpertMap:
     """Return a map on ``alive`` ranks where each expert has a replica."""
-    missing = today.uncovered()
+    missing = today.without_replica()
     if not missing.size:
         return today
     shape = today.shape
--- a/tamarackthread/policy/retries.py
+++ b/tamarackthread/policy/retries.py
@@ -19,16 +19,16 @@
 class RetrySettings:
     """Hold the bounds of retries, times in seconds.
 
-    ``share`` is how many retries each call pays for, and ``reserve`` how many
-    may be saved up; a quiet service gets ``least_rate`` a second besides.
+    ``ratio`` is how many retries each call pays for, and ``reserve`` how many
+    may be saved up; a quiet service gets ``min_rate`` a second besides.
     """
 
-    share: float = 0.1
+    ratio: float = 0.1
     reserve: float = 20.0
-    least_rate: float = 1.0
+    min_rate: float = 1.0
     attempts: int = 3
     first_delay: float = 0.005
-    most_delay: float = 0.2
+    max_delay: float = 0.2
 
 
 class RetryBudget:
@@ -50,14 +50,14 @@
         """Return how many retries are paid for, as of the last call."""
         return self._level
 
-    def limit(self, reserve: float) -> None:
+    def set_reserve(self, reserve: float) -> None:
         """Let no more than a reserve be saved up from now on."""
         self._settings = attrs.evolve(self._settings, reserve=reserve)
         self._level = min(self._level, reserve)
 
     def earn(self, now: float) -> None:
         """Count a first attempt, which pays for a share of a retry."""
-        self._fill(now, self._settings.share)
+        self._fill(now, self._settings.ratio)
 
     def spend(self, now: float) -> bool:
         """Pay for a retry; tell whether the budget allowed it."""
@@ -70,7 +70,7 @@
     def _fill(self, now: float, more: float) -> None:
         passed = max(0, now - self._filled_at)
         self._filled_at = now
-        more += passed * self._settings.least_rate
+        more += passed * self._settings.min_rate
         self._level = min(self._settings.reserve, self._level + more)
 
 
@@ -119,7 +119,7 @@
         if not outcomes.may_repeat(ran, call.idempotent):
             return None
         longest = settings.first_delay * 2 ** (attempt - 1)
-        pause = self._random.uniform(0, min(longest, settings.most_delay))
+        pause = self._random.uniform(0, min(longest, settings.max_delay))
         if now + pause >= call.deadline:
             return None
         return pause if self._budget.spend(now) else None
--- a/tamarackthread/policy/room.py
+++ b/tamarackthread/policy/room.py
@@ -29,12 +29,12 @@
     """A call's place at a target until it is released."""
 
     target: routing.TargetView
-    flight: target_load.Flight
+    flight: target_load.InFlightCall
 
     def advance(self, progress: migration.Progress, now: float) -> None:
         """Note that more of the stream came."""
         self.target.load.first_token(self.flight, now)
-        self.target.load.paced(progress.pace, now)
+        self.target.load.observe_pace(progress.pace, now)
 
     def release(self, now: float) -> None:
         """Give the place back; a second time changes nothing."""
@@ -126,7 +126,7 @@
             if _timely(call, usable, now):
                 return None
             raise refusals.DeadlineTooClose()
-        if call.is_ahead:
+        if call.bypasses_queue:
             timely = self._steady(timely)
         view = self._policy.choose(call, timely, now)
         if view is None:
@@ -156,8 +156,8 @@
         """Estimate from the slots and how long own calls hold one."""
         total: float = 0
         for view in self._targets:
-            if view.load.takes_calls:
-                total += view.share * view.load.own_rate
+            if view.load.accepts_calls:
+                total += view.share * view.load.guaranteed_rate
         return total
 
     def first_token_seconds(self, call: calls.CallFacts, now: float) -> float:
@@ -188,7 +188,7 @@
         call: calls.CallFacts,
         view: routing.TargetView,
     ) -> int:
-        if call.is_ahead:
+        if call.bypasses_queue:
             return -self._settings.urgent_extra
         return math.ceil(self._settings.reserved_share * view.load.slots)
 
@@ -239,7 +239,9 @@
     """
     if view.share >= 1:
         return False
-    return view.load.own_calls >= max(1, view.share * view.load.portion)
+    return view.load.own_calls >= max(
+        1, view.share * view.load.guaranteed_slots
+    )
 
 
 def _is_probe(call: calls.CallFacts, view: routing.TargetView) -> bool:
--- a/tamarackthread/policy/routing.py
+++ b/tamarackthread/policy/routing.py
@@ -51,13 +51,13 @@
 class RoutingSettings:
     """Hold the bounds of ``ExpectedFirstToken``.
 
-    ``extra_load`` bounds the occupancy that prefix affinity may cause, as a
-    factor of the candidates' mean.  ``zone_seconds`` is the price of leaving
+    ``affinity_load_factor`` bounds the occupancy that prefix affinity may cause, as a
+    factor of the candidates' mean.  ``cross_zone_seconds`` is the price of leaving
     the own zone: a round trip to another zone.
     """
 
-    extra_load: float = 1.25
-    zone_seconds: float = 0.003
+    affinity_load_factor: float = 1.25
+    cross_zone_seconds: float = 0.003
     samples: int = 2
 
 
@@ -125,7 +125,9 @@
     ) -> TargetView | None:
         best = None
         most: float = 0
-        bound = 1 + self._settings.extra_load * mean_occupancy(pool, now)
+        bound = 1 + self._settings.affinity_load_factor * mean_occupancy(
+            pool, now
+        )
         for view in pool:
             if view.share < 1 or view.load.occupancy(now) > bound:
                 continue
@@ -144,7 +146,7 @@
         uncached = max(0, call.prompt_tokens - cached)
         price = view.load.expected_first_token(uncached, now, call.priority)
         if view.zone != self._zone:
-            price += self._settings.zone_seconds
+            price += self._settings.cross_zone_seconds
         return price
 
 
@@ -199,7 +201,7 @@
     for view in candidates:
         if view.name in call.excluded or view.share <= 0:
             continue
-        if view.load.takes_calls:
+        if view.load.accepts_calls:
             usable.append(view)
     return usable
 
--- a/tamarackthread/policy/running.py
+++ b/tamarackthread/policy/running.py
@@ -18,7 +18,7 @@
         self,
         place: room.Room,
         preempt: preemption.PreemptionPolicy,
-        move: migration.MovePolicy,
+        move: migration.MigrationPolicy,
     ) -> None:
         """Start empty."""
         self._room = place
@@ -56,10 +56,12 @@
         for ticket in self._tickets.values():
             if not ticket.call.idempotent or ticket.preempted.is_set():
                 continue
-            place = migration.Comparison(
-                step=ticket.step_seconds,
-                elsewhere=self._room.answer_seconds(ticket.resumed, now),
+            place = migration.MigrationEstimate(
+                step_seconds=ticket.step_seconds,
+                elsewhere_seconds=self._room.answer_seconds(
+                    ticket.resumed, now
+                ),
             )
             progress = ticket.progress
-            if self._move.should_move(ticket.call, progress, place, now):
+            if self._move.should_migrate(ticket.call, progress, place, now):
                 ticket.move()
--- a/tamarackthread/policy/subset_ranking.py
+++ b/tamarackthread/policy/subset_ranking.py
@@ -17,7 +17,7 @@
 
 @attrs.define(slots=True)
 class _Ranked:
-    place: subsets.Place
+    place: subsets.Endpoint
     score: float
     rank: int
 
@@ -27,13 +27,15 @@
 
     def __init__(
         self,
-        own: subsets.Place,
+        own: subsets.Endpoint,
         settings: subsets.SubsetSettings | None = None,
     ) -> None:
         """Start as the only entry, without targets."""
         self._own = own
-        self._pull = (settings or subsets.SubsetSettings()).zone_pull
-        self._entries: dict[str, subsets.Place] = {}
+        self._zone_weight = (
+            settings or subsets.SubsetSettings()
+        ).same_zone_weight
+        self._entries: dict[str, subsets.Endpoint] = {}
         self._targets: dict[str, _Ranked] = {}
 
     @property
@@ -43,7 +45,7 @@
 
     def set_entries(
         self,
-        entries: collections.abc.Mapping[str, subsets.Place],
+        entries: collections.abc.Mapping[str, subsets.Endpoint],
     ) -> None:
         """Follow the list of entries; scores only those that differ."""
         wanted = dict(entries)
@@ -59,7 +61,7 @@
 
     def set_targets(
         self,
-        targets: collections.abc.Mapping[str, subsets.Place],
+        targets: collections.abc.Mapping[str, subsets.Endpoint],
     ) -> None:
         """Follow the list of targets; scores only those that differ."""
         for name, known in tuple(self._targets.items()):
@@ -102,17 +104,19 @@
             useful += usable(name)
         return chosen
 
-    def _ranked(self, place: subsets.Place) -> _Ranked:
+    def _ranked(self, place: subsets.Endpoint) -> _Ranked:
         own = self._score(self._own, place)
         rank = sum(
             self._score(other, place) > own for other in self._entries.values()
         )
         return _Ranked(place, own, rank)
 
-    def _shift(self, entry: subsets.Place, by: int) -> None:
+    def _shift(self, entry: subsets.Endpoint, by: int) -> None:
         for ranked in self._targets.values():
             if self._score(entry, ranked.place) > ranked.score:
                 ranked.rank += by
 
-    def _score(self, entry: subsets.Place, target: subsets.Place) -> float:
-        return subsets.score(entry, target, self._pull)
+    def _score(
+        self, entry: subsets.Endpoint, target: subsets.Endpoint
+    ) -> float:
+        return subsets.score(entry, target, self._zone_weight)
--- a/tamarackthread/policy/subsets.py
+++ b/tamarackthread/policy/subsets.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(slots=True)
-class Place:
+class Endpoint:
     """An entry or a target with its availability zone."""
 
     name: str
@@ -26,15 +26,17 @@
 class SubsetSettings:
     """Hold how pairs are scored.
 
-    ``zone_pull`` is how much likelier a pair within one zone is; a pull
+    ``same_zone_weight`` is how much likelier a pair within one zone is; a pull
     without bound would leave a zone without entries unserved.
     """
 
-    zone_pull: float = 4.0
+    same_zone_weight: float = 4.0
 
 
-def score(entry: Place, target: Place, zone_pull: float) -> float:
+def score(entry: Endpoint, target: Endpoint, same_zone_weight: float) -> float:
     """Draw how much a target wants an entry, the same in every process."""
     digest = xxhash.xxh64_intdigest(f'{entry.name}\n{target.name}'.encode())
     drawn = (digest + 1) / (_HASH_RANGE + 1)
-    return drawn ** (1 / zone_pull) if entry.zone == target.zone else drawn
+    return (
+        drawn ** (1 / same_zone_weight) if entry.zone == target.zone else drawn
+    )
--- a/tamarackthread/policy/target_load.py
+++ b/tamarackthread/policy/target_load.py
@@ -21,9 +21,9 @@
     """Hold what is assumed where reports say nothing.
 
     Times are in seconds.  ``chunk_tokens`` is how many prompt tokens an
-    engine takes in one step, ``hold_seconds`` how long a call holds its slot
+    engine takes in one step, ``service_seconds`` how long a call holds its slot
     until own calls have shown it.  ``entries`` is how many entries send to
-    the target; ``trust_seconds`` is the age at which a report counts half.  A
+    the target; ``half_life_seconds`` is the age at which a report counts half.  A
     target may have ``queue_seconds`` of work waiting, which covers the way there
     and back.
     """
@@ -32,14 +32,14 @@
     batch_slots: int = 16
     step_seconds: float = 0.006
     chunk_tokens: int = 512
-    hold_seconds: float = 1.0
-    trust_seconds: float = 1.0
+    service_seconds: float = 1.0
+    half_life_seconds: float = 1.0
     restart_seconds: float = 3.0
     queue_seconds: float = 0.03
 
 
 @attrs.define(slots=True, eq=False)
-class Flight:
+class InFlightCall:
     """One own call on its way to, in or from the target."""
 
     sent_at: float
@@ -75,13 +75,13 @@
             step_ms=self._settings.step_seconds * 1000,
         )
         self._taken_at = -math.inf
-        self._flights: dict[int, Flight] = {}
-        self._waiting: dict[int, Flight] = {}
+        self._flights: dict[int, InFlightCall] = {}
+        self._waiting: dict[int, InFlightCall] = {}
         self._open = 0
         self._waiting_tokens = 0
         self._others = 0
         self._others_tokens = 0
-        self._hold = self._settings.hold_seconds
+        self._service_seconds = self._settings.service_seconds
         self._pace: float = 0
         self._paced_at = -math.inf
 
@@ -114,9 +114,9 @@
         return self._report.step_ms / 1000
 
     @property
-    def hold_seconds(self) -> float:
+    def service_seconds(self) -> float:
         """Return how long own calls lately held a slot, in seconds."""
-        return self._hold
+        return self._service_seconds
 
     @property
     def chunk_tokens(self) -> int:
@@ -129,22 +129,24 @@
         return self._report.entries or self._settings.entries
 
     @property
-    def portion(self) -> int:
+    def guaranteed_slots(self) -> int:
         """Return the slots that this entry may always use."""
         return math.ceil(self.slots / self.entries)
 
     @property
-    def slack(self) -> int:
+    def queue_allowance(self) -> int:
         """Return the calls that may wait at the target to keep it busy."""
-        return math.ceil(self._settings.queue_seconds * self.slots / self._hold)
+        return math.ceil(
+            self._settings.queue_seconds * self.slots / self._service_seconds
+        )
 
     @property
-    def own_rate(self) -> float:
+    def guaranteed_rate(self) -> float:
         """Return the calls a second that this entry's portion would allow."""
-        return self.slots / self.entries / self._hold
+        return self.slots / self.entries / self._service_seconds
 
     @property
-    def takes_calls(self) -> bool:
+    def accepts_calls(self) -> bool:
         """Tell whether the target is neither leaving nor stuck."""
         return not (self._report.leaving or self._report.stuck)
 
@@ -168,16 +170,16 @@
         self._forget(taken_at)
         return True
 
-    def sent(self, tokens: int, now: float) -> Flight:
+    def sent(self, tokens: int, now: float) -> InFlightCall:
         """Count a call of ``tokens`` prompt tokens that is sent now."""
-        flight = Flight(sent_at=now, tokens=tokens)
+        flight = InFlightCall(sent_at=now, tokens=tokens)
         self._flights[id(flight)] = flight
         self._waiting[id(flight)] = flight
         self._open += 1
         self._waiting_tokens += tokens
         return flight
 
-    def paced(self, pace: float, now: float) -> None:
+    def observe_pace(self, pace: float, now: float) -> None:
         """Take in the pace of an own stream, in seconds an event; 0 is none."""
         if not pace:
             return
@@ -185,7 +187,7 @@
         self._pace = known + (pace - known) / 8
         self._paced_at = now
 
-    def first_token(self, flight: Flight, now: float) -> None:
+    def first_token(self, flight: InFlightCall, now: float) -> None:
         """Note the first token of a call; a second note changes nothing."""
         if flight.started_at is not None:
             return
@@ -193,12 +195,14 @@
         if self._waiting.pop(id(flight), None) is not None:
             self._waiting_tokens -= flight.tokens
 
-    def finished(self, flight: Flight, now: float) -> None:
+    def finished(self, flight: InFlightCall, now: float) -> None:
         """Note the end of a call, however it ended; a second changes nothing."""
         if flight.finished_at is not None:
             return
         if flight.started_at is not None:
-            self._hold += (now - flight.sent_at - self._hold) / 16
+            self._service_seconds += (
+                now - flight.sent_at - self._service_seconds
+            ) / 16
         flight.finished_at = now
         if self._waiting.pop(id(flight), None) is not None:
             self._waiting_tokens -= flight.tokens
@@ -227,11 +231,11 @@
         after = self.occupancy(now) + 1
         if after + entries - 1 <= slots:
             return True
-        if self._open >= self.portion:
+        if self._open >= self.guaranteed_slots:
             return False
-        return after <= slots + self.slack
+        return after <= slots + self.queue_allowance
 
-    def overdue(self, now: float) -> float:
+    def oldest_wait(self, now: float) -> float:
         """Return how long the oldest own call waits for its first token."""
         if not self._waiting:
             return 0
@@ -254,9 +258,9 @@
         if priority == calls.Priority.URGENT:
             excess = min(1, excess)
             ahead = min(ahead, self._settings.chunk_tokens)
-        slot_wait = excess * self._hold / self.slots
+        slot_wait = excess * self._service_seconds / self.slots
         steps = 1 + (ahead + tokens) / self._settings.chunk_tokens
-        return max(slot_wait + steps * step, self.overdue(now))
+        return max(slot_wait + steps * step, self.oldest_wait(now))
 
     def expected_answer(
         self,
@@ -269,7 +273,7 @@
         return first + answer_tokens * self.step_seconds
 
     def _trust(self, now: float) -> float:
-        return 0.5 ** (max(0, self.age(now)) / self._settings.trust_seconds)
+        return 0.5 ** (max(0, self.age(now)) / self._settings.half_life_seconds)
 
     def _split(self, report: messages.LoadReport, taken_at: float) -> None:
         own = 0
--- a/tamarackthread/policy/tickets.py
+++ b/tamarackthread/policy/tickets.py
@@ -41,7 +41,7 @@
     @property
     def start(self) -> int:
         """Return at which event of the stream the call starts."""
-        return self._call.start
+        return self._call.resume_offset
 
     @property
     def step_seconds(self) -> float:
@@ -72,8 +72,8 @@
         events = self._progress.events
         return attrs.evolve(
             self._call,
-            start=self._call.start + events,
-            goes_first=self._call.goes_first or events > 0,
+            resume_offset=self._call.resume_offset + events,
+            is_resumed=self._call.is_resumed or events > 0,
             prompt_tokens=self._call.prompt_tokens + events,
             answer_tokens=max(1, self._call.answer_tokens - events),
         )
@@ -92,7 +92,7 @@
         """Ask the holder to go on at another target, ahead of the queue."""
         self._call = attrs.evolve(
             self._call,
-            goes_first=True,
+            is_resumed=True,
             excluded=self._call.excluded | {self.target},
         )
         self._preempted.set()
--- a/tamarackthread/policy/waiting.py
+++ b/tamarackthread/policy/waiting.py
@@ -94,7 +94,7 @@
             self._shares.weight(call.organisation),
             call.priority,
         )
-        if call.is_ahead:
+        if call.bypasses_queue:
             return own
         return own + self._urgent.backlog
 
@@ -115,6 +115,6 @@
         self,
         call: calls.CallFacts,
     ) -> fairness.FairQueue[WaitingCall]:
-        if call.is_ahead:
+        if call.bypasses_queue:
             return self._urgent
         return self._other
--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -57,7 +57,7 @@
         entries=entries,
         batch_slots=4,
         step_seconds=0.01,
-        hold_seconds=0.1,
+        service_seconds=0.1,
         queue_seconds=0,
     )
     return routing.TargetView(
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -99,7 +99,7 @@
         self.client = target.TargetClient(own)
         await self.client.start()
         self.reporter = reports.Reporter(self.name, self.client, 0.02)
-        self.urgent = loading.UrgentSignal(moves.UrgentWatch())
+        self.urgent = loading.UrgentSignal(moves.UrgentCallMonitor())
         self.gate = gate.Gate(
             gate.GateOptions(
                 target_id=self.name,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -148,7 +148,7 @@
         async def scenario():
             gate = policy_case.gate(
                 [policy_case.view('t')],
-                preempt=preemption.NewestDraft(),
+                preempt=preemption.LowestPriorityFirst(),
             )
             drafts = []
             for _ in range(4):
@@ -164,8 +164,10 @@
             drafts[3].release()
             await urgent[0]
             resumed = drafts[3].resumed
-            self.assertEqual((resumed.start, resumed.answer_tokens), (5, 45))
-            self.assertTrue(resumed.is_ahead)
+            self.assertEqual(
+                (resumed.resume_offset, resumed.answer_tokens), (5, 45)
+            )
+            self.assertTrue(resumed.bypasses_queue)
 
         self.run_paused(scenario())
 
@@ -196,7 +198,7 @@
             budget = retries.RetryBudget(retries.RetrySettings(), 0)
             gate = policy_case.gate(
                 [policy_case.view(f't-{rank}') for rank in range(5)],
-                move=migration.LateStreams(budget),
+                move=migration.MigrateLateStreams(budget),
             )
             fields = {'deadline': 3.0, 'answer_tokens': 100}
             stream = await gate.submit(
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -31,7 +31,7 @@
 
 def shares_of(own, seen, rates=None):
     found = cold.Shares(
-        known_entries.Fleet(own, lambda: seen), ALLOWANCE, SLACK
+        known_entries.KnownEntries(own, lambda: seen), ALLOWANCE, SLACK
     )
     found.learn({SERVICE: RATE} if rates is None else rates)
     return found
--- a/tests/test_expert_balance.py
+++ b/tests/test_expert_balance.py
@@ -10,8 +10,8 @@
 
 SHAPE = expert_map.GroupShape(layers=3, experts=32, ranks=8, slots=6)
 PLANNERS = (
-    placement.StaticMap(),
-    placement.GreedyReplan(),
+    placement.StaticPlanner(),
+    placement.GreedyPlanner(),
     placement.IncrementalPlanner(placement.EVEN),
     placement.IncrementalPlanner(placement.FEW_MOVES),
 )
@@ -24,8 +24,8 @@
     return tokens / tokens.sum(axis=1, keepdims=True)
 
 
-def _outlook(seed: int, spread: float = 1) -> forecast.Outlook:
-    return forecast.Outlook(_shares(seed, spread), 600)
+def _outlook(seed: int, spread: float = 1) -> forecast.LoadForecast:
+    return forecast.LoadForecast(_shares(seed, spread), 600)
 
 
 def _repeats(placed: expert_map.ExpertMap) -> int:
@@ -47,9 +47,9 @@
         today = expert_map.cold_start(SHAPE)
         for planner in PLANNERS:
             plan = planner.plan(today, _outlook(seed, spread), lost)
-            plan.target.check()
-            self.assertEqual(_repeats(plan.target), 0)
-            gone = plan.target.slots[expert_map.ALL, sorted(lost)]
+            plan.new_map.check()
+            self.assertEqual(_repeats(plan.new_map), 0)
+            gone = plan.new_map.slots[expert_map.ALL, sorted(lost)]
             self.assertTrue((gone == expert_map.EMPTY).all())
 
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
@@ -60,7 +60,7 @@
         bound = expert_map.skew_bound(outlook.shares, SHAPE)
         for planner in PLANNERS:
             plan = planner.plan(expert_map.cold_start(SHAPE), outlook)
-            loads = plan.target.rank_loads(outlook.shares)
+            loads = plan.new_map.rank_loads(outlook.shares)
             skew = expert_map.skew(loads)
             self.assertTrue((skew >= bound - 1e-9).all())
 
@@ -68,17 +68,17 @@
         """A map that is even enough is left alone: no move pays."""
         planner = placement.IncrementalPlanner(placement.FEW_MOVES)
         outlook = _outlook(1)
-        even = placement.GreedyReplan().plan(
+        even = placement.GreedyPlanner().plan(
             expert_map.cold_start(SHAPE),
             outlook,
         )
-        plan = planner.plan(even.target, outlook)
+        plan = planner.plan(even.new_map, outlook)
         self.assertFalse(plan.is_change)
-        self.assertEqual(plan.target.digest(), even.target.digest())
+        self.assertEqual(plan.new_map.digest(), even.new_map.digest())
 
     def test_cap(self) -> None:
         """One plan never moves more than the profile's cap in a layer."""
-        cap = placement.FEW_MOVES.moves_a_layer
+        cap = placement.FEW_MOVES.max_moves_per_layer
         planner = placement.IncrementalPlanner(placement.FEW_MOVES)
         plan = planner.plan(expert_map.cold_start(SHAPE), _outlook(3, 2))
         self.assertTrue(plan.is_change)
@@ -105,20 +105,23 @@
         """
         today = expert_map.cold_start(SHAPE)
         sole = {
-            int(one) for one in today.without_ranks({0}).uncovered()[..., 1]
+            int(one)
+            for one in today.without_ranks({0}).without_replica()[..., 1]
         }
         self.assertTrue(sole)
-        plan = placement.StaticMap().plan(today, _outlook(5), {0})
-        plan.target.check()
+        plan = placement.StaticPlanner().plan(today, _outlook(5), {0})
+        plan.new_map.check()
         self.assertEqual({int(expert) for _, _, expert in plan.moves}, sole)
 
     def test_rank_added(self) -> None:
         """A rank that is new and empty takes load from the others."""
         today = expert_map.cold_start(SHAPE).without_ranks({7})
         planner = placement.IncrementalPlanner(placement.EVEN)
-        covered = placement.StaticMap().plan(today, _outlook(6), {7}).target
+        covered = (
+            placement.StaticPlanner().plan(today, _outlook(6), {7}).new_map
+        )
         plan = planner.plan(covered, _outlook(6))
-        self.assertTrue((plan.target.slots[expert_map.ALL, 7] >= 0).any())
+        self.assertTrue((plan.new_map.slots[expert_map.ALL, 7] >= 0).any())
         self.assertLess(plan.skew_after, plan.skew_before / 2)
 
     def test_too_few_slots(self) -> None:
@@ -160,23 +163,23 @@
         self._observe(_shares(1), 5)
         self._observe(_shares(2), 5)
         self._observe(_shares(3), 4)
-        seen = self._forecaster.outlook(6 * 3600).shares
+        seen = self._forecaster.forecast(6 * 3600).shares
         numpy.testing.assert_allclose(seen, _shares(1))
 
     def test_empty_report(self) -> None:
         """A report without tokens is no reason to forget the load."""
         self._observe(_shares(1), 0)
         self._observe(numpy.zeros((SHAPE.layers, SHAPE.experts)), 1)
-        seen = self._forecaster.outlook(2 * 3600).shares
+        seen = self._forecaster.forecast(2 * 3600).shares
         numpy.testing.assert_allclose(seen, _shares(1))
 
     def test_sudden_change(self) -> None:
         """One window after a topic change the forecast has followed it."""
         for window in range(6):
             self._observe(_shares(1), window)
-            self._forecaster.outlook((window + 1) * 3600)
+            self._forecaster.forecast((window + 1) * 3600)
         self._observe(_shares(2), 6)
-        seen = self._forecaster.outlook(7 * 3600).shares
+        seen = self._forecaster.forecast(7 * 3600).shares
         missed = numpy.abs(seen - _shares(2)).sum(axis=1).max()
         self.assertLess(missed, numpy.abs(_shares(1) - _shares(2)).sum() / 30)
 
@@ -186,7 +189,7 @@
         errors = []
         for window in range(days * 24):
             self._observe(_daily(window), window)
-            seen = self._forecaster.outlook((window + 3) * 3600).shares
+            seen = self._forecaster.forecast((window + 3) * 3600).shares
             due = _daily(window + 3)
             errors.append(
                 (
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -447,8 +447,8 @@
         even = documents.Balance(evenness_weight=3, move_weight=1)
         few = documents.Balance(evenness_weight=1, move_weight=3)
         self.assertLess(
-            grouping.trade_off(even).move_seconds,
-            grouping.trade_off(few).move_seconds,
+            grouping.trade_off(even).move_cost_seconds,
+            grouping.trade_off(few).move_cost_seconds,
         )
         nothing = documents.Balance(evenness_weight=0)
-        self.assertGreater(grouping.trade_off(nothing).move_seconds, 1000)
+        self.assertGreater(grouping.trade_off(nothing).move_cost_seconds, 1000)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -152,10 +152,10 @@
 
     def test_short_while(self):
         """Callers lose less by few copies at once than by the evenest map."""
-        cost = group_planning.Cost(
+        cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=SHIFT_SECONDS / 2,
+            stable_seconds=SHIFT_SECONDS / 2,
         )
         before = planning.skew(self.current, self.tokens, ())
         evenest = planning.plan(self.current, self.tokens, self.bounds, ())
@@ -164,13 +164,14 @@
             self.lost(cost, before, staged), self.lost(cost, before, evenest)
         )
         self.assertLess(
-            self.lost(cost, before, staged), cost.lost(before, before, 0)
+            self.lost(cost, before, staged),
+            cost.relative_step_time(before, before, 0),
         )
 
     def test_time_enough(self):
         """Demand that stays is worth the evenest map."""
-        cost = group_planning.Cost(
-            copy_seconds=COPY_SECONDS, switch_seconds=0, lasts_seconds=1000
+        cost = group_planning.MapCost(
+            copy_seconds=COPY_SECONDS, switch_seconds=0, stable_seconds=1000
         )
         evenest = planning.plan(self.current, self.tokens, self.bounds, ())
         self.assertAlmostEqual(
@@ -181,22 +182,24 @@
 
     def test_no_time(self):
         """No copy is made for demand that is over before it is there."""
-        cost = group_planning.Cost(
+        cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=SWITCH_SECONDS,
+            stable_seconds=SWITCH_SECONDS,
         )
         self.assertEqual(self.current, self.plan(cost))
 
     def test_bound_of_a_rank(self):
         """No rank copies more than the bound, however many sets there are."""
-        stages = group_planning.Stages(self.current, self.tokens, self.bounds)
+        stages = group_planning.StagedRebalancer(
+            self.current, self.tokens, self.bounds
+        )
         for most in (1, 2):
             stages.improve(most)
             self.assertEqual(
                 most, planning.most_copies(self.current, stages.result)
             )
-            self.assertEqual(most, stages.most_copies)
+            self.assertEqual(most, stages.max_copies)
 
     def plan(self, cost):
         return group_planning.plan(
@@ -204,7 +207,7 @@
         )
 
     def lost(self, cost, before, wanted):
-        return cost.lost(
+        return cost.relative_step_time(
             before,
             planning.skew(wanted, self.tokens, ()),
             planning.most_copies(self.current, wanted),
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -13,7 +13,7 @@
 def _drain(queue: moves.MoveQueue) -> list[moves.Piece]:
     pieces = []
     while True:
-        piece = queue.start(urgent_near=False)
+        piece = queue.start(urgent_active=False)
         if piece is None:
             return pieces
         queue.finish(piece)
@@ -26,29 +26,29 @@
     def test_one_in_flight(self) -> None:
         """A second piece is handed out only after the first."""
         queue = moves.MoveQueue(MOVES, 2)
-        self.assertIsNotNone(queue.start(urgent_near=False))
-        self.assertIsNone(queue.start(urgent_near=False))
+        self.assertIsNotNone(queue.start(urgent_active=False))
+        self.assertIsNone(queue.start(urgent_active=False))
 
     def test_pause(self) -> None:
         """Nothing is handed out while urgent work is near."""
         queue = moves.MoveQueue(MOVES, 2)
-        self.assertIsNone(queue.start(urgent_near=True))
+        self.assertIsNone(queue.start(urgent_active=True))
 
     def test_interrupted_piece_comes_again(self) -> None:
         """An interrupted piece is loaded again, earlier ones are kept."""
         queue = moves.MoveQueue(MOVES, 2)
-        first = queue.start(urgent_near=False)
+        first = queue.start(urgent_active=False)
         queue.finish(first)
-        second = queue.start(urgent_near=False)
+        second = queue.start(urgent_active=False)
         queue.interrupt(second)
-        self.assertEqual(queue.start(urgent_near=False), second)
+        self.assertEqual(queue.start(urgent_active=False), second)
         self.assertEqual(queue.progress.loaded, 1)
 
     def test_lost_expert_first(self) -> None:
         """An expert without a replica goes first and is never paused."""
         lost = moves.Move(1, 1, 1, urgent=True)
         queue = moves.MoveQueue((*MOVES, lost), 2)
-        self.assertEqual(queue.start(urgent_near=True).move, lost)
+        self.assertEqual(queue.start(urgent_active=True).move, lost)
 
     def test_resume(self) -> None:
         """A queue made anew skips what the rank has loaded."""
@@ -60,7 +60,7 @@
         queue = moves.MoveQueue(MOVES, 2)
         queue.cancel()
         with self.assertRaises(moves.MovesCancelled):
-            queue.start(urgent_near=False)
+            queue.start(urgent_active=False)
         self.assertTrue(queue.progress.cancelled)
 
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -20,9 +20,9 @@
 COMPLETE = messages.Ran.COMPLETE
 
 
-def known(point, cause, said=None, is_whole=False):
+def known(stage, cause, reported=None, is_whole=False):
     ending = outcomes.Ending(
-        point=point, cause=cause, said=said, is_whole=is_whole
+        stage=stage, cause=cause, reported=reported, is_whole=is_whole
     )
     return outcomes.classify(ending)
 
@@ -36,26 +36,30 @@
         Once bytes have left, nothing but the agent's own word makes it 'not
         run', whatever the error is called: a retry would run it twice.
         """
-        pairs = itertools.product(outcomes.Point, outcomes.Cause)
-        for point, cause in pairs:
-            with self.subTest(point=point, cause=cause):
+        pairs = itertools.product(outcomes.CallStage, outcomes.Cause)
+        for stage, cause in pairs:
+            with self.subTest(stage=stage, cause=cause):
                 expected = MAY_HAVE_RUN
-                if point < outcomes.Point.BYTES_LEFT:
+                if stage < outcomes.CallStage.BYTES_SENT:
                     expected = NOT_RUN
-                self.assertEqual(known(point, cause), expected)
+                self.assertEqual(known(stage, cause), expected)
 
     def test_agents_word(self):
-        point = outcomes.Point
-        said = outcomes.Cause.AGENT_SAID
-        self.assertEqual(known(point.BYTES_LEFT, said, NOT_RUN), NOT_RUN)
-        self.assertEqual(known(point.HEAD_SEEN, said, NOT_RUN), MAY_HAVE_RUN)
-        whole = known(point.END_SEEN, said, COMPLETE, is_whole=True)
+        stage = outcomes.CallStage
+        said = outcomes.Cause.AGENT_REPORTED
+        self.assertEqual(known(stage.BYTES_SENT, said, NOT_RUN), NOT_RUN)
+        self.assertEqual(
+            known(stage.HEAD_RECEIVED, said, NOT_RUN), MAY_HAVE_RUN
+        )
+        whole = known(stage.END_RECEIVED, said, COMPLETE, is_whole=True)
         self.assertEqual(whole, COMPLETE)
 
     def test_short_answer_is_not_complete(self):
         """The end says complete, but events before it never arrived."""
         ended = known(
-            outcomes.Point.END_SEEN, outcomes.Cause.AGENT_SAID, COMPLETE
+            outcomes.CallStage.END_RECEIVED,
+            outcomes.Cause.AGENT_REPORTED,
+            COMPLETE,
         )
         self.assertEqual(ended, MAY_HAVE_RUN)
 
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -65,12 +65,14 @@
             for weight, where in zip(weights, sides, strict=True)
             if where == sides[number]
         ]
-        fleet = known_entries.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.KnownEntries(
+            name, functools.partial(tuple, names)
+        )
         share = weights[number] / sum(side)
         part = rate_limit.Part(
             rate_limit.Demand(share=share, entries=len(side)),
             fleet.count(),
-            fleet.place(TARGET),
+            fleet.position(TARGET),
         )
         wanted = PRESSED * rate * weights[number] / sum(weights)
         sender = Sender(part, wanted)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -91,7 +91,7 @@
 def places(prefix, count):
     zones = ('east', 'west', 'north')
     return [
-        subsets.Place(f'{prefix}-{rank}', zones[rank % 3])
+        subsets.Endpoint(f'{prefix}-{rank}', zones[rank % 3])
         for rank in range(count)
     ]
 
@@ -173,7 +173,9 @@
         for tenth in range(int(start * 10), int(stop * 10)):
             for rank in range(count):
                 step = 40.0 if rank in slow else 7.0
-                self.ejection.report(f'g-{rank}', step, running, tenth / 10)
+                self.ejection.observe_step(
+                    f'g-{rank}', step, running, tenth / 10
+                )
 
     def test_stalled_group_leaves_and_returns(self):
         """One rank stalls, its whole group is slow, and later recovers.
@@ -197,7 +199,7 @@
         """
         self.report({0}, 0, 1)
         for tenth in range(10, 60):
-            self.ejection.report('g-0', 40.0, 0, tenth / 10)
+            self.ejection.observe_step('g-0', 40.0, 0, tenth / 10)
         self.assertGreater(self.ejection.share('g-0', 6.0), 0.5)
 
     def test_stall_that_lasts_is_out_longer(self):
@@ -212,11 +214,11 @@
 
     def test_one_bad_answer(self):
         for rank in range(4):
-            self.ejection.answered(f'g-{rank}', is_good=True, now=0)
-        self.ejection.answered('g-0', is_good=False, now=0)
+            self.ejection.record_result(f'g-{rank}', is_good=True, now=0)
+        self.ejection.record_result('g-0', is_good=False, now=0)
         self.assertEqual(self.ejection.share('g-0', 0), 1)
         for _ in range(5):
             for rank in range(4):
                 good = rank > 0
-                self.ejection.answered(f'g-{rank}', is_good=good, now=0)
+                self.ejection.record_result(f'g-{rank}', is_good=good, now=0)
         self.assertEqual(self.ejection.share('g-0', 0), 0)
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -594,14 +594,14 @@
             tuple(range(rank * 6, rank * 6 + 6)) for rank in range(12)
         )
         tokens = [generator.lognormvariate(0, 1) for _ in range(72)]
-        bounds = rebalancing.Bounds(places=8, spare=3)
-        planned = rebalancing.even(current, tokens, bounds)
+        bounds = rebalancing.Bounds(slots=8, max_new=3)
+        planned = rebalancing.rebalance(current, tokens, bounds)
         self.assertLess(rebalancing.skew(planned, tokens), 1.5)
         self.assertGreater(rebalancing.skew(current, tokens), 2)
         for before, after in zip(current, planned, strict=True):
-            self.assertLessEqual(len(after), bounds.places)
+            self.assertLessEqual(len(after), bounds.slots)
             self.assertLessEqual(
-                len(set(after).difference(before)), bounds.spare
+                len(set(after).difference(before)), bounds.max_new
             )
         placed = {expert for held in planned for expert in held}
         self.assertEqual(set(range(72)), placed)
@@ -616,15 +616,15 @@
         """
         generator = random.Random(7)
         current = tuple(tuple(range(rank, 252, 63)) for rank in range(63))
-        bounds = rebalancing.Bounds(places=5, spare=2)
+        bounds = rebalancing.Bounds(slots=5, max_new=2)
         for _ in range(3):
             tokens = [generator.lognormvariate(0, 0.65) for _ in range(252)]
-            planned = rebalancing.even(current, tokens, bounds)
+            planned = rebalancing.rebalance(current, tokens, bounds)
             self.assertLess(rebalancing.skew(planned, tokens), 1.2)
             for before, after in zip(current, planned, strict=True):
-                self.assertLessEqual(len(after), bounds.places)
+                self.assertLessEqual(len(after), bounds.slots)
                 self.assertLessEqual(
-                    len(set(after).difference(before)), bounds.spare
+                    len(set(after).difference(before)), bounds.max_new
                 )
             current = planned
 
@@ -639,8 +639,8 @@
         )
         tokens = tuple(10 for _ in range(72))
         paces = [12, *(1 for _ in range(11))]
-        bounds = rebalancing.Bounds(places=8, spare=3)
-        planned = rebalancing.even(current, tokens, bounds, paces)
+        bounds = rebalancing.Bounds(slots=8, max_new=3)
+        planned = rebalancing.rebalance(current, tokens, bounds, paces)
         self.assertGreater(rebalancing.skew(current, tokens, paces), 10)
         self.assertLess(rebalancing.skew(planned, tokens, paces), 2)
         placed = {expert for held in planned for expert in held}
@@ -650,10 +650,10 @@
     def test_even_load_moves_nothing(self):
         """Where nothing is gained, nothing is copied."""
         current = tuple((rank, rank + 4) for rank in range(4))
-        planned = rebalancing.even(
+        planned = rebalancing.rebalance(
             current, tuple(5 for _ in range(8)), rebalancing.Bounds(4, 2)
         )
-        self.assertEqual(0, rebalancing.copies(current, planned))
+        self.assertEqual(0, rebalancing.count_copies(current, planned))
 
 
 class DemandCase(unittest.TestCase):
--- a/tests/test_subset_links.py
+++ b/tests/test_subset_links.py
@@ -10,7 +10,7 @@
 
 def places(kind, count):
     return {
-        f'{kind}-{number}': subsets.Place(
+        f'{kind}-{number}': subsets.Endpoint(
             f'{kind}-{number}',
             ZONES[number % len(ZONES)],
         )
@@ -47,7 +47,7 @@
         for name in ('entry-1', 'entry-9', 'target-7'):
             self.entries.pop(name, None)
             self.targets.pop(name, None)
-        self.entries['entry-99'] = subsets.Place('entry-99', 'b')
+        self.entries['entry-99'] = subsets.Endpoint('entry-99', 'b')
         ranked.set_entries(self.entries)
         ranked.set_targets(self.targets)
         anew = subset_of(own, self.entries, self.targets)
--- a/tests/test_target_load.py
+++ b/tests/test_target_load.py
@@ -71,7 +71,7 @@
 
     def test_own_pace_beats_old_report(self):
         self.load.report(policy_case.report(1, age_ms=300), 1.0)
-        self.load.paced(0.06, 1.0)
+        self.load.observe_pace(0.06, 1.0)
         self.assertAlmostEqual(self.load.step_seconds, 0.06)
         self.load.report(policy_case.report(2), 1.2)
         self.assertAlmostEqual(self.load.step_seconds, 0.01)
@@ -161,7 +161,7 @@
         self.assertEqual(self.view.cached_tokens((7,)), affinity.BLOCK_TOKENS)
 
     def test_memory_is_bounded(self):
-        view = affinity.PrefixView(affinity.AffinitySettings(limit=3))
+        view = affinity.PrefixView(affinity.AffinitySettings(max_prefixes=3))
         view.sent(range(10))
         self.assertEqual(view.cached_tokens((6,)), 0)
         self.assertGreater(view.cached_tokens((9,)), 0)
--- a/tests/test_urgent_gate.py
+++ b/tests/test_urgent_gate.py
@@ -45,7 +45,7 @@
     async def near_while_open(self, priority):
         """Tell whether urgent work is near during a call and after it."""
         client = SlowClient()
-        signal = loading.UrgentSignal(moves.UrgentWatch(quiet_seconds=0))
+        signal = loading.UrgentSignal(moves.UrgentCallMonitor(pause_seconds=0))
         guard = gate.Gate(
             gate.GateOptions(target_id='t', is_model=True, call_limit=1),
             client,
