--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -6,7 +6,7 @@
 import collections.abc
 
 from tamarackthread.entry.direct import starts, target_lines
-from tamarackthread.policy import cold_start, fleets, rate_limit
+from tamarackthread.policy import cold_start, known_entries, rate_limit
 from tamarackthread.shared.site import groups, zones
 
 # The targets of a zone that is taken back are taken for cold for so long, whatever
@@ -26,7 +26,7 @@
     def __init__(
         self,
         shares: cold_start.ColdStartLimits | None = None,
-        fleet: fleets.Fleet | None = None,
+        fleet: known_entries.KnownEntries | None = None,
     ) -> None:
         """Begin with every target in service.
 
@@ -127,7 +127,7 @@
             part = rate_limit.EntryShare(
                 demand,
                 self._fleet.count(),
-                self._fleet.place(target.name),
+                self._fleet.position(target.name),
             )
         return target.limit.may_take(target.sent, part, now)
 
