--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -18,11 +18,11 @@
 from tamarackthread.control.site import loads
 from tamarackthread.control.site.maps import owner, planning
 from tamarackthread.entry.direct import (
-    admitting,
+    admission_control,
     calls,
     failures,
-    sharing,
-    starts,
+    instances,
+    load_exchange,
     targets,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -112,7 +112,7 @@
             names, self._entries, self._lines, strict=True
         ):
             links = _Links(name, summed)
-            shared = sharing.Sharing(
+            shared = load_exchange.Sharing(
                 known, links, _hosts, names.copy, line.share
             )
             tasks.append(asyncio.create_task(shared.run()))
@@ -132,10 +132,10 @@
             )
         return known
 
-    def _line(self, known: targets.Targets) -> admitting.Line:
+    def _line(self, known: targets.Targets) -> admission_control.Line:
         bound = self._variant.bound or call_bounds.Unbounded
         empty = self._engine.stride * self._engine.step
-        return admitting.Line(
+        return admission_control.Line(
             SERVICE,
             bound(self._site.gap, empty),
             known,
@@ -205,7 +205,7 @@
         self,
         known: targets.Targets,
         tried: list[str],
-    ) -> starts.Start:
+    ) -> instances.Start:
         if self._variant.route == 'ours':
             found = known.choose(SERVICE, tried)
             assert found is not None
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -22,7 +22,7 @@
 import async_solipsism
 import attrs
 
-from tamarackthread.entry.direct import records, starts, targets
+from tamarackthread.entry.direct import instances, outlier_detection, targets
 from tamarackthread.policy import backpressure, cold, fleets
 from tamarackthread.shared.site import announcements
 
@@ -113,7 +113,7 @@
             name: self._entry(name, names, number)
             for number, name in enumerate(names)
         }
-        self._under_way: list[tuple[float, str, starts.Start]] = []
+        self._under_way: list[tuple[float, str, instances.Start]] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     async def run(self, seconds: float) -> dict[str, typing.Any]:
@@ -199,7 +199,9 @@
                 entry.forget_others()
                 continue
             others = {
-                target: summed.minus(own[name].get(target, records.IDLE))
+                target: summed.minus(
+                    own[name].get(target, outlier_detection.IDLE)
+                )
                 for target, summed in sums.items()
             }
             entry.share(others, len(own))
@@ -223,14 +225,14 @@
 
 
 def _sums(
-    told: collections.abc.Iterable[dict[str, records.Load]],
-) -> dict[str, records.Load]:
+    told: collections.abc.Iterable[dict[str, outlier_detection.Load]],
+) -> dict[str, outlier_detection.Load]:
     """Add the calls that some entries have and had, by target."""
-    sums: dict[str, records.Load] = {}
+    sums: dict[str, outlier_detection.Load] = {}
     for loads in told:
         for target, load in loads.items():
-            held = sums.get(target, records.IDLE)
-            sums[target] = records.Load(
+            held = sums.get(target, outlier_detection.IDLE)
+            sums[target] = outlier_detection.Load(
                 held.calls + load.calls, held.ends.plus(load.ends)
             )
     return sums
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -19,14 +19,14 @@
 from aiohttp import web
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
-    front,
-    ledger,
-    running,
-    sending,
-    table,
+    admission_control,
+    call_log,
+    call_runner,
+    frontend,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings
@@ -75,24 +75,24 @@
         generator = random.Random(1)
         spoken = dialect.PlatformDialect()
         self._known = targets.Targets('z', 1.0, generator)
-        self._sender = sending.Sender(spoken)
+        self._sender = target_client.Sender(spoken)
         await self._sender.start()
-        tables = table.Holder()
-        tables.put(table.Table(_configuration()))
+        tables = routing_table.Holder()
+        tables.put(routing_table.Table(_configuration()))
         site = settings.Site(seeds=(), link_port=1)
-        self._front = front.Front(
+        self._front = frontend.Front(
             spoken,
             tables,
-            running.Runner(
+            call_runner.Runner(
                 self._known,
                 self._sender,
-                budgets.Budgets(site, lambda: 1, loop.time),
-                admitting.Admission(self._known, lambda: 1),
-                crashing.Crashing(),
+                retry_budgets.Budgets(site, lambda: 1, loop.time),
+                admission_control.Admission(self._known, lambda: 1),
+                poison_requests.Crashing(),
                 generator,
             ),
             generator,
-            ledger.Ledger(),
+            call_log.Ledger(),
         )
         self._address = await self._front.start('127.0.0.1:0')
         self._runner = web.ServerRunner(web.Server(_answer))
--- a/tamarackthread/entry/direct/ledger.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -6,7 +6,7 @@
 import collections
 import logging
 
-from tamarackthread.entry.direct import calls, sink, tempo
+from tamarackthread.entry.direct import calls, sink, stream_timing
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
@@ -35,7 +35,7 @@
         self,
         call: calls.Call,
         version: int,
-        pieces: tempo.Tempo,
+        pieces: stream_timing.Tempo,
     ) -> None:
         """Note a whole answer; it is logged if it was late, or by sample."""
         now = asyncio.get_running_loop().time()
@@ -130,7 +130,7 @@
 def _is_late(
     call: calls.Call,
     took: float,
-    pieces: tempo.Tempo,
+    pieces: stream_timing.Tempo,
 ) -> bool:
     """Tell whether an answer came too late, or a stream paused too long."""
     if not pieces.first_at:
--- a/tamarackthread/entry/direct/progressing.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tamarackthread.entry.direct import calls, starts
+from tamarackthread.entry.direct import calls, instances
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
@@ -31,7 +31,7 @@
     refused: list[str] = attrs.field(factory=list)
     skipped: set[str] = attrs.field(factory=set)
     may_have_run: bool = False
-    trying: starts.Start | None = None
+    trying: instances.Start | None = None
     is_unnumbered: bool = False
     position: int = -1
     failure: errors.CodedError | None = None
@@ -50,7 +50,7 @@
 
 def tell(
     call: calls.Call,
-    target: starts.Start,
+    target: instances.Start,
     progress: Progress,
     failure: errors.CodedError,
 ) -> None:
--- a/tamarackthread/entry/direct/running.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -6,19 +6,19 @@
 import random
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
+    admission_control,
+    call_progress,
     calls,
-    crashing,
-    events,
     failures,
-    progressing,
-    sending,
+    instances,
+    poison_requests,
+    retry_budgets,
     sink,
-    starts,
+    sse,
+    target_client,
     targets,
 )
-from tamarackthread.entry.direct import tempo as tempos
+from tamarackthread.entry.direct import stream_timing as tempos
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import configuration, figures
 
@@ -48,10 +48,10 @@
     def __init__(
         self,
         known: targets.Targets,
-        sender: sending.Sender,
-        budget: budgets.Budgets,
-        admission: admitting.Admission,
-        crashing: crashing.Crashing,
+        sender: target_client.Sender,
+        budget: retry_budgets.Budgets,
+        admission: admission_control.Admission,
+        crashing: poison_requests.Crashing,
         generator: random.Random,
     ) -> None:
         """Choose among ``known`` and send with ``sender``."""
@@ -69,7 +69,7 @@
         answer may have begun by then.
         """
         self._crashing.check(call)
-        progress = progressing.Progress()
+        progress = call_progress.Progress()
         self._budget.earn(call.service)
         try:
             async with asyncio.timeout_at(call.deadline):
@@ -80,7 +80,7 @@
                 progress.sent.append(progress.trying.name)
                 progress.may_have_run = True
                 passed = failures.DeadlinePassed('no answer')
-                progressing.tell(call, progress.trying, progress, passed)
+                call_progress.tell(call, progress.trying, progress, passed)
             if progress.may_have_run:
                 raise failures.DeadlinePassed(progress.names) from exc
             raise failures.DeadlineBeforeSend(
@@ -90,7 +90,7 @@
     async def _try_until_answered(
         self,
         call: calls.Call,
-        progress: progressing.Progress,
+        progress: call_progress.Progress,
         out: sink.Sink,
     ) -> None:
         while True:
@@ -101,8 +101,8 @@
     async def _is_answered(
         self,
         call: calls.Call,
-        target: starts.Start,
-        progress: progressing.Progress,
+        target: instances.Start,
+        progress: call_progress.Progress,
         out: sink.Sink,
     ) -> bool:
         """Try a target; tell whether the caller has its answer now."""
@@ -116,7 +116,7 @@
         except errors.CodedError as exc:
             self._crashing.failed(call, target, exc)
             self._learn(call, target, progress, exc)
-            progressing.tell(call, target, progress, exc)
+            call_progress.tell(call, target, progress, exc)
             return False
         finally:
             target.own -= 1
@@ -129,8 +129,8 @@
     async def _next_target(
         self,
         call: calls.Call,
-        progress: progressing.Progress,
-    ) -> starts.Start:
+        progress: call_progress.Progress,
+    ) -> instances.Start:
         """Choose where to try next; raise the call's end if nowhere."""
         if progress.failure is not None and not self._may_try(call, progress):
             raise self._end(call, progress)
@@ -146,7 +146,7 @@
         return target
 
     def _may_try(
-        self, call: calls.Call, progress: progressing.Progress
+        self, call: calls.Call, progress: call_progress.Progress
     ) -> bool:
         if progress.may_have_run and not self._may_repeat(call):
             return False
@@ -170,8 +170,8 @@
     async def _try(
         self,
         call: calls.Call,
-        target: starts.Start,
-        progress: progressing.Progress,
+        target: instances.Start,
+        progress: call_progress.Progress,
         out: sink.Sink,
     ) -> None:
         position = call.asked.position
@@ -185,16 +185,16 @@
                 return
             body = await answer.whole()
             if self._is_worth_another(call, progress, answer.head.status):
-                raise sending.Lost(f'status {answer.head.status}')
+                raise target_client.Lost(f'status {answer.head.status}')
             if out.has_started:
-                raise sending.Lost(f'status {answer.head.status}')
+                raise target_client.Lost(f'status {answer.head.status}')
             self._note(target, is_good=answer.head.status < FAILED_STATUS)
             await out.whole(answer.head, body)
 
     def _is_worth_another(
         self,
         call: calls.Call,
-        progress: progressing.Progress,
+        progress: call_progress.Progress,
         status: int,
     ) -> bool:
         """Tell whether a failure of a target's own may be tried elsewhere."""
@@ -207,12 +207,12 @@
     async def _relay(
         self,
         call: calls.Call,
-        answer: sending.Answer,
-        progress: progressing.Progress,
+        answer: target_client.Answer,
+        progress: call_progress.Progress,
         out: sink.Sink,
     ) -> None:
         """Pass events on as they come, each at most once and in order."""
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         now = asyncio.get_running_loop().time()
         figures.FIRST_SECONDS.labels(call.service).observe(now - call.arrived)
         if not out.has_started:
@@ -250,34 +250,34 @@
     def _learn(
         self,
         call: calls.Call,
-        target: starts.Start,
-        progress: progressing.Progress,
+        target: instances.Start,
+        progress: call_progress.Progress,
         failure: errors.CodedError,
     ) -> None:
         progress.failure = failure
         progress.trying = None
         now = asyncio.get_running_loop().time()
-        if isinstance(failure, sending.NotSent):
+        if isinstance(failure, target_client.NotSent):
             target.failed(now)
             progress.skipped.add(target.name)
             return
-        if isinstance(failure, sending.Elsewhere):
+        if isinstance(failure, target_client.Elsewhere):
             # The target that was meant never saw it, so it is no try at one.
             self._known.gone(target)
             progress.skipped.add(target.name)
             return
-        if isinstance(failure, (sending.Refused, sending.Lost)):
+        if isinstance(failure, (target_client.Refused, target_client.Lost)):
             # All ranks of a group refuse or lose what they have when one is lost.
             progress.left.add(target.group)
             self._note(target, is_good=False)
-        if isinstance(failure, sending.Refused):
+        if isinstance(failure, target_client.Refused):
             self._admission.refused(call, target.name)
             progress.refused.append(target.name)
             return
         progress.sent.append(target.name)
         progress.may_have_run = True
 
-    def _note(self, target: starts.Start, *, is_good: bool) -> None:
+    def _note(self, target: instances.Start, *, is_good: bool) -> None:
         """Note how a call has ended at a target."""
         now = asyncio.get_running_loop().time()
         target.record.note(is_good=is_good, now=now)
@@ -285,7 +285,7 @@
     def _end(
         self,
         call: calls.Call,
-        progress: progressing.Progress,
+        progress: call_progress.Progress,
     ) -> errors.CodedError:
         """Tell the caller's end: not run, or may have run."""
         if progress.may_have_run:
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -4,12 +4,12 @@
 
 import collections.abc
 
-from tamarackthread.entry.direct import starts
+from tamarackthread.entry.direct import instances
 from tamarackthread.policy import rate_limit
 
 
 def of(
-    known: collections.abc.Sequence[starts.Start],
+    known: collections.abc.Sequence[instances.Start],
     entries: int,
     now: float,
 ) -> rate_limit.Demand | None:
--- a/tamarackthread/entry/direct/arrivals.py
+++ b/tamarackthread/entry/direct/discovery.py
@@ -6,7 +6,7 @@
 import collections.abc
 import contextlib
 
-from tamarackthread.entry.direct import starts
+from tamarackthread.entry.direct import instances
 
 # After so many beats every target has announced itself, one beat being lost.
 BEATS_TO_WARM = 2.2
@@ -18,7 +18,7 @@
 # some, and most aims are twice this.
 CALM_SECONDS = 0.2
 
-_Choose = collections.abc.Callable[[], starts.Start | None]
+_Choose = collections.abc.Callable[[], instances.Start | None]
 
 
 class Arrivals:
--- a/tamarackthread/entry/direct/learned.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -4,7 +4,11 @@
 
 import logging
 
-from tamarackthread.entry.direct import admitting, table, targets
+from tamarackthread.entry.direct import (
+    admission_control,
+    routing_table,
+    targets,
+)
 from tamarackthread.policy import cold
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import (
@@ -27,8 +31,8 @@
         self,
         known: targets.Targets,
         reader: configuration.Reader,
-        tables: table.Holder,
-        admission: admitting.Admission,
+        tables: routing_table.Holder,
+        admission: admission_control.Admission,
         shares: cold.Shares,
     ) -> None:
         """Put what is learned into the parts that need it."""
@@ -74,7 +78,7 @@
             # goes on with what it has, which is better than nothing.
             _log.error('entry: cannot read version %d, %s', held.version, exc)
             return
-        self._tables.put(table.Table(read))
+        self._tables.put(routing_table.Table(read))
         self._admission.learn(read)
         self._shares.learn({one.name: one.cold_rate for one in read.services})
         figures.VERSION.set(held.version)
--- a/tamarackthread/entry/direct/front.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -11,14 +11,14 @@
 from aiohttp import web
 
 from tamarackthread.entry.direct import (
+    call_log,
+    call_runner,
     calls,
     dialect,
     failures,
-    ledger,
-    running,
-    sending,
+    routing_table,
     sink,
-    table,
+    target_client,
 )
 from tamarackthread.shared import errors, logs
 from tamarackthread.shared.site import figures
@@ -42,10 +42,10 @@
     def __init__(
         self,
         spoken: dialect.Dialect,
-        tables: table.Holder,
-        runner: running.Runner,
+        tables: routing_table.Holder,
+        runner: call_runner.Runner,
         generator: random.Random,
-        counted: ledger.Ledger,
+        counted: call_log.Ledger,
     ) -> None:
         """Serve nothing until ``start``."""
         self._ledger = counted
@@ -222,7 +222,7 @@
             asked=asked,
             body=body,
             route=found.route,
-            service=table.pick_service(found.route, self._random),
+            service=routing_table.pick_service(found.route, self._random),
             organisation=found.organisation,
             arrived=arrived,
             deadline=arrived + left,
@@ -246,7 +246,8 @@
             headers.append(('Retry-After', f'{failure.retry_after:.2f}'))
         body = {'error': {'code': failure.code, 'message': str(failure)}}
         await out.whole(
-            sending.Head(failure.status, headers), json.dumps(body).encode()
+            target_client.Head(failure.status, headers),
+            json.dumps(body).encode(),
         )
 
 
--- a/tamarackthread/entry/direct/starts.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from tamarackthread.entry.direct import records
+from tamarackthread.entry.direct import outlier_detection
 from tamarackthread.policy import backpressure, rate_limit, sent_calls
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import announcements
@@ -47,7 +47,9 @@
     pause: float = 0
     pace: float = 1
     group: str = ''
-    record: records.Record = attrs.field(factory=records.Record)
+    record: outlier_detection.Record = attrs.field(
+        factory=outlier_detection.Record
+    )
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
--- a/tamarackthread/entry/direct/sharing.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -6,7 +6,11 @@
 import collections.abc
 import logging
 
-from tamarackthread.entry.direct import crashing, records, targets
+from tamarackthread.entry.direct import (
+    outlier_detection,
+    poison_requests,
+    targets,
+)
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, peers
 
@@ -41,14 +45,14 @@
         hosts: Names,
         entries: Names,
         on_exchange: collections.abc.Callable[[], None],
-        suspected: crashing.Crashing | None = None,
+        suspected: poison_requests.Crashing | None = None,
     ) -> None:
         """Exchange what ``known`` holds with one of ``hosts``.
 
         ``on_exchange`` is called after each exchange, also after one that no
         host has answered.  What is known of ``suspected`` calls goes both ways.
         """
-        self._suspected = suspected or crashing.Crashing()
+        self._suspected = suspected or poison_requests.Crashing()
         self._known = known
         self._links = links
         self._hosts = hosts
@@ -57,7 +61,7 @@
         self._host = ''
         self._epoch = 0
         self._serial = 0
-        self._sums: dict[str, records.Load] = {}
+        self._sums: dict[str, outlier_detection.Load] = {}
         self._told_serial = NEVER_TOLD
         self._heard_serial = 0
 
@@ -118,7 +122,7 @@
     def _take(
         self,
         reply: messages.SiteLoadReply,
-        own: dict[str, records.Load],
+        own: dict[str, outlier_detection.Load],
     ) -> None:
         if reply.epoch != self._epoch:
             self._sums = {}
@@ -129,13 +133,13 @@
         self._heard_serial = reply.suspects_serial or 0
         self._suspected.share(reply.suspects or ())
         for row in reply.changed:
-            ends = records.Tally(row.answered or 0, row.failed or 0)
-            self._sums[row.id] = records.Load(row.calls, ends)
-            if self._sums[row.id] == records.IDLE:
+            ends = outlier_detection.Tally(row.answered or 0, row.failed or 0)
+            self._sums[row.id] = outlier_detection.Load(row.calls, ends)
+            if self._sums[row.id] == outlier_detection.IDLE:
                 self._sums.pop(row.id)
         self._known.share(
             {
-                target: load.minus(own.get(target, records.IDLE))
+                target: load.minus(own.get(target, outlier_detection.IDLE))
                 for target, load in self._sums.items()
             },
             reply.entries or 1,
--- a/tamarackthread/entry/direct/crashing.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -7,7 +7,12 @@
 import hashlib
 import logging
 
-from tamarackthread.entry.direct import calls, failures, sending, starts
+from tamarackthread.entry.direct import (
+    calls,
+    failures,
+    instances,
+    target_client,
+)
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import suspects
 from tamarackthread.shared import errors, log_events
@@ -48,7 +53,7 @@
     def failed(
         self,
         call: calls.Call,
-        target: starts.Start,
+        target: instances.Start,
         failure: errors.CodedError,
     ) -> None:
         """Note how a try has failed.
@@ -56,7 +61,7 @@
         Only a target that was lost before it answered tells against the call: a
         stream that breaks off later was run by one that bore it.
         """
-        if not isinstance(failure, sending.Unanswered):
+        if not isinstance(failure, target_client.Unanswered):
             return
         now = asyncio.get_running_loop().time()
         start = f'{target.name}/{target.said.born}'
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -7,17 +7,17 @@
 import random
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
+    admission_control,
+    call_log,
+    call_runner,
     dialect,
-    front,
-    learned,
-    ledger,
-    running,
-    sending,
-    sharing,
-    table,
+    feed_handler,
+    frontend,
+    load_exchange,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings as generated
@@ -63,19 +63,21 @@
             shares,
             fleet,
         )
-        self._ledger = ledger.Ledger()
+        self._ledger = call_log.Ledger()
         self._page = figures.Page()
-        tables = table.Holder()
-        admission = admitting.Admission(
+        tables = routing_table.Holder()
+        admission = admission_control.Admission(
             self._targets, lambda: len(self._follower.entries)
         )
         self._follower = following.Follower(
             self._site,
             self._links,
-            learned.Learned(self._targets, reader, tables, admission, shares),
+            feed_handler.Learned(
+                self._targets, reader, tables, admission, shares
+            ),
         )
-        suspected = crashing.Crashing()
-        self._sharing = sharing.Sharing(
+        suspected = poison_requests.Crashing()
+        self._sharing = load_exchange.Sharing(
             self._targets,
             self._links,
             lambda: self._follower.followed,
@@ -83,14 +85,14 @@
             admission.share,
             suspected,
         )
-        self._sender = sending.Sender(spoken)
-        self._front = front.Front(
+        self._sender = target_client.Sender(spoken)
+        self._front = frontend.Front(
             spoken,
             tables,
-            running.Runner(
+            call_runner.Runner(
                 self._targets,
                 self._sender,
-                budgets.Budgets(
+                retry_budgets.Budgets(
                     self._site,
                     lambda: len(self._follower.entries),
                     loop.time,
--- a/tamarackthread/entry/direct/choosing.py
+++ b/tamarackthread/entry/direct/selection.py
@@ -5,7 +5,7 @@
 import collections.abc
 import random
 
-from tamarackthread.entry.direct import starts
+from tamarackthread.entry.direct import instances
 
 # Targets that are drawn for a call, of which the least loaded gets it.  What
 # other entries have sent since the last exchange is not known: if all of them
@@ -19,7 +19,7 @@
 # Below this share of swift ranks, the others have not the places for all calls.
 SWIFT_SHARE = 0.5
 
-_Starts = collections.abc.Sequence[starts.Start]
+_Starts = collections.abc.Sequence[instances.Start]
 
 
 class Chooser:
@@ -30,7 +30,7 @@
         self._zone = zone
         self._random = generator
 
-    def best(self, usable: _Starts, now: float) -> starts.Start | None:
+    def best(self, usable: _Starts, now: float) -> instances.Start | None:
         """Choose among targets that have not said that they leave.
 
         Without one that is surely up, one that has fallen silent or refused
@@ -56,7 +56,7 @@
         drawn = self._random.sample(near, count)
         return [*drawn, *self._random.sample(usable, COMPARED - count)]
 
-    def _rank(self, target: starts.Start) -> tuple[float, bool, float]:
+    def _rank(self, target: instances.Start) -> tuple[float, bool, float]:
         is_far = target.said.zone != self._zone
         return target.load, is_far, self._random.random()
 
@@ -71,5 +71,5 @@
     return found if len(found) >= SWIFT_SHARE * len(ready) else ready
 
 
-def _paused_until(target: starts.Start) -> float:
+def _paused_until(target: instances.Start) -> float:
     return target.paused_until
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from tamarackthread.entry.direct import sending, tempo
+from tamarackthread.entry.direct import stream_timing, target_client
 
 
 class CallerLeft(Exception):
@@ -25,11 +25,11 @@
 
     @property
     @abc.abstractmethod
-    def tempo(self) -> tempo.Tempo:
+    def tempo(self) -> stream_timing.Tempo:
         """Return when the pieces of the body left."""
 
     @abc.abstractmethod
-    async def start(self, head: sending.Head) -> None:
+    async def start(self, head: target_client.Head) -> None:
         """Send the head; the body follows in pieces."""
 
     @abc.abstractmethod
@@ -41,7 +41,7 @@
         """End the answer as whole."""
 
     @abc.abstractmethod
-    async def whole(self, head: sending.Head, body: bytes) -> None:
+    async def whole(self, head: target_client.Head, body: bytes) -> None:
         """Send a whole answer at once."""
 
 
@@ -57,7 +57,7 @@
         self._request = request
         self._is_last = is_last
         self._response: web.StreamResponse | None = None
-        self._tempo = tempo.Tempo()
+        self._tempo = stream_timing.Tempo()
 
     @property
     def has_started(self) -> bool:
@@ -65,7 +65,7 @@
         return self._response is not None
 
     @property
-    def tempo(self) -> tempo.Tempo:
+    def tempo(self) -> stream_timing.Tempo:
         """Return when the pieces of a stream left."""
         return self._tempo
 
@@ -75,7 +75,7 @@
         assert self._response is not None
         return self._response
 
-    async def start(self, head: sending.Head) -> None:
+    async def start(self, head: target_client.Head) -> None:
         """Send the head; the body goes out in chunks."""
         response = web.StreamResponse(status=head.status)
         self._fill(response, head)
@@ -102,7 +102,7 @@
         except OSError as exc:
             raise CallerLeft from exc
 
-    async def whole(self, head: sending.Head, body: bytes) -> None:
+    async def whole(self, head: target_client.Head, body: bytes) -> None:
         """Send head and body with their length."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall('Content-Type', None)
@@ -129,7 +129,9 @@
         if self._request.transport is not None:
             self._request.transport.abort()
 
-    def _fill(self, response: web.StreamResponse, head: sending.Head) -> None:
+    def _fill(
+        self, response: web.StreamResponse, head: target_client.Head
+    ) -> None:
         for name, value in head.headers:
             response.headers.add(name, value)
         if self._is_last():
--- a/tamarackthread/entry/direct/sending.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -13,8 +13,8 @@
 from tamarackthread.entry.direct import (
     calls,
     dialect,
-    starts,
-    target_lines,
+    instances,
+    target_log,
 )
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import configuration
@@ -160,7 +160,7 @@
     async def send(
         self,
         call: calls.Call,
-        target: starts.Start,
+        target: instances.Start,
         position: str,
     ) -> collections.abc.AsyncIterator[Answer]:
         """Send a call and give the target's answer once its head has come.
@@ -201,7 +201,7 @@
     def _judged(
         self,
         call: calls.Call,
-        target: starts.Start,
+        target: instances.Start,
         response: aiohttp.ClientResponse,
     ) -> Answer:
         said = self._dialect.judge(call, response.status, response.headers)
@@ -217,7 +217,7 @@
 
     def _hear(
         self,
-        target: starts.Start,
+        target: instances.Start,
         response: aiohttp.ClientResponse,
         said: dialect.Said,
     ) -> None:
@@ -232,7 +232,7 @@
         before = target.asking(now)
         target.hear(asked, now, is_taken=said is not dialect.Said.NOT_RUN)
         if target.asking(now) != before:
-            target_lines.tell_asking(target, now)
+            target_log.tell_asking(target, now)
 
 
 async def _head_of(
--- a/tamarackthread/entry/direct/target_lines.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -6,7 +6,7 @@
 import collections.abc
 import logging
 
-from tamarackthread.entry.direct import starts
+from tamarackthread.entry.direct import instances
 from tamarackthread.shared import log_events
 from tamarackthread.shared.site import announcements, figures, groups, zones
 
@@ -52,7 +52,7 @@
     )
 
 
-def tell_asking(target: starts.Start, now: float) -> None:
+def tell_asking(target: instances.Start, now: float) -> None:
     """Log what a target's answers ask for, as it begins or ends."""
     asking = target.asking(now)
     log_events.tell(
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -10,13 +10,13 @@
 import attrs
 
 from tamarackthread.entry.direct import (
-    arrivals,
-    choosing,
     demands,
-    records,
-    standing,
-    starts,
-    target_lines,
+    discovery,
+    eligibility,
+    instances,
+    outlier_detection,
+    selection,
+    target_log,
 )
 from tamarackthread.policy import cold, crowding, fleets
 from tamarackthread.shared.site import announcements, figures, groups, zones
@@ -46,13 +46,13 @@
         The entries of ``fleet`` share what targets in need take.
         Must be called from within a running loop.
         """
-        self._chooser = choosing.Chooser(zone, generator)
-        self._standing = standing.Standing(shares, fleet)
+        self._chooser = selection.Chooser(zone, generator)
+        self._standing = eligibility.Standing(shares, fleet)
         self._unheard = beat_seconds * BEATS_UNHEARD
-        self._arrivals = arrivals.Arrivals(beat_seconds)
+        self._arrivals = discovery.Arrivals(beat_seconds)
         self._knows_others = False
         self._untold: list[announcements.Announcement] = []
-        self._by_name: dict[str, starts.Start] = {}
+        self._by_name: dict[str, instances.Start] = {}
         self._paces: dict[str, dict[str, float]] = {}
         # In the order of their first announcement: a set's order differs from
         # process to process, and with it the choice among equals.
@@ -74,7 +74,7 @@
             return
         said = said.after(held.said)
         if said.state != held.said.state:
-            target_lines.tell(attrs.evolve(held.said, state=said.state))
+            target_log.tell(attrs.evolve(held.said, state=said.state))
         held.heard_at = now
         if said.state == State.GONE:
             said = attrs.evolve(held.said, state=State.GONE)
@@ -104,15 +104,15 @@
             told = [held.get(target.name, 1) for held in self._paces.values()]
             target.pace = max(told)
 
-    def own_loads(self) -> dict[str, records.Load]:
+    def own_loads(self) -> dict[str, outlier_detection.Load]:
         """Return this entry's calls, by target, where it has or had any."""
         now = asyncio.get_running_loop().time()
-        found: dict[str, records.Load] = {}
+        found: dict[str, outlier_detection.Load] = {}
         for name, target in self._by_name.items():
             ends = target.record.own(now)
-            if not target.own and ends is records.NO_ENDS:
+            if not target.own and ends is outlier_detection.NO_ENDS:
                 continue
-            found[name] = records.Load(target.own, ends)
+            found[name] = outlier_detection.Load(target.own, ends)
         return found
 
     @property
@@ -122,7 +122,7 @@
 
     def share(
         self,
-        others: collections.abc.Mapping[str, records.Load],
+        others: collections.abc.Mapping[str, outlier_detection.Load],
         entries: int = 1,
     ) -> None:
         """Take the calls that all other entries have and had, by target.
@@ -132,7 +132,7 @@
         self._knows_others = True
         now = asyncio.get_running_loop().time()
         for name, target in self._by_name.items():
-            load = others.get(name, records.IDLE)
+            load = others.get(name, outlier_detection.IDLE)
             target.others = load.calls
             target.record.others = load.ends
         self._judge()
@@ -174,16 +174,16 @@
             own=own,
         )
 
-    def get(self, name: str) -> starts.Start | None:
+    def get(self, name: str) -> instances.Start | None:
         """Return a start of a target."""
         return self._by_name.get(name)
 
-    def gone(self, target: starts.Start) -> None:
+    def gone(self, target: instances.Start) -> None:
         """Note that another start of a target answers at the address."""
         target.said = attrs.evolve(target.said, state=State.GONE)
-        target_lines.tell(target.said)
+        target_log.tell(target.said)
 
-    def of_service(self, service: str) -> list[starts.Start]:
+    def of_service(self, service: str) -> list[instances.Start]:
         """List the targets of a service, usable or not."""
         return [
             self._by_name[name] for name in self._by_service.get(service, ())
@@ -194,7 +194,7 @@
         service: str,
         tried: collections.abc.Collection[str],
         left: collections.abc.Collection[str] = (),
-    ) -> starts.Start | None:
+    ) -> instances.Start | None:
         """Choose a target for a call, ``None`` if none may get it.
 
         Targets whose group is closed, or one of those that the call has ``left``,
@@ -220,7 +220,7 @@
         service: str,
         tried: collections.abc.Collection[str],
         now: float,
-    ) -> list[starts.Start]:
+    ) -> list[instances.Start]:
         """List targets that leave and may still get a call."""
         return [
             target
@@ -262,7 +262,7 @@
 
     def sweep(self) -> None:
         """Mark targets that nobody has spoken of for long."""
-        target_lines.tell_new(self._untold)
+        target_log.tell_new(self._untold)
         self._untold = []
         now = asyncio.get_running_loop().time()
         for name, target in tuple(self._by_name.items()):
@@ -273,7 +273,7 @@
             if target.said.state != State.READY or quiet < self._unheard:
                 continue
             target.said = attrs.evolve(target.said, state=State.SILENT)
-            target_lines.tell(target.said)
+            target_log.tell(target.said)
         self._count()
 
     def _judge(self) -> None:
@@ -284,9 +284,9 @@
                 one for one in self.of_service(service) if one.is_ready(now)
             ]
             by_record = {id(one.record): one for one in ready}
-            found = records.judge([one.record for one in ready], now)
+            found = outlier_detection.judge([one.record for one in ready], now)
             if found:
-                target_lines.tell_failing(
+                target_log.tell_failing(
                     service, [by_record[id(record)].name for record in found]
                 )
 
@@ -303,18 +303,18 @@
 
     def _add(self, said: announcements.Announcement, now: float) -> None:
         group = self._standing.group_of(said.target)
-        self._by_name[said.target] = starts.Start(said, now, group=group)
+        self._by_name[said.target] = instances.Start(said, now, group=group)
         if said.service:
             self._by_service[said.service][said.target] = None
             self._arrivals.note()
         if said.state == State.READY:
             self._untold.append(said)
         else:
-            target_lines.tell(said)
+            target_log.tell(said)
 
     def _begin_anew(
         self,
-        ended: starts.Start,
+        ended: instances.Start,
         said: announcements.Announcement,
         now: float,
     ) -> None:
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -9,14 +9,14 @@
 import aiohttp
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
-    front,
-    ledger,
-    running,
-    sending,
-    table,
+    admission_control,
+    call_log,
+    call_runner,
+    frontend,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings
@@ -160,25 +160,25 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(3)
         self.known = targets.Targets('z', 1.0, rng)
-        self.sender = sending.Sender(spoken.PlatformDialect())
+        self.sender = target_client.Sender(spoken.PlatformDialect())
         await self.sender.start()
         site = settings.Site(seeds=(), link_port=1, retry_reserve=20)
-        self.tables = table.Holder()
-        self.crashing = crashing.Crashing()
-        self.admission = admitting.Admission(self.known, lambda: 1)
-        self.front = front.Front(
+        self.tables = routing_table.Holder()
+        self.crashing = poison_requests.Crashing()
+        self.admission = admission_control.Admission(self.known, lambda: 1)
+        self.front = frontend.Front(
             spoken.PlatformDialect(),
             self.tables,
-            running.Runner(
+            call_runner.Runner(
                 self.known,
                 self.sender,
-                budgets.Budgets(site, lambda: 1, loop.time),
+                retry_budgets.Budgets(site, lambda: 1, loop.time),
                 self.admission,
                 self.crashing,
                 rng,
             ),
             rng,
-            ledger.Ledger(),
+            call_log.Ledger(),
         )
         self.address = await self.front.start('127.0.0.1:0')
         self.session = aiohttp.ClientSession()
@@ -204,7 +204,7 @@
             name='org', keys=frozenset(('secret',))
         )
         self.tables.put(
-            table.Table(
+            routing_table.Table(
                 configuration.Configuration(
                     version=1,
                     routes=(route,),
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from tamarackthread.entry.direct import standing
+from tamarackthread.entry.direct import eligibility
 from tamarackthread.policy import backpressure
 from tamarackthread.shared.site import configuration
 from tests import direct_case as direct
@@ -102,7 +102,7 @@
         await self.add(naming('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
-        self.known.get('t1').leaving_at = loop.time() - standing.LAST_SECONDS
+        self.known.get('t1').leaving_at = loop.time() - eligibility.LAST_SECONDS
         self.assertEqual(503, (await self.ask())[0])
 
     async def test_later_start(self):
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -8,11 +8,16 @@
 import attrs
 
 from tamarackthread.control.site import loads
-from tamarackthread.entry.direct import crashing, sending, sharing, starts
 from tamarackthread.entry.direct import failures as refusals
+from tamarackthread.entry.direct import (
+    instances,
+    load_exchange,
+    poison_requests,
+    target_client,
+)
 from tamarackthread.policy import suspects
 from tamarackthread.shared.site import announcements, configuration
-from tests import policy_case, test_admitting, direct_case
+from tests import direct_case, policy_case, test_admitting
 from tests import test_shared_calls as shared_calls
 
 BAD = b'b'
@@ -105,17 +110,17 @@
     said = announcements.Announcement(
         target=name, service=test_admitting.SERVICE, address=f'{name}:80'
     )
-    return starts.Start(said, 0)
+    return instances.Start(said, 0)
 
 
 class Entry:
     """Be an entry with its exchange."""
 
     def __init__(self, name, hosts):
-        self.crashing = crashing.Crashing()
+        self.crashing = poison_requests.Crashing()
         known, links, _ = shared_calls.entry_of(name, hosts)
         self.links = links
-        self.sharing = sharing.Sharing(
+        self.sharing = load_exchange.Sharing(
             known,
             self.links,
             lambda: tuple(hosts),
@@ -236,7 +241,7 @@
     async def _crashed(self, hosts):
         entries = [Entry(f'e{number}', hosts) for number in range(ENTRIES)]
         call = test_admitting.call_of()
-        lost = sending.Unanswered('closed')
+        lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
             entry.crashing.failed(call, start_of(f't{number}'), lost)
@@ -253,9 +258,13 @@
     async def _same(self):
         call = test_admitting.call_of(call_id='one')
         again = test_admitting.call_of(call_id='two')
-        self.assertEqual(crashing.mark_of(call), crashing.mark_of(again))
+        self.assertEqual(
+            poison_requests.mark_of(call), poison_requests.mark_of(again)
+        )
         other = _with_body(again, b'another')
-        self.assertNotEqual(crashing.mark_of(call), crashing.mark_of(other))
+        self.assertNotEqual(
+            poison_requests.mark_of(call), poison_requests.mark_of(other)
+        )
 
 
 class CallerCase(direct_case.DirectCase):
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -5,7 +5,7 @@
 import aiohttp
 import attrs
 
-from tamarackthread.entry.direct import table
+from tamarackthread.entry.direct import routing_table
 from tamarackthread.shared.site import configuration
 from tests import direct_case
 
@@ -439,5 +439,5 @@
                 ),
             ),
         )
-        self.tables.put(table.Table(fresh))
+        self.tables.put(routing_table.Table(fresh))
         self.admission.learn(fresh)
--- a/tests/test_failing_targets.py
+++ b/tests/test_failing_targets.py
@@ -11,7 +11,11 @@
 import unittest
 
 from tamarackthread.control.site import loads
-from tamarackthread.entry.direct import records, sharing, targets
+from tamarackthread.entry.direct import (
+    load_exchange,
+    outlier_detection,
+    targets,
+)
 from tamarackthread.shared.site import announcements
 from tests import policy_case, test_shared_calls
 
@@ -31,46 +35,48 @@
     def test_one_of_three(self):
         """One target fails all of its calls, the others none."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([held[0]], records.judge(held, 1.0))
+        self.assertEqual([held[0]], outlier_detection.judge(held, 1.0))
         self.assertEqual([True, False, False], _out(held, 1.1))
 
     def test_all_fail(self):
         """All targets fail alike: none is worse, and none is left out."""
         held = [_record(2, 4), _record(2, 4), _record(2, 5)]
-        self.assertEqual([], records.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.judge(held, 1.0))
 
     def test_usual_failures(self):
         """One call in seven fails at each target, as some kinds' do."""
         held = [_record(18, 3), _record(18, 3), _record(15, 5)]
-        self.assertEqual([], records.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.judge(held, 1.0))
 
     def test_at_most_a_part(self):
         """Two of three fail; the third alone would have no room for all."""
         held = [_record(0, 6), _record(1, 6), _record(6, 0)]
-        records.judge(held, 1.0)
+        outlier_detection.judge(held, 1.0)
         self.assertEqual(1, sum(_out(held, 1.1)))
 
     def test_one_of_two(self):
         """One of two targets stays in: the other may be the next to fail."""
         held = [_record(0, 6), _record(6, 0)]
-        self.assertEqual([], records.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.judge(held, 1.0))
 
     def test_fails_again(self):
         """A target that was let back fails its first call: out for longer."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        records.judge(held, 1.0)
-        back = 1.0 + records.OUT_SECONDS
+        outlier_detection.judge(held, 1.0)
+        back = 1.0 + outlier_detection.OUT_SECONDS
         self.assertFalse(held[0].is_out(back))
         held[0].note(is_good=False, now=back)
         for other in held[1:]:
             other.note(is_good=True, now=back)
-        records.judge(held, back)
-        self.assertTrue(held[0].is_out(back + 1.9 * records.OUT_SECONDS))
+        outlier_detection.judge(held, back)
+        self.assertTrue(
+            held[0].is_out(back + 1.9 * outlier_detection.OUT_SECONDS)
+        )
 
     def test_old_failures(self):
         """A target that failed long ago is as good as any."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([], records.judge(held, 9.0))
+        self.assertEqual([], outlier_detection.judge(held, 9.0))
 
 
 class LoadCase(policy_case.PausedCase):
@@ -93,7 +99,9 @@
         for number in range(ENTRIES):
             known = _targets(generator)
             links = test_shared_calls.Host(f'e{number}', {'h': host})
-            shared = sharing.Sharing(known, links, _hosts, _entries, _nothing)
+            shared = load_exchange.Sharing(
+                known, links, _hosts, _entries, _nothing
+            )
             entries.append(known)
             if shares:
                 self._keep(shared.run())
@@ -153,7 +161,7 @@
 
 
 def _record(answered, failed):
-    record = records.Record()
+    record = outlier_detection.Record()
     for call in range(answered + failed):
         record.note(is_good=call < answered, now=0.5)
     return record
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from tamarackthread.entry.direct import calls, ledger, tempo
+from tamarackthread.entry.direct import call_log, calls, stream_timing
 from tamarackthread.shared.site import configuration
 from tests import policy_case
 
@@ -61,7 +61,7 @@
             arrived=began,
             deadline=began + 8,
         )
-        pieces = tempo.Tempo(target='t1')
+        pieces = stream_timing.Tempo(target='t1')
         for moment in moments:
             await asyncio.sleep(began + moment - loop.time())
             pieces.note(loop.time())
@@ -69,6 +69,6 @@
         watched = self.assertLogs(log, 'INFO')
         with watched:
             log.info('begin')
-            ledger.Ledger().answered(call, 3, pieces)
+            call_log.Ledger().answered(call, 3, pieces)
         written = watched.watcher.records[1:]
         return written[0].fields if written else None
--- a/tests/test_retry_parts.py
+++ b/tests/test_retry_parts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from tamarackthread.entry.direct import budgets
+from tamarackthread.entry.direct import retry_budgets
 from tamarackthread.generated import settings
 
 ENTRIES = 39
@@ -18,7 +18,7 @@
     def __init__(self, known):
         self.known = known
         self.site = settings.Site(seeds=(), link_port=1)
-        self.part = budgets.Budgets(self.site, self._count, self._now)
+        self.part = retry_budgets.Budgets(self.site, self._count, self._now)
 
     def press(self):
         """Take a call that is refused; tell whether it is tried again."""
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -11,7 +11,11 @@
 
 from bench.experiments import heavy
 from tamarackthread.control.site import loads
-from tamarackthread.entry.direct import records, sharing, targets
+from tamarackthread.entry.direct import (
+    load_exchange,
+    outlier_detection,
+    targets,
+)
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import announcements
@@ -51,7 +55,7 @@
             )
         )
     links = Host(name, hosts)
-    shared = sharing.Sharing(
+    shared = load_exchange.Sharing(
         known, links, lambda: tuple(hosts), lambda: ('e1', 'e2'), lambda: None
     )
     return known, links, shared
@@ -134,10 +138,10 @@
     async def _alone(self):
         hosts = {'h1': loads.Loads(1)}
         known, links, shared = entry_of('e1', hosts)
-        known.share({'t0': records.Load(3)})
+        known.share({'t0': outlier_detection.Load(3)})
         links.cut.add('h1')
         running = asyncio.create_task(shared.run())
-        await asyncio.sleep(sharing.STALE_SECONDS + 0.5)
+        await asyncio.sleep(load_exchange.STALE_SECONDS + 0.5)
         self.assertEqual(0, known.get('t0').others)
         running.cancel()
 
@@ -154,7 +158,12 @@
 
     async def _no_herd(self):
         known, _, _ = entry_of('e1', {}, targets_known=120)
-        known.share({f't{number}': records.Load(1) for number in range(1, 120)})
+        known.share(
+            {
+                f't{number}': outlier_detection.Load(1)
+                for number in range(1, 120)
+            }
+        )
         chosen = [known.choose(SERVICE, ()).name for _ in range(300)]
         self.assertLess(chosen.count('t0'), 30)
         self.assertGreater(chosen.count('t0'), 0)
