--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tamarackthread.entry import answers, failures, fleet
+from tamarackthread.entry import failures, fleet, responses
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import admission, outcomes, refusals
 from tamarackthread.shared import errors, events, link, stream
@@ -48,7 +48,7 @@
         self,
         contact: fleet.Contact,
         ticket: admission.Ticket,
-        sink: answers.Sink,
+        sink: responses.Sink,
         progress: Progress,
     ) -> None:
         """Send nothing yet."""
@@ -115,7 +115,7 @@
             raise self._ended(call)
         self._check_identity(call, head.call_id)
         self._point = outcomes.Point.HEAD_SEEN
-        found = answers.head_of(head)
+        found = responses.head_of(head)
         if _is_event_stream(head):
             await self._relay_events(call, found)
             return
@@ -124,7 +124,7 @@
     async def _relay_events(
         self,
         call: stream.Stream,
-        head: answers.Head,
+        head: responses.Head,
     ) -> None:
         self._progress.is_events = True
         if not self._sink.started:
@@ -155,7 +155,7 @@
     async def _relay_plain(
         self,
         call: stream.Stream,
-        head: answers.Head,
+        head: responses.Head,
     ) -> None:
         kept = bytearray()
         self._ticket.first_token()
--- a/tamarackthread/entry/claimed.py
+++ b/tamarackthread/entry/call_claim.py
@@ -5,7 +5,7 @@
 import abc
 import asyncio
 
-from tamarackthread.entry import answers, failures, fleet
+from tamarackthread.entry import failures, fleet, responses
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_times, errors
 
@@ -22,7 +22,7 @@
         """Tell whether another try of this call may have run."""
 
     @abc.abstractmethod
-    def record(self, sink: answers.Sink) -> answers.Sink:
+    def record(self, sink: responses.Sink) -> responses.Sink:
         """Give the sink that the answer must go through."""
 
     @abc.abstractmethod
@@ -76,9 +76,9 @@
     )
 
 
-async def replay(reply: messages.ClaimReply, sink: answers.Sink) -> None:
+async def replay(reply: messages.ClaimReply, sink: responses.Sink) -> None:
     """Give the caller a kept answer."""
     headers = [(kept.name, kept.value) for kept in reply.headers or ()]
     headers.append(REPLAY_HEADER)
-    head = answers.Head(status=reply.status, headers=tuple(headers))
+    head = responses.Head(status=reply.status, headers=tuple(headers))
     await sink.whole(head, reply.body or b'')
--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -10,12 +10,12 @@
 import attrs
 
 from tamarackthread.entry import (
-    answers,
     attempt,
-    claimed,
+    call_claim,
     failures,
     fleet,
-    keyed,
+    keyed_claim,
+    responses,
 )
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
@@ -69,14 +69,14 @@
     """What is known of a call over all its attempts."""
 
     call: Call
-    sink: answers.Sink
+    sink: responses.Sink
     progress: attempt.Progress
     facts: calls.CallFacts
     excluded: frozenset[str] = frozenset()
     attempts: int = 0
     resumed: int = 0
     may_have_run: bool = False
-    claim: claimed.ClaimedCall | None = None
+    claim: call_claim.ClaimedCall | None = None
 
 
 class Runner:
@@ -87,7 +87,7 @@
         targets: fleet.Fleet,
         rng: random.Random,
         revision: fleet.Revision,
-        claimed: keyed.KeyedCalls,
+        claimed: keyed_claim.KeyedCalls,
     ) -> None:
         """Run against the fleet's targets."""
         self._fleet = targets
@@ -96,7 +96,7 @@
         self._claimed = claimed
         self._budgets: dict[_BudgetKey, retries.RetryBudget] = {}
 
-    async def run(self, call: Call, sink: answers.Sink) -> None:
+    async def run(self, call: Call, sink: responses.Sink) -> None:
         """Run a call to its end.
 
         Raises the coded error that the caller must see, with ``ran`` set to
@@ -136,11 +136,11 @@
             raise
         claim.succeed()
 
-    def _claim_of(self, call: Call) -> claimed.ClaimedCall:
+    def _claim_of(self, call: Call) -> call_claim.ClaimedCall:
         if not call.is_keyed:
             return self._claimed.start_unkeyed(call.facts.deadline)
         return self._claimed.start(
-            keyed.Request(
+            keyed_claim.Request(
                 facts=call.facts,
                 rules=call.profile.claims,
                 home_region=call.home_region,
@@ -164,7 +164,7 @@
         """Try once; tell whether the caller has the answer."""
         try:
             await self._attempt(life)
-        except keyed.ClaimedElsewhere as exc:
+        except keyed_claim.ClaimedElsewhere as exc:
             settled = await self._settle(life, exc.reply)
             return settled is not None and not settled.granted
         except attempt.AttemptFailed as exc:
@@ -219,7 +219,7 @@
 
     async def _secure(
         self,
-        claim: claimed.ClaimedCall,
+        claim: call_claim.ClaimedCall,
         opening: messages.OpenCall,
         contact: fleet.Contact,
     ) -> None:
@@ -278,7 +278,7 @@
         assert life.claim is not None
         settled = await life.claim.settle(reply)
         if settled is not None and not settled.granted:
-            await claimed.replay(settled, life.sink)
+            await call_claim.replay(settled, life.sink)
         return settled
 
     async def _weigh_claimed(
--- a/tamarackthread/entry/front.py
+++ b/tamarackthread/entry/frontend.py
@@ -10,11 +10,11 @@
 from aiohttp import web
 
 from tamarackthread.entry import (
-    answers,
     calls,
     connections,
     failures,
-    reading,
+    request_reader,
+    responses,
 )
 from tamarackthread.generated import settings as generated
 from tamarackthread.generated.messages import ttypes as messages
@@ -37,7 +37,7 @@
     def __init__(
         self,
         limits: generated.Entry,
-        reader: reading.Reader,
+        reader: request_reader.Reader,
         runner: calls.Runner,
         guard: Guard,
         is_ready: Readiness,
@@ -117,8 +117,8 @@
         return web.Response(text='ready\n')
 
     async def _call(self, request: web.BaseRequest) -> web.StreamResponse:
-        request_id = reading.request_id_of(request)
-        sink = answers.HttpSink(
+        request_id = request_reader.request_id_of(request)
+        sink = responses.HttpSink(
             request,
             request_id,
             self._limits.slow_caller_seconds,
@@ -145,7 +145,7 @@
         self,
         request: web.BaseRequest,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
     ) -> None:
         try:
             await self._checked(request, request_id, sink)
@@ -160,7 +160,7 @@
     async def _tell(
         self,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
         failure: errors.CodedError,
     ) -> None:
         _log.info('entry: call ended, %s %s', failure.code, failure)
@@ -173,15 +173,15 @@
             return
         with contextlib.suppress(failures.CallerGone, failures.CallerTooSlow):
             await sink.whole(
-                answers.error_head(failure, request_id),
-                answers.error_body(failure, request_id),
+                responses.error_head(failure, request_id),
+                responses.error_body(failure, request_id),
             )
 
     async def _checked(
         self,
         request: web.BaseRequest,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
     ) -> None:
         if not _may_have_run(request):
             self._check_leaving()
@@ -215,5 +215,5 @@
     no room for that and says that the order may have run, after which the
     caller asks again under the same key, which is always safe.
     """
-    has_key = reading.KEY_HEADER in request.headers
+    has_key = request_reader.KEY_HEADER in request.headers
     return has_key and request.method not in SAFE_METHODS
--- a/tamarackthread/entry/keyed.py
+++ b/tamarackthread/entry/keyed_claim.py
@@ -14,13 +14,13 @@
 import attrs
 
 from tamarackthread.entry import (
-    answers,
-    claimed,
-    claims,
+    call_claim,
+    claim_client,
     fleet,
     recording,
+    responses,
     takeover,
-    unkeyed,
+    unkeyed_claim,
 )
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
@@ -65,13 +65,13 @@
     body: bytes
 
 
-class KeyedCall(claimed.ClaimedCall):
+class KeyedCall(call_claim.ClaimedCall):
     """The claim of one call over all its attempts."""
 
     def __init__(
         self,
         owner: KeyedCalls,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         rules: generated.Claims,
     ) -> None:
         """Claim nothing yet."""
@@ -87,7 +87,7 @@
         """Tell whether another try of this key may have run."""
         return self._is_asked and self._held is None
 
-    def record(self, sink: answers.Sink) -> answers.Sink:
+    def record(self, sink: responses.Sink) -> responses.Sink:
         """Keep what goes to the sink, for second tries, if it is small."""
         limit = self._rules.answer_limit_bytes
         self._sink = recording.RecordingSink(sink, limit)
@@ -102,7 +102,7 @@
 
         Raises ``ClaimedElsewhere`` when the call is not, or no longer, ours.
         """
-        handover = claimed.window(contact, self._ask.deadline)
+        handover = call_claim.window(contact, self._ask.deadline)
         loop = asyncio.get_running_loop()
         began = loop.time()
         reply = await self._secure(handover)
@@ -176,7 +176,7 @@
         if handed_over:
             self._owner.later(self._collect(held))
             return
-        released = claims.Finish(_State.RELEASED)
+        released = claim_client.Finish(_State.RELEASED)
         self._owner.later(self._finish(held, released))
 
     async def _secure(
@@ -197,14 +197,14 @@
         if self._held is None:
             found = await client.wait(self._ask, 0)
         else:
-            released = claims.Finish(_State.RELEASED)
+            released = claim_client.Finish(_State.RELEASED)
             found = await client.finish(self._ask, self._held, released)
         return not found.known or found.state == _State.RELEASED
 
     async def _finish(
         self,
         held: messages.ClaimReply,
-        finish: claims.Finish,
+        finish: claim_client.Finish,
     ) -> None:
         await self._owner.client.finish(self._ask, held, finish)
 
@@ -218,7 +218,7 @@
 
     def __init__(
         self,
-        client: claims.ClaimsClient,
+        client: claim_client.ClaimsClient,
         settler: takeover.Takeover,
         counted: metrics.Metrics | None = None,
     ) -> None:
@@ -229,7 +229,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def client(self) -> claims.ClaimsClient:
+    def client(self) -> claim_client.ClaimsClient:
         """Give the way to the shards."""
         return self._client
 
@@ -246,7 +246,7 @@
     def start(self, request: Request) -> KeyedCall:
         """Prepare the claim of a call."""
         rules = request.rules
-        ask = claims.Ask(
+        ask = claim_client.Ask(
             organisation=request.facts.organisation,
             key=request.key,
             digest=claim_keys.digest(
@@ -260,9 +260,9 @@
         )
         return KeyedCall(self, ask, rules)
 
-    def start_unkeyed(self, deadline: float) -> unkeyed.UnkeyedCall:
+    def start_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedCall:
         """Prepare a call that has no key, for its hand-over."""
-        return unkeyed.UnkeyedCall(self._settler.prober, deadline)
+        return unkeyed_claim.UnkeyedCall(self._settler.prober, deadline)
 
     def later(
         self,
--- a/tamarackthread/entry/recording.py
+++ b/tamarackthread/entry/recording.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from tamarackthread.entry import answers, claims
+from tamarackthread.entry import claim_client, responses
 from tamarackthread.generated.messages import ttypes as messages
 
 
-class RecordingSink(answers.Sink):
+class RecordingSink(responses.Sink):
     """Pass an answer on and remember it, up to a limit in bytes."""
 
-    def __init__(self, sink: answers.Sink, limit_bytes: int) -> None:
+    def __init__(self, sink: responses.Sink, limit_bytes: int) -> None:
         """Write to ``sink``; an answer over the limit is not remembered."""
         self._sink = sink
         self._limit = limit_bytes
-        self._head: answers.Head | None = None
+        self._head: responses.Head | None = None
         self._body = bytearray()
         self._is_kept = True
 
@@ -22,7 +22,7 @@
         """Tell whether the caller has seen any of the answer."""
         return self._sink.started
 
-    async def start(self, head: answers.Head) -> None:
+    async def start(self, head: responses.Head) -> None:
         """Send the head; the body follows in pieces."""
         self._head = head
         await self._sink.start(head)
@@ -36,23 +36,23 @@
         """End the answer as whole."""
         await self._sink.finish()
 
-    async def whole(self, head: answers.Head, body: bytes) -> None:
+    async def whole(self, head: responses.Head, body: bytes) -> None:
         """Send a whole answer at once."""
         self._head = head
         self._keep(body)
         await self._sink.whole(head, body)
 
-    def finish_of_claim(self) -> claims.Finish:
+    def finish_of_claim(self) -> claim_client.Finish:
         """Give the outcome to record, with the answer where it was kept."""
         state = messages.ClaimState.COMPLETE
         if self._head is None or not self._is_kept:
-            return claims.Finish(state)
+            return claim_client.Finish(state)
         headers = tuple(
             messages.Header(name=name, value=value)
             for name, value in self._head.headers
         )
         body = bytes(self._body)
-        return claims.Finish(state, self._head.status, headers, body)
+        return claim_client.Finish(state, self._head.status, headers, body)
 
     def _keep(self, payload: bytes) -> None:
         if len(self._body) + len(payload) > self._limit:
--- a/tamarackthread/entry/reading.py
+++ b/tamarackthread/entry/request_reader.py
@@ -10,7 +10,7 @@
 import attrs
 from aiohttp import web
 
-from tamarackthread.entry import answers, calls, directory, failures
+from tamarackthread.entry import calls, directory, failures, responses
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated import settings
 from tamarackthread.policy import affinity
@@ -126,7 +126,7 @@
 
 def request_id_of(request: web.BaseRequest) -> str:
     """Take the caller's request id, or make one."""
-    given = request.headers.get(answers.REQUEST_ID_HEADER, '')
+    given = request.headers.get(responses.REQUEST_ID_HEADER, '')
     if given and len(given) <= MAX_KEY_LENGTH and given.isprintable():
         return given
     return secrets.token_hex(8)
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -8,14 +8,14 @@
 
 from tamarackthread.entry import (
     calls,
-    caps,
     directory,
     failures,
     fleet,
-    front,
-    keyed,
-    reading,
-    shard_claims,
+    frontend,
+    keyed_claim,
+    rate_leases,
+    request_reader,
+    shard_claim_client,
     takeover,
 )
 from tamarackthread.generated import settings as generated
@@ -101,7 +101,7 @@
                 most_calls=self._own.call_limit,
             ),
         )
-        self._caps = caps.CapsKeeper(
+        self._caps = rate_leases.CapsKeeper(
             settings.node.id,
             settings.node.zone,
             self._directory,
@@ -109,20 +109,20 @@
             self._peers,
             tuple(settings.control_addresses),
         )
-        client = shard_claims.ShardClaims(
+        client = shard_claim_client.ShardClaims(
             self._peers,
             self._shards,
             settings.node.id,
             rng,
         )
-        self._claimed = keyed.KeyedCalls(
+        self._claimed = keyed_claim.KeyedCalls(
             client,
             takeover.Takeover(client, takeover.LinkProber(self._peers)),
             self._metrics,
         )
-        self._front = front.Front(
+        self._front = frontend.Front(
             self._own,
-            reading.Reader(self._directory, self._own),
+            request_reader.Reader(self._directory, self._own),
             calls.Runner(
                 self._fleet,
                 rng,
--- a/tamarackthread/entry/shard_claims.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -6,7 +6,7 @@
 import collections.abc
 import random
 
-from tamarackthread.entry import claims
+from tamarackthread.entry import claim_client
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import (
     claim_errors,
@@ -30,7 +30,7 @@
 )
 
 
-class ShardClaims(claims.ClaimsClient):
+class ShardClaims(claim_client.ClaimsClient):
     """Reach the shards over this process's links to the control hosts."""
 
     def __init__(
@@ -51,7 +51,7 @@
 
     async def claim(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         handover: messages.Handover | None,
     ) -> messages.ClaimReply:
         """Claim a key for a hand-over."""
@@ -72,7 +72,7 @@
 
     async def move(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         held: messages.ClaimReply,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
@@ -87,9 +87,9 @@
 
     async def finish(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         held: messages.ClaimReply,
-        finish: claims.Finish,
+        finish: claim_client.Finish,
     ) -> messages.ClaimReply:
         """Record the outcome, trying for a while after the deadline too."""
         request = self._finish_request(ask, held)
@@ -103,7 +103,7 @@
 
     async def wait(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         seconds: float,
     ) -> messages.ClaimReply:
         """Poll the shard, which holds its answer back until there is news."""
@@ -120,10 +120,10 @@
             request = messages.Request(claim_lookup=lookup)
             answer_by = max(until, loop.time() + CLAIM_SECONDS)
             reply = await self._ask(shard, request, answer_by)
-            if not claims.is_open(reply) or loop.time() >= until:
+            if not claim_client.is_open(reply) or loop.time() >= until:
                 return reply
 
-    def _shard(self, ask: claims.Ask) -> claim_keys.Shard:
+    def _shard(self, ask: claim_client.Ask) -> claim_keys.Shard:
         return claim_keys.shard_of(
             ask.organisation,
             ask.key,
@@ -133,7 +133,7 @@
 
     def _finish_request(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         held: messages.ClaimReply,
     ) -> messages.ClaimFinish:
         return messages.ClaimFinish(
@@ -145,7 +145,7 @@
 
     async def _ask_finish(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         request: messages.ClaimFinish,
         until: float,
     ) -> messages.ClaimReply:
--- a/tamarackthread/entry/takeover.py
+++ b/tamarackthread/entry/takeover.py
@@ -13,7 +13,7 @@
 import asyncio
 import logging
 
-from tamarackthread.entry import claims
+from tamarackthread.entry import claim_client
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, errors, peers
 
@@ -21,8 +21,8 @@
 PROBE_SECONDS = 1.0
 PROBES_WITHOUT_PROOF = 3
 _State = messages.ClaimState
-_RELEASED = claims.Finish(_State.RELEASED)
-_UNKNOWN = claims.Finish(_State.UNKNOWN)
+_RELEASED = claim_client.Finish(_State.RELEASED)
+_UNKNOWN = claim_client.Finish(_State.UNKNOWN)
 _log = logging.getLogger('tamarackthread.claims')
 
 
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        client: claims.ClaimsClient,
+        client: claim_client.ClaimsClient,
         prober: Prober,
         grace_seconds: float = GRACE_SECONDS,
     ) -> None:
@@ -82,7 +82,7 @@
 
     async def settle(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         reply: messages.ClaimReply,
         until: float,
     ) -> messages.ClaimReply:
@@ -112,7 +112,7 @@
 
     async def collect(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         held: messages.ClaimReply,
         until: float,
     ) -> None:
@@ -126,14 +126,14 @@
         while loop.time() < until:
             await asyncio.sleep(self._grace_seconds)
             reply = await self._ask_agent(ask, held)
-            if reply is None or not claims.is_open(reply):
+            if reply is None or not claim_client.is_open(reply):
                 break
-        if reply is None or claims.is_open(reply):
+        if reply is None or claim_client.is_open(reply):
             await self._client.finish(ask, held, _UNKNOWN)
 
     async def prove_not_run(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         held: messages.ClaimReply,
     ) -> messages.ClaimProof | None:
         """Ask the agent to seal a claim; ``None`` without any proof."""
@@ -154,12 +154,12 @@
 
     async def _progress(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         seen: messages.ClaimReply,
         until: float,
     ) -> messages.ClaimReply | None:
         """Wait for news and then ask the agent; ``None`` without either."""
-        if claims.is_open(seen):
+        if claim_client.is_open(seen):
             left = until - asyncio.get_running_loop().time()
             seconds = min(self._grace_seconds, left)
             reply = await self._client.wait(ask, seconds)
@@ -169,7 +169,7 @@
 
     async def _ask_agent(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         reply: messages.ClaimReply,
     ) -> messages.ClaimReply | None:
         """Give the claim's new state as proven, or ``None`` without proof."""
@@ -188,9 +188,9 @@
 
     async def _settled(
         self,
-        ask: claims.Ask,
+        ask: claim_client.Ask,
         reply: messages.ClaimReply,
-        finish: claims.Finish,
+        finish: claim_client.Finish,
     ) -> messages.ClaimReply:
         settled = await self._client.finish(ask, reply, finish)
         # Here it tells that the outcome was recorded, not that this try may
@@ -199,8 +199,8 @@
         return settled
 
 
-def _answer(proof: messages.ClaimProof) -> claims.Finish:
-    return claims.Finish(
+def _answer(proof: messages.ClaimProof) -> claim_client.Finish:
+    return claim_client.Finish(
         _State.COMPLETE,
         proof.status,
         tuple(proof.headers or ()),
@@ -229,5 +229,5 @@
 
 
 def _check_doubts(reply: messages.ClaimReply, doubts: int) -> None:
-    if doubts >= PROBES_WITHOUT_PROOF or not claims.is_open(reply):
+    if doubts >= PROBES_WITHOUT_PROOF or not claim_client.is_open(reply):
         raise claim_errors.ClaimMayHaveRun
--- a/tamarackthread/entry/unkeyed.py
+++ b/tamarackthread/entry/unkeyed_claim.py
@@ -10,14 +10,14 @@
 
 import asyncio
 
-from tamarackthread.entry import answers, claimed, fleet, takeover
+from tamarackthread.entry import call_claim, fleet, responses, takeover
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_times, errors
 
 PROBE_PAUSE_SECONDS = 0.1
 
 
-class UnkeyedCall(claimed.ClaimedCall):
+class UnkeyedCall(call_claim.ClaimedCall):
     """Such a call over its attempts."""
 
     def __init__(self, prober: takeover.Prober, deadline: float) -> None:
@@ -31,7 +31,7 @@
         """Tell that no other try can know of this call."""
         return False
 
-    def record(self, sink: answers.Sink) -> answers.Sink:
+    def record(self, sink: responses.Sink) -> responses.Sink:
         """Give the sink itself; nobody can ask for the answer again."""
         return sink
 
@@ -41,7 +41,7 @@
         contact: fleet.Contact,
     ) -> None:
         """Claim the call's own identity at the agent that it goes to."""
-        handover = claimed.window(contact, self._deadline)
+        handover = call_claim.window(contact, self._deadline)
         opening.claim = opening.call_id
         opening.fence = claim_times.UNKEYED_FENCE
         opening.handover = handover
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -11,8 +11,8 @@
 from bench.checks import calls as checker
 from tamarackthread.agent import claims as gates
 from tamarackthread.control import failures
-from tamarackthread.entry import answers, keyed, takeover
 from tamarackthread.entry import failures as refusals
+from tamarackthread.entry import keyed_claim, responses, takeover
 from tamarackthread.generated import documents
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import calls
@@ -144,7 +144,7 @@
         self.world = world
         self.links = RandomLinks(world.shards, world.rng, world)
         client = shards.connect(self.links, name)
-        self.keyed = keyed.KeyedCalls(
+        self.keyed = keyed_claim.KeyedCalls(
             client, takeover.Takeover(client, Prober(world))
         )
 
@@ -155,7 +155,7 @@
     async def run(self, key, sink):
         """Run one try; raise what its caller is told."""
         loop = asyncio.get_running_loop()
-        request = keyed.Request(
+        request = keyed_claim.Request(
             facts=calls.CallFacts(organisation='o', deadline=loop.time() + 15),
             rules=RULES,
             home_region='',
@@ -178,11 +178,11 @@
             settled = None
             try:
                 ran, text = await self._attempt(claim, key)
-            except keyed.ClaimedElsewhere as exc:
+            except keyed_claim.ClaimedElsewhere as exc:
                 settled = await claim.settle(exc.reply)
             else:
                 if ran == Ran.COMPLETE:
-                    await claim._sink.whole(answers.Head(201, ()), text)
+                    await claim._sink.whole(responses.Head(201, ()), text)
                     return
                 if ran == Ran.MAY_HAVE_RUN:
                     settled = await claim.settle(None)
--- a/tests/shards.py
+++ b/tests/shards.py
@@ -5,7 +5,7 @@
 import async_solipsism
 
 from tamarackthread.control import claim_service, claims, proposing
-from tamarackthread.entry import shard_claims
+from tamarackthread.entry import shard_claim_client
 from tamarackthread.shared import claim_errors, claim_keys
 
 SHARDS = (
@@ -89,7 +89,7 @@
 
 def connect(links, holder):
     """Give the client of one entry."""
-    return shard_claims.ShardClaims(links, lambda: SHARDS, holder)
+    return shard_claim_client.ShardClaims(links, lambda: SHARDS, holder)
 
 
 def find(shards, organisation, key):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -15,9 +15,9 @@
     calls,
     directory,
     fleet,
-    front,
-    keyed,
-    reading,
+    frontend,
+    keyed_claim,
+    request_reader,
     takeover,
 )
 from tamarackthread.generated import settings
@@ -150,7 +150,7 @@
         self.shards = claimed or shards.make()
         self.shard_links = shards.LocalLinks(self.shards)
         self.claims = shards.connect(self.shard_links, name)
-        self.keyed = keyed.KeyedCalls(
+        self.keyed = keyed_claim.KeyedCalls(
             self.claims,
             takeover.Takeover(
                 self.claims,
@@ -164,9 +164,9 @@
             lambda: 1,
             self.keyed,
         )
-        self.front = front.Front(
+        self.front = frontend.Front(
             own,
-            reading.Reader(self.directory, own),
+            request_reader.Reader(self.directory, own),
             self.runner,
             lambda call, open_calls: None,
             lambda: True,
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -4,7 +4,7 @@
 
 import async_solipsism
 
-from tamarackthread.entry import caps, directory
+from tamarackthread.entry import directory, rate_leases
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import buckets
 from tamarackthread.shared import errors
@@ -37,7 +37,7 @@
         known.apply(
             [stage.document('organisation', 'o', {'requests_per_second': 100})],
         )
-        self.keeper = caps.CapsKeeper(
+        self.keeper = rate_leases.CapsKeeper(
             'e',
             'z',
             known,
@@ -53,7 +53,7 @@
         """Count the calls that pass of a hundred a second."""
         passed = 0
         for _ in range(int(seconds * 100)):
-            await caps.asyncio.sleep(0.01)
+            await rate_leases.asyncio.sleep(0.01)
             portion = self.held.find('o')
             passed += not portion.take(1, self.loop.time())
         return passed
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -5,7 +5,7 @@
 
 from tamarackthread.agent import claims as gates
 from tamarackthread.control import failures
-from tamarackthread.entry import claims, shard_claims, takeover
+from tamarackthread.entry import claim_client, shard_claim_client, takeover
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, errors
 from tests import shards
@@ -41,7 +41,7 @@
 
     def ask(self, seconds=30, digest=b'd'):
         deadline = self.loop.time() + seconds
-        return claims.Ask('o', 'order-7', digest, deadline)
+        return claim_client.Ask('o', 'order-7', digest, deadline)
 
     def handover(self, target='a'):
         until_ms = int(self.loop.time() * 1000) + 5000
@@ -200,7 +200,7 @@
 
         async def end():
             await asyncio.sleep(0.5)
-            finish = claims.Finish(State.COMPLETE, 200, (), b'ok')
+            finish = claim_client.Finish(State.COMPLETE, 200, (), b'ok')
             await scene.first.finish(ask, held, finish)
 
         ending = asyncio.ensure_future(end())
@@ -220,7 +220,7 @@
     async def test_answer_too_large_to_keep(self):
         scene = Scene()
         ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claims.Finish(State.COMPLETE))
+        await scene.first.finish(ask, held, claim_client.Finish(State.COMPLETE))
         with self.assertRaises(claim_errors.ClaimAnswerNotKept):
             await scene.settle()
 
@@ -229,7 +229,7 @@
         scene = Scene()
         ask, held = await scene.hold()
         scene.agents.unreachable = True
-        await scene.first.finish(ask, held, claims.Finish(State.UNKNOWN))
+        await scene.first.finish(ask, held, claim_client.Finish(State.UNKNOWN))
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.settle()
 
@@ -242,7 +242,7 @@
         """
         scene = Scene()
         ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claims.Finish(State.UNKNOWN))
+        await scene.first.finish(ask, held, claim_client.Finish(State.UNKNOWN))
         self.assertTrue((await scene.settle()).granted)
 
     @shards.paused
@@ -292,13 +292,15 @@
             await scene.hold()
         ran = claim_errors.ClaimsUnavailable.ran
         self.assertEqual(ran, messages.Ran.MAY_HAVE_RUN)
-        self.assertLessEqual(scene.loop.time(), shard_claims.CLAIM_SECONDS)
+        self.assertLessEqual(
+            scene.loop.time(), shard_claim_client.CLAIM_SECONDS
+        )
 
     @shards.paused
     async def test_claims_share_proposals(self):
         scene = Scene()
         asks = [
-            claims.Ask('o', f'order-{number}', b'd', 30)
+            claim_client.Ask('o', f'order-{number}', b'd', 30)
             for number in range(400)
         ]
         replies = await asyncio.gather(
