--- a/bench/slopes/following.py
+++ b/bench/slopes/following.py
@@ -54,7 +54,7 @@
     known.apply(_documents(targets))
     held = fleet.Fleet('entry-0', 'zone-0', known, random.Random(1))
     own = identity.Identity(node='entry-0', role=messages.Role.ENTRY)
-    held.use(NoPeers(identity.LinkOptions(own, (b'k' * 32,))))
+    held.set_peers(NoPeers(identity.LinkOptions(own, (b'k' * 32,))))
     return held
 
 
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -105,7 +105,7 @@
         held.put(wire.decode(messages.Document, wire.encode(document)))
     held.advance(size)
     known = directory.Directory()
-    known.follow(held)
+    known.update(held)
     return held, known
 
 
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -12,7 +12,7 @@
 from tamarackthread.policy import admission, outcomes, refusals
 from tamarackthread.shared import errors, events, link, stream
 
-FRESH_SECONDS = 1.25
+HEARTBEAT_AGE_LIMIT_SECONDS = 1.25
 BUFFER_BYTES = 64 * 1024
 EVENT_STREAM = 'text/event-stream'
 
@@ -37,8 +37,8 @@
     """How far an answer has come to its caller, over all attempts."""
 
     events: int = 0
-    is_events: bool = False
-    whole: bool = False
+    is_event_stream: bool = False
+    is_complete: bool = False
 
 
 class Attempt:
@@ -46,13 +46,13 @@
 
     def __init__(
         self,
-        contact: fleet.Contact,
+        connection: fleet.TargetConnection,
         ticket: admission.Ticket,
         sink: responses.Sink,
         progress: Progress,
     ) -> None:
         """Send nothing yet."""
-        self._contact = contact
+        self._connection = connection
         self._ticket = ticket
         self._sink = sink
         self._progress = progress
@@ -81,7 +81,7 @@
         if self._call is not None:
             self._call.cancel(reason)
 
-    def give_way(self) -> None:
+    def preempt(self) -> None:
         """End the attempt, so that the call goes on at another place."""
         self._gave_way = True
         self.cancel(refusals.CallPreempted.code)
@@ -98,15 +98,15 @@
         await self._relay(self._call)
 
     def _fresh_link(self, idempotent: bool) -> link.Link:
-        held = self._contact.held
+        held = self._connection.current_link
         if held is None or held.is_closed:
-            raise failures.ConnectionSilent(self._contact.name)
+            raise failures.ConnectionSilent(self._connection.name)
         # A connection that something on the way has lost track of swallows
         # the call.  For a call that may not repeat its silence could only be
         # told as 'may have run', so it goes only over a connection that
         # echoed a heartbeat a moment ago.
-        if not idempotent and not held.is_fresh(FRESH_SECONDS):
-            raise failures.ConnectionSilent(self._contact.name)
+        if not idempotent and not held.is_fresh(HEARTBEAT_AGE_LIMIT_SECONDS):
+            raise failures.ConnectionSilent(self._connection.name)
         return held
 
     async def _relay(self, call: stream.Stream) -> None:
@@ -115,7 +115,7 @@
             raise self._ended(call)
         self._check_identity(call, head.call_id)
         self._point = outcomes.Point.HEAD_SEEN
-        found = responses.head_of(head)
+        found = responses.from_call_head(head)
         if _is_event_stream(head):
             await self._relay_events(call, found)
             return
@@ -126,7 +126,7 @@
         call: stream.Stream,
         head: responses.Head,
     ) -> None:
-        self._progress.is_events = True
+        self._progress.is_event_stream = True
         if not self._sink.started:
             await self._sink.start(head)
         try:
@@ -136,7 +136,7 @@
         except errors.StreamBroken:
             # After the engine's closing event nothing is missing, whatever
             # became of the link.
-            if not self._progress.whole:
+            if not self._progress.is_complete:
                 raise
         await self._finish()
 
@@ -150,7 +150,7 @@
         if events:
             self._ticket.advance(events)
         self._progress.events += events
-        self._progress.whole = self._cutter.done
+        self._progress.is_complete = self._cutter.done
 
     async def _relay_plain(
         self,
@@ -171,11 +171,11 @@
         if self._sink.started:
             await self._finish()
             return
-        self._progress.whole = True
-        await self._sink.whole(head, bytes(kept))
+        self._progress.is_complete = True
+        await self._sink.send(head, bytes(kept))
 
     async def _finish(self) -> None:
-        self._progress.whole = True
+        self._progress.is_complete = True
         if self._cutter.rest:
             await self._sink.write(self._cutter.rest)
         await self._sink.finish()
@@ -208,11 +208,13 @@
 
     def _failed(self, failure: errors.CodedError) -> AttemptFailed:
         if self._gave_way:
-            return AttemptFailed(refusals.CallPreempted(), known(self))
+            return AttemptFailed(
+                refusals.CallPreempted(), ran_without_reply(self)
+            )
         if isinstance(failure, AgentEnded):
             return AttemptFailed(failure.cause, failure.cause.ran)
         self.cancel(failure.code)
-        return AttemptFailed(failure, known(self))
+        return AttemptFailed(failure, ran_without_reply(self))
 
 
 class AgentEnded(errors.CodedError):
@@ -226,7 +228,7 @@
         self.cause = cause
 
 
-def known(attempted: Attempt) -> messages.Ran:
+def ran_without_reply(attempted: Attempt) -> messages.Ran:
     """Say what is known of an attempt that ended without its agent's word."""
     if attempted.handed_over:
         return messages.Ran.MAY_HAVE_RUN
--- a/tamarackthread/entry/call_claim.py
+++ b/tamarackthread/entry/call_claim.py
@@ -13,28 +13,28 @@
 REPLAY_HEADER = ('X-Tamarackthread-Replayed', 'true')
 
 
-class ClaimedCall(abc.ABC):
+class CallClaim(abc.ABC):
     """The claim of one call that must not repeat, over all its attempts."""
 
     @property
     @abc.abstractmethod
-    def is_doubtful(self) -> bool:
+    def is_in_doubt(self) -> bool:
         """Tell whether another try of this call may have run."""
 
     @abc.abstractmethod
-    def record(self, sink: responses.Sink) -> responses.Sink:
+    def wrap_sink(self, sink: responses.Sink) -> responses.Sink:
         """Give the sink that the answer must go through."""
 
     @abc.abstractmethod
-    async def secure(
+    async def record_handover(
         self,
         opening: messages.OpenCall,
-        contact: fleet.Contact,
+        connection: fleet.TargetConnection,
     ) -> None:
         """Put the claim for the next hand-over into the call."""
 
     @abc.abstractmethod
-    async def settle(
+    async def resolve(
         self,
         reply: messages.ClaimReply | None = None,
     ) -> messages.ClaimReply | None:
@@ -57,20 +57,22 @@
         """Note that the caller is gone."""
 
 
-def window(contact: fleet.Contact, deadline: float) -> messages.Handover:
+def window(
+    connection: fleet.TargetConnection, deadline: float
+) -> messages.Handover:
     """Say where and until when a call may start, on the agent's clock.
 
     Raises ``ConnectionSilent`` when the agent's clock isn't known.
     """
-    held = contact.held
+    held = connection.current_link
     clock = held.peer_clock_ms() if held and not held.is_closed else None
     if held is None or clock is None:
-        raise failures.ConnectionSilent(contact.name)
+        raise failures.ConnectionSilent(connection.name)
     left = deadline - asyncio.get_running_loop().time()
     seconds = min(left, HANDOVER_SECONDS)
     return messages.Handover(
-        target=contact.name,
-        address=contact.details.address,
+        target=connection.name,
+        address=connection.details.address,
         incarnation=held.peer.incarnation,
         until_ms=clock + int(seconds * claim_times.MILLISECONDS),
     )
@@ -81,4 +83,4 @@
     headers = [(kept.name, kept.value) for kept in reply.headers or ()]
     headers.append(REPLAY_HEADER)
     head = responses.Head(status=reply.status, headers=tuple(headers))
-    await sink.whole(head, reply.body or b'')
+    await sink.send(head, reply.body or b'')
--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -76,18 +76,18 @@
     attempts: int = 0
     resumed: int = 0
     may_have_run: bool = False
-    claim: call_claim.ClaimedCall | None = None
+    claim: call_claim.CallClaim | None = None
 
 
-class Runner:
+class CallRunner:
     """Run calls: admit, hand over, retry where that is safe, resume."""
 
     def __init__(
         self,
         targets: fleet.Fleet,
         rng: random.Random,
-        revision: fleet.Revision,
-        claimed: keyed_claim.KeyedCalls,
+        revision: fleet.RevisionSource,
+        claimed: keyed_claim.KeyedClaims,
     ) -> None:
         """Run against the fleet's targets."""
         self._fleet = targets
@@ -110,7 +110,9 @@
             return
         await self._run_claimed(life)
 
-    async def refuse(self, call: Call, failure: errors.CodedError) -> None:
+    async def correct_refusal(
+        self, call: Call, failure: errors.CodedError
+    ) -> None:
         """Make a refusal before the run truthful for another try's key."""
         if call.is_keyed:
             await self._claim_of(call).fail(failure)
@@ -125,7 +127,7 @@
     async def _run_claimed(self, life: _Life) -> None:
         claim = self._claim_of(life.call)
         life.claim = claim
-        life.sink = claim.record(life.sink)
+        life.sink = claim.wrap_sink(life.sink)
         try:
             await self._run_in_time(life)
         except asyncio.CancelledError:
@@ -136,7 +138,7 @@
             raise
         claim.succeed()
 
-    def _claim_of(self, call: Call) -> call_claim.ClaimedCall:
+    def _claim_of(self, call: Call) -> call_claim.CallClaim:
         if not call.is_keyed:
             return self._claimed.start_unkeyed(call.facts.deadline)
         return self._claimed.start(
@@ -173,7 +175,7 @@
 
     async def _attempt(self, life: _Life) -> None:
         pool = self._fleet.pool(life.call.service)
-        if life.excluded.issuperset(pool.contacts):
+        if life.excluded.issuperset(pool.connections):
             life.excluded = frozenset()
         facts = attrs.evolve(life.facts, excluded=life.excluded)
         ticket = await pool.admission.submit(facts)
@@ -184,11 +186,11 @@
                 ticket.resumed,
                 start=life.progress.events,
             )
-            pool.answered(ticket.target, is_good=not _is_broken(exc))
+            pool.record_result(ticket.target, is_good=not _is_broken(exc))
             raise
         finally:
             ticket.release()
-        pool.answered(ticket.target, is_good=True)
+        pool.record_result(ticket.target, is_good=True)
 
     async def _hand_over(
         self,
@@ -196,15 +198,15 @@
         pool: fleet.Pool,
         ticket: admission.Ticket,
     ) -> None:
-        contact = pool.contacts.get(ticket.target)
-        if contact is None:
+        connection = pool.connections.get(ticket.target)
+        if connection is None:
             raise refusals.NoTarget(ticket.target)
         life.excluded |= {ticket.target}
         opening = self._opening(life, ticket.target)
         if life.claim is not None:
-            await self._secure(life.claim, opening, contact)
+            await self._secure(life.claim, opening, connection)
         running = attempt.Attempt(
-            contact,
+            connection,
             ticket,
             life.sink,
             life.progress,
@@ -219,12 +221,12 @@
 
     async def _secure(
         self,
-        claim: call_claim.ClaimedCall,
+        claim: call_claim.CallClaim,
         opening: messages.OpenCall,
-        contact: fleet.Contact,
+        connection: fleet.TargetConnection,
     ) -> None:
         try:
-            await claim.secure(opening, contact)
+            await claim.record_handover(opening, connection)
         except failures.ConnectionSilent as exc:
             raise attempt.AttemptFailed(exc, messages.Ran.NOT_RUN) from exc
 
@@ -276,7 +278,7 @@
     ) -> messages.ClaimReply | None:
         """Settle the call's claim and give the caller its answer, if any."""
         assert life.claim is not None
-        settled = await life.claim.settle(reply)
+        settled = await life.claim.resolve(reply)
         if settled is not None and not settled.granted:
             await call_claim.replay(settled, life.sink)
         return settled
@@ -334,7 +336,7 @@
         rules = life.call.profile.resume
         if not isinstance(failed.cause, refusals.CallPreempted):
             life.resumed += 1
-        resumable = life.progress.is_events and life.call.is_model
+        resumable = life.progress.is_event_stream and life.call.is_model
         if resumable and rules.enabled and life.resumed <= rules.attempts:
             return
         raise _truthful(life, failed.cause) from failed
@@ -369,7 +371,7 @@
 ) -> None:
     """Have an attempt give its place up when its ticket asks for it."""
     await ticket.preempted.wait()
-    running.give_way()
+    running.preempt()
 
 
 def _is_broken(failed: attempt.AttemptFailed) -> bool:
@@ -393,7 +395,7 @@
 
 
 def _past_deadline(life: _Life) -> errors.CodedError:
-    if life.claim is not None and life.claim.is_doubtful:
+    if life.claim is not None and life.claim.is_in_doubt:
         return claim_errors.ClaimStillRunning()
     if life.may_have_run:
         return failures.DeadlineExceeded()
--- a/tamarackthread/entry/claim_client.py
+++ b/tamarackthread/entry/claim_client.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Ask:
+class Claimant:
     """One try of a keyed call; ``deadline`` is on the loop's clock.
 
     ``identity`` names this try: it may ask for the claim as often as
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Finish:
+class Outcome:
     """How a claimed call ended; a status of 0 keeps no answer."""
 
     state: messages.ClaimState
@@ -51,13 +51,13 @@
     body: bytes = b''
 
 
-class ClaimsClient(abc.ABC):
+class ClaimClient(abc.ABC):
     """Record and ask what is known of keyed calls."""
 
     @abc.abstractmethod
     async def claim(
         self,
-        ask: Ask,
+        claimant: Claimant,
         handover: messages.Handover | None,
     ) -> messages.ClaimReply:
         """Claim a key for a hand-over; ``granted`` tells whether to go on.
@@ -68,7 +68,7 @@
     @abc.abstractmethod
     async def move(
         self,
-        ask: Ask,
+        claimant: Claimant,
         held: messages.ClaimReply,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
@@ -77,16 +77,16 @@
     @abc.abstractmethod
     async def finish(
         self,
-        ask: Ask,
+        claimant: Claimant,
         held: messages.ClaimReply,
-        finish: Finish,
+        finish: Outcome,
     ) -> messages.ClaimReply:
         """Record the outcome under the fence of the reply that is held."""
 
     @abc.abstractmethod
     async def wait(
         self,
-        ask: Ask,
+        claimant: Claimant,
         seconds: float,
     ) -> messages.ClaimReply:
         """Ask what is known, waiting so long for an outcome."""
--- a/tamarackthread/entry/directory.py
+++ b/tamarackthread/entry/directory.py
@@ -61,7 +61,7 @@
         """Give the entries by node."""
         return self._entries
 
-    def follow(self, held: catalogue.Catalogue) -> None:
+    def update(self, held: catalogue.Catalogue) -> None:
         """Take in what the catalogue holds beyond what was taken before."""
         while True:
             page = held.after(self._revision)
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -15,9 +15,9 @@
 
 RETRY_SECONDS = 0.2
 CLOSE_SECONDS = 1.0
-Revision = collections.abc.Callable[[], int]
+RevisionSource = collections.abc.Callable[[], int]
 Pool = pools.Pool
-Contact = pools.Contact
+TargetConnection = pools.TargetConnection
 _log = logging.getLogger('tamarackthread.entry')
 
 
@@ -37,7 +37,7 @@
         self._portions = buckets.Portions()
         self._own = subsets.Place(node, zone)
         self._ranks: dict[str, ranks.RankedTargets] = {}
-        self._around = pools.Surroundings(zone, known, self._portions, rng)
+        self._around = pools.PoolContext(zone, known, self._portions, rng)
         self._peers: peers.Peers | None = None
         self._pools: dict[str, pools.Pool] = {}
         self._by_target: dict[str, pools.Pool] = {}
@@ -48,7 +48,7 @@
         """Give the portions of organisations' caps."""
         return self._portions
 
-    def use(self, dialler: peers.Peers) -> None:
+    def set_peers(self, dialler: peers.Peers) -> None:
         """Dial agents with these peers from now on."""
         self._peers = dialler
 
@@ -66,7 +66,7 @@
             return
         pool = self._by_target.get(request.report.target)
         if pool is not None:
-            pool.report(request.report)
+            pool.apply_report(request.report)
 
     def pool(self, service: str) -> pools.Pool:
         """Give the pool of a service, making it at the first use."""
@@ -77,9 +77,11 @@
             self._pools[service] = found
         return found
 
-    def contact(self, service: str, target: str) -> pools.Contact | None:
+    def connection(
+        self, service: str, target: str
+    ) -> pools.TargetConnection | None:
         """Give the contact for a target of a service."""
-        return self.pool(service).contacts.get(target)
+        return self.pool(service).connections.get(target)
 
     def update(self) -> None:
         """Follow the directory and the profiles that it holds."""
@@ -89,7 +91,7 @@
         self._rank()
         for service in self._directory.services:
             pool = self.pool(service)
-            pool.follow(self._directory.profile(service))
+            pool.set_profile(self._directory.profile(service))
             self._settle(pool)
 
     def close(self) -> None:
@@ -102,7 +104,7 @@
         if details is None:
             return True
         pool = self._by_target[name]
-        known = pool.contacts[name].details
+        known = pool.connections[name].details
         if details.service != pool.service:
             return True
         return details.address != known.address
@@ -140,7 +142,7 @@
             pool.profile.routing.subset_size,
             pool.is_usable,
         )
-        for name in tuple(pool.contacts):
+        for name in tuple(pool.connections):
             if name not in chosen:
                 self._part(name)
         for name in chosen:
@@ -149,39 +151,43 @@
 
     def _meet(self, name: str, details: generated.Target) -> None:
         pool = self.pool(details.service)
-        contact = pool.contacts.get(name)
-        if contact is not None:
-            contact.details = details
+        connection = pool.connections.get(name)
+        if connection is not None:
+            connection.details = details
             return
-        contact = pool.add(name, details)
+        connection = pool.add(name, details)
         self._by_target[name] = pool
         loop = asyncio.get_running_loop()
-        contact.keeper = loop.create_task(self._keep(pool, contact))
+        connection.connect_task = loop.create_task(self._keep(pool, connection))
 
     def _part(self, name: str) -> None:
         pool = self._by_target.pop(name)
-        held = pool.contacts[name].held
+        held = pool.connections[name].current_link
         pool.remove(name)
         if held is not None and not held.is_closed:
             closing = asyncio.get_running_loop().create_task(_close(held))
             self._closing.add(closing)
             closing.add_done_callback(self._closing.discard)
 
-    async def _keep(self, pool: pools.Pool, contact: pools.Contact) -> None:
+    async def _keep(
+        self, pool: pools.Pool, connection: pools.TargetConnection
+    ) -> None:
         assert self._peers is not None
         while True:
             try:
-                contact.held = await self._peers.link(contact.details.address)
+                connection.current_link = await self._peers.link(
+                    connection.details.address
+                )
             except errors.CodedError as exc:
-                _log.debug('entry: no link to %s, %s', contact.name, exc)
-                if not contact.has_failed:
-                    contact.has_failed = True
+                _log.debug('entry: no link to %s, %s', connection.name, exc)
+                if not connection.connect_failed:
+                    connection.connect_failed = True
                     self._settle(pool)
                 await asyncio.sleep(RETRY_SECONDS * self._rng.uniform(0.5, 1))
                 continue
-            contact.has_failed = False
+            connection.connect_failed = False
             self._settle(pool)
-            await contact.held.wait_closed()
+            await connection.current_link.wait_closed()
             pool.refresh()
 
 
--- a/tamarackthread/entry/frontend.py
+++ b/tamarackthread/entry/frontend.py
@@ -31,14 +31,14 @@
 Readiness = collections.abc.Callable[[], bool]
 
 
-class Front:
+class Frontend:
     """Take requests, run them and answer."""
 
     def __init__(
         self,
         limits: generated.Entry,
-        reader: request_reader.Reader,
-        runner: calls.Runner,
+        reader: request_reader.RequestReader,
+        runner: calls.CallRunner,
         guard: Guard,
         is_ready: Readiness,
         counted: metrics.Metrics | None = None,
@@ -84,11 +84,11 @@
         host, port = self._server.addresses[0][:2]
         return f'{host}:{port}'
 
-    def fail_health(self) -> None:
+    def fail_readiness(self) -> None:
         """Tell the platform's balancer to look elsewhere; go on serving."""
         self._leaving = True
 
-    def refuse_new(self) -> None:
+    def refuse_calls(self) -> None:
         """Refuse new calls, which have then not run."""
         self._refusing = True
 
@@ -169,10 +169,10 @@
             counter = metrics.Counter.CALL_NOT_RUN
         self._metrics.count(counter)
         if sink.started:
-            await sink.break_off(failure)
+            await sink.abort(failure)
             return
         with contextlib.suppress(failures.CallerGone, failures.CallerTooSlow):
-            await sink.whole(
+            await sink.send(
                 responses.error_head(failure, request_id),
                 responses.error_body(failure, request_id),
             )
@@ -194,7 +194,7 @@
         try:
             self._check_call(call)
         except errors.CodedError as exc:
-            await self._runner.refuse(call, exc)
+            await self._runner.correct_refusal(call, exc)
             raise
         await self._runner.run(call, sink)
 
--- a/tamarackthread/entry/keyed_claim.py
+++ b/tamarackthread/entry/keyed_claim.py
@@ -65,44 +65,44 @@
     body: bytes
 
 
-class KeyedCall(call_claim.ClaimedCall):
+class KeyedClaim(call_claim.CallClaim):
     """The claim of one call over all its attempts."""
 
     def __init__(
         self,
-        owner: KeyedCalls,
-        ask: claim_client.Ask,
+        owner: KeyedClaims,
+        claimant: claim_client.Claimant,
         rules: generated.Claims,
     ) -> None:
         """Claim nothing yet."""
         self._owner = owner
-        self._ask = ask
+        self._claimant = claimant
         self._rules = rules
         self._held: messages.ClaimReply | None = None
         self._is_asked = False
         self._sink: recording.RecordingSink | None = None
 
     @property
-    def is_doubtful(self) -> bool:
+    def is_in_doubt(self) -> bool:
         """Tell whether another try of this key may have run."""
         return self._is_asked and self._held is None
 
-    def record(self, sink: responses.Sink) -> responses.Sink:
+    def wrap_sink(self, sink: responses.Sink) -> responses.Sink:
         """Keep what goes to the sink, for second tries, if it is small."""
         limit = self._rules.answer_limit_bytes
         self._sink = recording.RecordingSink(sink, limit)
         return self._sink
 
-    async def secure(
+    async def record_handover(
         self,
         opening: messages.OpenCall,
-        contact: fleet.Contact,
+        connection: fleet.TargetConnection,
     ) -> None:
         """Record the hand-over and put the claim into the call.
 
         Raises ``ClaimedElsewhere`` when the call is not, or no longer, ours.
         """
-        handover = call_claim.window(contact, self._ask.deadline)
+        handover = call_claim.window(connection, self._claimant.deadline)
         loop = asyncio.get_running_loop()
         began = loop.time()
         reply = await self._secure(handover)
@@ -115,11 +115,11 @@
         if self._held is None:
             counted.count(metrics.Counter.CLAIM_GRANTED)
         self._held = reply
-        opening.claim = self._ask.name
+        opening.claim = self._claimant.name
         opening.fence = reply.fence
         opening.handover = handover
 
-    async def settle(
+    async def resolve(
         self,
         reply: messages.ClaimReply | None = None,
     ) -> messages.ClaimReply | None:
@@ -135,8 +135,10 @@
         self._held = None
         loop = asyncio.get_running_loop()
         latest = loop.time() + self._rules.wait_seconds
-        until = min(self._ask.deadline, latest)
-        settled = await self._owner.settler.settle(self._ask, reply, until)
+        until = min(self._claimant.deadline, latest)
+        settled = await self._owner.resolver.resolve(
+            self._claimant, reply, until
+        )
         if settled.granted:
             self._held = settled
         return settled
@@ -145,8 +147,8 @@
         """Record the whole answer; nobody waits for that."""
         if self._held is None or self._sink is None:
             return
-        finish = self._sink.finish_of_claim()
-        self._owner.later(self._finish(self._held, finish))
+        finish = self._sink.claim_outcome()
+        self._owner.run_in_background(self._finish(self._held, finish))
 
     async def fail(self, failure: errors.CodedError) -> None:
         """Record a failure and make its word hold for the whole key.
@@ -174,10 +176,10 @@
         if held is None:
             return
         if handed_over:
-            self._owner.later(self._collect(held))
+            self._owner.run_in_background(self._collect(held))
             return
-        released = claim_client.Finish(_State.RELEASED)
-        self._owner.later(self._finish(held, released))
+        released = claim_client.Outcome(_State.RELEASED)
+        self._owner.run_in_background(self._finish(held, released))
 
     async def _secure(
         self,
@@ -187,49 +189,49 @@
         held = self._held
         if held is None:
             self._is_asked = True
-            held = await client.claim(self._ask, handover)
+            held = await client.claim(self._claimant, handover)
             if not held.granted or held.handover == handover:
                 return held
-        return await client.move(self._ask, held, handover)
+        return await client.move(self._claimant, held, handover)
 
     async def _free(self) -> bool:
         client = self._owner.client
         if self._held is None:
-            found = await client.wait(self._ask, 0)
+            found = await client.wait(self._claimant, 0)
         else:
-            released = claim_client.Finish(_State.RELEASED)
-            found = await client.finish(self._ask, self._held, released)
+            released = claim_client.Outcome(_State.RELEASED)
+            found = await client.finish(self._claimant, self._held, released)
         return not found.known or found.state == _State.RELEASED
 
     async def _finish(
         self,
         held: messages.ClaimReply,
-        finish: claim_client.Finish,
+        finish: claim_client.Outcome,
     ) -> None:
-        await self._owner.client.finish(self._ask, held, finish)
+        await self._owner.client.finish(self._claimant, held, finish)
 
     async def _collect(self, held: messages.ClaimReply) -> None:
         until = asyncio.get_running_loop().time() + COLLECT_SECONDS
-        await self._owner.settler.collect(self._ask, held, until)
+        await self._owner.resolver.record_outcome(self._claimant, held, until)
 
 
-class KeyedCalls:
+class KeyedClaims:
     """Start keyed calls and finish their claims in the background."""
 
     def __init__(
         self,
-        client: claim_client.ClaimsClient,
-        settler: takeover.Takeover,
+        client: claim_client.ClaimClient,
+        resolver: takeover.Takeover,
         counted: metrics.Metrics | None = None,
     ) -> None:
         """Share the client and the takeover among all calls."""
         self._metrics = counted or metrics.Metrics()
         self._client = client
-        self._settler = settler
+        self._settler = resolver
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def client(self) -> claim_client.ClaimsClient:
+    def client(self) -> claim_client.ClaimClient:
         """Give the way to the shards."""
         return self._client
 
@@ -239,14 +241,14 @@
         return self._metrics
 
     @property
-    def settler(self) -> takeover.Takeover:
+    def resolver(self) -> takeover.Takeover:
         """Give what settles the claims of other tries."""
         return self._settler
 
-    def start(self, request: Request) -> KeyedCall:
+    def start(self, request: Request) -> KeyedClaim:
         """Prepare the claim of a call."""
         rules = request.rules
-        ask = claim_client.Ask(
+        claimant = claim_client.Claimant(
             organisation=request.facts.organisation,
             key=request.key,
             digest=claim_keys.digest(
@@ -258,13 +260,13 @@
             home_region=rules.shard_region or request.home_region,
             keep_ms=int(rules.keep_seconds * claim_times.MILLISECONDS),
         )
-        return KeyedCall(self, ask, rules)
+        return KeyedClaim(self, claimant, rules)
 
-    def start_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedCall:
+    def start_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedClaim:
         """Prepare a call that has no key, for its hand-over."""
-        return unkeyed_claim.UnkeyedCall(self._settler.prober, deadline)
+        return unkeyed_claim.UnkeyedClaim(self._settler.prober, deadline)
 
-    def later(
+    def run_in_background(
         self,
         work: collections.abc.Coroutine[None, None, None],
     ) -> None:
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -28,23 +28,23 @@
 
 
 @attrs.define(eq=False)
-class Contact:
+class TargetConnection:
     """One target that this entry keeps a link to."""
 
     name: str
     details: generated.Target
     view: routing.TargetView
-    held: link.Link | None = None
-    has_failed: bool = False
-    keeper: asyncio.Task[None] | None = None
+    current_link: link.Link | None = None
+    connect_failed: bool = False
+    connect_task: asyncio.Task[None] | None = None
 
     @property
     def is_linked(self) -> bool:
         """Tell whether there is an open link to the target's agent."""
-        return self.held is not None and not self.held.is_closed
+        return self.current_link is not None and not self.current_link.is_closed
 
     @property
-    def is_open(self) -> bool:
+    def accepts_calls(self) -> bool:
         """Tell whether new calls may be sent there."""
         return self.is_linked and not self.details.leaving
 
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class PoolContext:
     """What every pool of an entry shares."""
 
     zone: str
@@ -83,12 +83,12 @@
         self,
         service: str,
         profile: generated.Profile,
-        around: Surroundings,
+        around: PoolContext,
     ) -> None:
         """Start without targets."""
         self._service = service
         self._around = around
-        self._contacts: dict[str, Contact] = {}
+        self._connections: dict[str, TargetConnection] = {}
         self._apply(profile)
 
     @property
@@ -107,16 +107,16 @@
         return self._admission
 
     @property
-    def contacts(self) -> collections.abc.Mapping[str, Contact]:
+    def connections(self) -> collections.abc.Mapping[str, TargetConnection]:
         """Give the targets by name."""
-        return self._contacts
+        return self._connections
 
-    def follow(self, profile: generated.Profile) -> None:
+    def set_profile(self, profile: generated.Profile) -> None:
         """Put a profile in use if it differs from the one in use."""
         if profile != self._profile:
             self._apply(profile)
 
-    def add(self, name: str, details: generated.Target) -> Contact:
+    def add(self, name: str, details: generated.Target) -> TargetConnection:
         """Add a target that is not linked yet."""
         rules = self._profile.routing
         view = routing.TargetView(
@@ -129,40 +129,40 @@
             ),
             prefixes=affinity.PrefixView(),
         )
-        contact = Contact(name=name, details=details, view=view)
-        self._contacts[name] = contact
-        return contact
+        connection = TargetConnection(name=name, details=details, view=view)
+        self._connections[name] = connection
+        return connection
 
     def remove(self, name: str) -> None:
         """Drop a target; its calls in flight go on."""
-        contact = self._contacts.pop(name)
+        connection = self._connections.pop(name)
         self._ejection.forget(name)
-        if contact.keeper is not None:
-            contact.keeper.cancel()
+        if connection.connect_task is not None:
+            connection.connect_task.cancel()
 
     def is_usable(self, name: str) -> bool:
         """Tell whether a target is linked, or was not dialled in vain."""
-        contact = self._contacts.get(name)
-        return contact is None or not contact.has_failed
+        connection = self._connections.get(name)
+        return connection is None or not connection.connect_failed
 
     def refresh(self) -> None:
         """Offer the linked targets to new calls and serve the queue."""
         self._place.set_targets(
             [
-                contact.view
-                for contact in self._contacts.values()
-                if contact.is_open
+                connection.view
+                for connection in self._connections.values()
+                if connection.accepts_calls
             ],
         )
         self._admission.wake()
 
-    def report(self, report: messages.LoadReport) -> None:
+    def apply_report(self, report: messages.LoadReport) -> None:
         """Take in a target's report of its load."""
-        contact = self._contacts.get(report.target)
-        if contact is None:
+        connection = self._connections.get(report.target)
+        if connection is None:
             return
         now = asyncio.get_running_loop().time()
-        view = contact.view
+        view = connection.view
         if not view.load.report(report, now):
             return
         view.prefixes.observe(
@@ -174,7 +174,7 @@
         self._share(view.name, now)
         self._admission.wake()
 
-    def answered(self, target: str, is_good: bool) -> None:
+    def record_result(self, target: str, is_good: bool) -> None:
         """Count how a call ended at a target."""
         now = asyncio.get_running_loop().time()
         self._ejection.answered(target, is_good, now)
@@ -187,12 +187,12 @@
         whatever the size of the subset.
         """
         for name in (changed, *self._reduced):
-            contact = self._contacts.get(name)
-            if contact is None:
+            connection = self._connections.get(name)
+            if connection is None:
                 self._reduced.discard(name)
                 continue
-            contact.view.share = self._ejection.share(name, now)
-            if contact.view.share < 1:
+            connection.view.share = self._ejection.share(name, now)
+            if connection.view.share < 1:
                 self._reduced.add(name)
             else:
                 self._reduced.discard(name)
@@ -201,8 +201,8 @@
         self._profile = profile
         self._ejection = ejection.Ejection(_ejection_settings(profile))
         self._reduced: set[str] = set()
-        for contact in self._contacts.values():
-            contact.view.share = 1
+        for connection in self._connections.values():
+            connection.view.share = 1
         self._place = room.TargetRoom(
             self._routing(profile),
             room.RoomSettings(
--- a/tamarackthread/entry/rate_leases.py
+++ b/tamarackthread/entry/rate_leases.py
@@ -21,7 +21,7 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class CapsKeeper:
+class RateLeaser:
     """Ask control for portions by what callers lately asked for."""
 
     def __init__(
@@ -43,7 +43,7 @@
         self._address = next(self._turns, '')
         self._entries = ASSUMED_ENTRIES
 
-    def follow(self) -> None:
+    def update_limits(self) -> None:
         """Take the caps from the directory."""
         now = asyncio.get_running_loop().time()
         rates = {}
@@ -105,7 +105,7 @@
     def _take(self, leased: messages.PortionsReply, asked_at: float) -> None:
         if leased.entries and leased.entries != self._entries:
             self._entries = leased.entries
-            self.follow()
+            self.update_limits()
         lease_seconds = (leased.lease_ms or 0) / MILLISECONDS
         for given in leased.portions or ():
             portion = self._held.find(given.organisation)
--- a/tamarackthread/entry/recording.py
+++ b/tamarackthread/entry/recording.py
@@ -36,23 +36,23 @@
         """End the answer as whole."""
         await self._sink.finish()
 
-    async def whole(self, head: responses.Head, body: bytes) -> None:
+    async def send(self, head: responses.Head, body: bytes) -> None:
         """Send a whole answer at once."""
         self._head = head
         self._keep(body)
-        await self._sink.whole(head, body)
+        await self._sink.send(head, body)
 
-    def finish_of_claim(self) -> claim_client.Finish:
+    def claim_outcome(self) -> claim_client.Outcome:
         """Give the outcome to record, with the answer where it was kept."""
         state = messages.ClaimState.COMPLETE
         if self._head is None or not self._is_kept:
-            return claim_client.Finish(state)
+            return claim_client.Outcome(state)
         headers = tuple(
             messages.Header(name=name, value=value)
             for name, value in self._head.headers
         )
         body = bytes(self._body)
-        return claim_client.Finish(state, self._head.status, headers, body)
+        return claim_client.Outcome(state, self._head.status, headers, body)
 
     def _keep(self, payload: bytes) -> None:
         if len(self._body) + len(payload) > self._limit:
--- a/tamarackthread/entry/request_reader.py
+++ b/tamarackthread/entry/request_reader.py
@@ -49,7 +49,7 @@
     is_stream: bool = False
 
 
-class Reader:
+class RequestReader:
     """Turn HTTP requests into calls."""
 
     def __init__(
--- a/tamarackthread/entry/responses.py
+++ b/tamarackthread/entry/responses.py
@@ -57,11 +57,11 @@
         """End the answer as whole."""
 
     @abc.abstractmethod
-    async def whole(self, head: Head, body: bytes) -> None:
+    async def send(self, head: Head, body: bytes) -> None:
         """Send a whole answer at once."""
 
 
-def head_of(found: messages.CallHead) -> Head:
+def from_call_head(found: messages.CallHead) -> Head:
     """Turn an agent's head into the one for the caller."""
     headers = tuple(
         (header.name, header.value) for header in found.headers or ()
@@ -149,7 +149,7 @@
         async with _reached(), asyncio.timeout(self._slow_seconds):
             await self.response.write_eof()
 
-    async def whole(self, head: Head, body: bytes) -> None:
+    async def send(self, head: Head, body: bytes) -> None:
         """Send head and body with their length."""
         response = web.Response(status=head.status, body=body)
         self._fill(response, head)
@@ -158,7 +158,7 @@
             await response.prepare(self._request)
             await response.write_eof()
 
-    async def break_off(self, failure: errors.CodedError) -> None:
+    async def abort(self, failure: errors.CodedError) -> None:
         """End a started answer so that it cannot be taken for a whole one.
 
         An answer that just stopped would look complete to a caller that
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -78,7 +78,7 @@
             rng,
         )
         self._peers = peers.Peers(self._place.options, self._fleet)
-        self._fleet.use(self._peers)
+        self._fleet.set_peers(self._peers)
         self._feed = feed.ConfigFeed(
             self._peers,
             self._place.options.identity,
@@ -101,7 +101,7 @@
                 most_calls=self._own.call_limit,
             ),
         )
-        self._caps = rate_leases.CapsKeeper(
+        self._caps = rate_leases.RateLeaser(
             settings.node.id,
             settings.node.zone,
             self._directory,
@@ -109,21 +109,21 @@
             self._peers,
             tuple(settings.control_addresses),
         )
-        client = shard_claim_client.ShardClaims(
+        client = shard_claim_client.ShardClaimClient(
             self._peers,
             self._shards,
             settings.node.id,
             rng,
         )
-        self._claimed = keyed_claim.KeyedCalls(
+        self._claimed = keyed_claim.KeyedClaims(
             client,
             takeover.Takeover(client, takeover.LinkProber(self._peers)),
             self._metrics,
         )
-        self._front = frontend.Front(
+        self._front = frontend.Frontend(
             self._own,
-            request_reader.Reader(self._directory, self._own),
-            calls.Runner(
+            request_reader.RequestReader(self._directory, self._own),
+            calls.CallRunner(
                 self._fleet,
                 rng,
                 lambda: self._feed.revision,
@@ -170,9 +170,9 @@
             self._metrics.time(metrics.Timer.LOOP_LAG, self._meter.lag)
 
     def _follow(self, held: catalogue.Catalogue) -> None:
-        self._directory.follow(held)
+        self._directory.update(held)
         self._fleet.update()
-        self._caps.follow()
+        self._caps.update_limits()
 
     def _check(self, call: calls.Call, open_calls: int) -> None:
         rules = call.profile.configuration
@@ -193,9 +193,9 @@
 
     async def _leave(self) -> None:
         _log.info('entry: leaves, %d calls open', self._front.open_calls)
-        self._front.fail_health()
+        self._front.fail_readiness()
         await asyncio.sleep(self._own.health_grace_seconds)
-        self._front.refuse_new()
+        self._front.refuse_calls()
         await process.drained(
             self._front.wait_idle(),
             self._own.drain_seconds,
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -30,7 +30,7 @@
 )
 
 
-class ShardClaims(claim_client.ClaimsClient):
+class ShardClaimClient(claim_client.ClaimClient):
     """Reach the shards over this process's links to the control hosts."""
 
     def __init__(
@@ -51,70 +51,70 @@
 
     async def claim(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         handover: messages.Handover | None,
     ) -> messages.ClaimReply:
         """Claim a key for a hand-over."""
         now = asyncio.get_running_loop().time()
-        until = min(ask.deadline, now + CLAIM_SECONDS)
-        shard = self._shard(ask)
+        until = min(claimant.deadline, now + CLAIM_SECONDS)
+        shard = self._shard(claimant)
         request = messages.ClaimRequest(
             shard=shard.name,
-            key=ask.name,
-            claim=ask.identity,
+            key=claimant.name,
+            claim=claimant.identity,
             holder=self._holder,
-            keep_ms=max(ask.keep_ms, claim_times.MIN_KEEP_MS),
-            deadline_ms=_milliseconds(ask.deadline - now),
-            digest=ask.digest,
+            keep_ms=max(claimant.keep_ms, claim_times.MIN_KEEP_MS),
+            deadline_ms=_milliseconds(claimant.deadline - now),
+            digest=claimant.digest,
             handover=handover,
         )
         return await self._ask(shard, messages.Request(claim=request), until)
 
     async def move(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         held: messages.ClaimReply,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
         """Record the next hand-over under the next number."""
         now = asyncio.get_running_loop().time()
-        until = min(ask.deadline, now + CLAIM_SECONDS)
-        request = self._finish_request(ask, held)
+        until = min(claimant.deadline, now + CLAIM_SECONDS)
+        request = self._finish_request(claimant, held)
         request.state = messages.ClaimState.RUNNING
         request.handover = handover
         request.move = (held.move or 0) + 1
-        return await self._ask_finish(ask, request, until)
+        return await self._ask_finish(claimant, request, until)
 
     async def finish(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         held: messages.ClaimReply,
-        finish: claim_client.Finish,
+        finish: claim_client.Outcome,
     ) -> messages.ClaimReply:
         """Record the outcome, trying for a while after the deadline too."""
-        request = self._finish_request(ask, held)
+        request = self._finish_request(claimant, held)
         request.state = finish.state
         request.status = finish.status
         request.headers = list(finish.headers)
         request.body = finish.body
         request.move = held.move or 0
         until = asyncio.get_running_loop().time() + FINISH_SECONDS
-        return await self._ask_finish(ask, request, until)
+        return await self._ask_finish(claimant, request, until)
 
     async def wait(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         seconds: float,
     ) -> messages.ClaimReply:
         """Poll the shard, which holds its answer back until there is news."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        shard = self._shard(ask)
+        shard = self._shard(claimant)
         while True:
             left = until - loop.time()
             lookup = messages.ClaimLookup(
                 shard=shard.name,
-                key=ask.name,
+                key=claimant.name,
                 wait_ms=_milliseconds(min(left, LONG_POLL_SECONDS)),
             )
             request = messages.Request(claim_lookup=lookup)
@@ -123,33 +123,33 @@
             if not claim_client.is_open(reply) or loop.time() >= until:
                 return reply
 
-    def _shard(self, ask: claim_client.Ask) -> claim_keys.Shard:
+    def _shard(self, claimant: claim_client.Claimant) -> claim_keys.Shard:
         return claim_keys.shard_of(
-            ask.organisation,
-            ask.key,
+            claimant.organisation,
+            claimant.key,
             self._shards(),
-            ask.home_region,
+            claimant.home_region,
         )
 
     def _finish_request(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         held: messages.ClaimReply,
     ) -> messages.ClaimFinish:
         return messages.ClaimFinish(
-            shard=self._shard(ask).name,
-            key=ask.name,
-            claim=ask.identity,
+            shard=self._shard(claimant).name,
+            key=claimant.name,
+            claim=claimant.identity,
             fence=held.fence,
         )
 
     async def _ask_finish(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         request: messages.ClaimFinish,
         until: float,
     ) -> messages.ClaimReply:
-        shard = self._shard(ask)
+        shard = self._shard(claimant)
         wrapped = messages.Request(claim_finish=request)
         return await self._ask(shard, wrapped, until)
 
--- a/tamarackthread/entry/takeover.py
+++ b/tamarackthread/entry/takeover.py
@@ -21,8 +21,8 @@
 PROBE_SECONDS = 1.0
 PROBES_WITHOUT_PROOF = 3
 _State = messages.ClaimState
-_RELEASED = claim_client.Finish(_State.RELEASED)
-_UNKNOWN = claim_client.Finish(_State.UNKNOWN)
+_RELEASED = claim_client.Outcome(_State.RELEASED)
+_UNKNOWN = claim_client.Outcome(_State.UNKNOWN)
 _log = logging.getLogger('tamarackthread.claims')
 
 
@@ -33,7 +33,7 @@
     async def probe(
         self,
         handover: messages.Handover,
-        ask: messages.ClaimProbe,
+        request: messages.ClaimProbe,
     ) -> messages.ClaimProof:
         """Ask the agent that the hand-over names; raise a coded error."""
 
@@ -48,12 +48,12 @@
     async def probe(
         self,
         handover: messages.Handover,
-        ask: messages.ClaimProbe,
+        request: messages.ClaimProbe,
     ) -> messages.ClaimProof:
         """Ask at the address that the claim has recorded."""
         reply = await self._links.request(
             handover.address,
-            messages.Request(claim_probe=ask),
+            messages.Request(claim_probe=request),
             PROBE_SECONDS,
         )
         if reply.claim_proof is None:
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        client: claim_client.ClaimsClient,
+        client: claim_client.ClaimClient,
         prober: Prober,
         grace_seconds: float = GRACE_SECONDS,
     ) -> None:
@@ -80,9 +80,9 @@
         """Give the way to the agents."""
         return self._prober
 
-    async def settle(
+    async def resolve(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         reply: messages.ClaimReply,
         until: float,
     ) -> messages.ClaimReply:
@@ -99,10 +99,10 @@
             if reply.state == _State.COMPLETE:
                 return _checked(reply)
             if not reply.known or reply.state == _State.RELEASED:
-                reply = await self._client.claim(ask, None)
+                reply = await self._client.claim(claimant, None)
                 continue
             _check_time(until)
-            found = await self._progress(ask, reply, until)
+            found = await self._progress(claimant, reply, until)
             if found is None:
                 doubts += 1
                 _check_doubts(reply, doubts)
@@ -110,9 +110,9 @@
             reply = found
         return reply
 
-    async def collect(
+    async def record_outcome(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         held: messages.ClaimReply,
         until: float,
     ) -> None:
@@ -125,22 +125,22 @@
         reply: messages.ClaimReply | None = held
         while loop.time() < until:
             await asyncio.sleep(self._grace_seconds)
-            reply = await self._ask_agent(ask, held)
+            reply = await self._ask_agent(claimant, held)
             if reply is None or not claim_client.is_open(reply):
                 break
         if reply is None or claim_client.is_open(reply):
-            await self._client.finish(ask, held, _UNKNOWN)
+            await self._client.finish(claimant, held, _UNKNOWN)
 
-    async def prove_not_run(
+    async def request_proof(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         held: messages.ClaimReply,
     ) -> messages.ClaimProof | None:
         """Ask the agent to seal a claim; ``None`` without any proof."""
         if held.handover is None:
             return messages.ClaimProof(known=True, reached=False, sealed=True)
         probe = messages.ClaimProbe(
-            claim=ask.name,
+            claim=claimant.name,
             fence=held.fence,
             seal=True,
             handover=held.handover,
@@ -154,7 +154,7 @@
 
     async def _progress(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         seen: messages.ClaimReply,
         until: float,
     ) -> messages.ClaimReply | None:
@@ -162,45 +162,45 @@
         if claim_client.is_open(seen):
             left = until - asyncio.get_running_loop().time()
             seconds = min(self._grace_seconds, left)
-            reply = await self._client.wait(ask, seconds)
+            reply = await self._client.wait(claimant, seconds)
             if not _is_same(seen, reply):
                 return reply
-        return await self._ask_agent(ask, seen)
+        return await self._ask_agent(claimant, seen)
 
     async def _ask_agent(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         reply: messages.ClaimReply,
     ) -> messages.ClaimReply | None:
         """Give the claim's new state as proven, or ``None`` without proof."""
-        proof = await self.prove_not_run(ask, reply)
+        proof = await self.request_proof(claimant, reply)
         if proof is None:
             return None
         if proof.sealed:
             _log.info('claims: took over from %s', reply.holder)
-            return await self._settled(ask, reply, _RELEASED)
+            return await self._settled(claimant, reply, _RELEASED)
         if proof.answered:
-            return await self._settled(ask, reply, _answer(proof))
+            return await self._settled(claimant, reply, _answer(proof))
         if proof.reached and not proof.finished:
             await asyncio.sleep(self._grace_seconds)
-            return await self._client.wait(ask, 0)
+            return await self._client.wait(claimant, 0)
         return None
 
     async def _settled(
         self,
-        ask: claim_client.Ask,
+        claimant: claim_client.Claimant,
         reply: messages.ClaimReply,
-        finish: claim_client.Finish,
+        finish: claim_client.Outcome,
     ) -> messages.ClaimReply:
-        settled = await self._client.finish(ask, reply, finish)
+        settled = await self._client.finish(claimant, reply, finish)
         # Here it tells that the outcome was recorded, not that this try may
         # go on with the call.
         settled.granted = False
         return settled
 
 
-def _answer(proof: messages.ClaimProof) -> claim_client.Finish:
-    return claim_client.Finish(
+def _answer(proof: messages.ClaimProof) -> claim_client.Outcome:
+    return claim_client.Outcome(
         _State.COMPLETE,
         proof.status,
         tuple(proof.headers or ()),
--- a/tamarackthread/entry/unkeyed_claim.py
+++ b/tamarackthread/entry/unkeyed_claim.py
@@ -17,7 +17,7 @@
 PROBE_PAUSE_SECONDS = 0.1
 
 
-class UnkeyedCall(call_claim.ClaimedCall):
+class UnkeyedClaim(call_claim.CallClaim):
     """Such a call over its attempts."""
 
     def __init__(self, prober: takeover.Prober, deadline: float) -> None:
@@ -27,21 +27,21 @@
         self._sent: messages.ClaimProbe | None = None
 
     @property
-    def is_doubtful(self) -> bool:
+    def is_in_doubt(self) -> bool:
         """Tell that no other try can know of this call."""
         return False
 
-    def record(self, sink: responses.Sink) -> responses.Sink:
+    def wrap_sink(self, sink: responses.Sink) -> responses.Sink:
         """Give the sink itself; nobody can ask for the answer again."""
         return sink
 
-    async def secure(
+    async def record_handover(
         self,
         opening: messages.OpenCall,
-        contact: fleet.Contact,
+        connection: fleet.TargetConnection,
     ) -> None:
         """Claim the call's own identity at the agent that it goes to."""
-        handover = call_claim.window(contact, self._deadline)
+        handover = call_claim.window(connection, self._deadline)
         opening.claim = opening.call_id
         opening.fence = claim_times.UNKEYED_FENCE
         opening.handover = handover
@@ -52,7 +52,7 @@
             handover=handover,
         )
 
-    async def settle(
+    async def resolve(
         self,
         reply: messages.ClaimReply | None = None,
     ) -> messages.ClaimReply | None:
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -40,7 +40,7 @@
         if self._rng.random() < 0.08:
             raise claim_errors.ClaimsUnavailable
         if self._rng.random() < 0.1:
-            self._world.later(self._again(request))
+            self._world.run_in_background(self._again(request))
         reply = await super().request(address, request, timeout_seconds)
         if self._rng.random() < 0.12:
             raise claim_errors.ClaimsUnavailable
@@ -67,7 +67,7 @@
         self.incarnation += 1
         self.gate = gates.ClaimGate(self.name, self.incarnation)
 
-    def contact(self):
+    def connection(self):
         loop = asyncio.get_running_loop()
         held = types.SimpleNamespace(
             is_closed=False,
@@ -76,7 +76,7 @@
         )
         return types.SimpleNamespace(
             name=self.name,
-            held=held,
+            current_link=held,
             details=types.SimpleNamespace(address=self.name),
         )
 
@@ -116,12 +116,12 @@
     def __init__(self, world):
         self._world = world
 
-    async def probe(self, handover, ask):
+    async def probe(self, handover, request):
         rng = self._world.rng
         await asyncio.sleep(rng.choice([0.001, 0.01]))
         if rng.random() < 0.15:
             raise errors.AddressUnreachable(handover.address)
-        proof = self._world.agents[handover.address].gate.probe(ask)
+        proof = self._world.agents[handover.address].gate.probe(request)
         if rng.random() < 0.1:
             raise errors.RequestTimeout(handover.address)
         return proof
@@ -133,7 +133,7 @@
     def __init__(self):
         self.text = None
 
-    async def whole(self, head, body):
+    async def send(self, head, body):
         self.text = body.decode()
 
 
@@ -144,13 +144,13 @@
         self.world = world
         self.links = RandomLinks(world.shards, world.rng, world)
         client = shards.connect(self.links, name)
-        self.keyed = keyed_claim.KeyedCalls(
+        self.keyed = keyed_claim.KeyedClaims(
             client, takeover.Takeover(client, Prober(world))
         )
 
     def die(self):
         self.links.is_dead = True
-        self.keyed.later = lambda work: work.close()
+        self.keyed.run_in_background = lambda work: work.close()
 
     async def run(self, key, sink):
         """Run one try; raise what its caller is told."""
@@ -165,7 +165,7 @@
             body=key.encode(),
         )
         claim = self.keyed.start(request)
-        claim.record(sink)
+        claim.wrap_sink(sink)
         try:
             await self._attempts(claim, key, sink)
         except errors.CodedError as exc:
@@ -179,13 +179,13 @@
             try:
                 ran, text = await self._attempt(claim, key)
             except keyed_claim.ClaimedElsewhere as exc:
-                settled = await claim.settle(exc.reply)
+                settled = await claim.resolve(exc.reply)
             else:
                 if ran == Ran.COMPLETE:
-                    await claim._sink.whole(responses.Head(201, ()), text)
+                    await claim._sink.send(responses.Head(201, ()), text)
                     return
                 if ran == Ran.MAY_HAVE_RUN:
-                    settled = await claim.settle(None)
+                    settled = await claim.resolve(None)
             if settled is not None and not settled.granted:
                 sink.text = settled.body.decode()
                 return
@@ -196,11 +196,11 @@
         rng = self.world.rng
         agent = self.world.agents[rng.choice(TARGETS)]
         opening = messages.OpenCall(call_id=b'c')
-        await claim.secure(opening, agent.contact())
+        await claim.record_handover(opening, agent.connection())
         if rng.random() < 0.1:
             await asyncio.sleep(rng.choice([0.1, 12]))
         answered = asyncio.get_running_loop().create_future()
-        self.world.later(agent.serve(opening, key, answered))
+        self.world.run_in_background(agent.serve(opening, key, answered))
         try:
             async with asyncio.timeout(rng.choice([0.02, 1, 3])):
                 ran, text = await answered
@@ -220,7 +220,7 @@
         self.tries = []
         self._tasks = set()
 
-    def later(self, work):
+    def run_in_background(self, work):
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/shards.py
+++ b/tests/shards.py
@@ -89,7 +89,7 @@
 
 def connect(links, holder):
     """Give the client of one entry."""
-    return shard_claim_client.ShardClaims(links, lambda: SHARDS, holder)
+    return shard_claim_client.ShardClaimClient(links, lambda: SHARDS, holder)
 
 
 def find(shards, organisation, key):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -145,12 +145,12 @@
             options(name, messages.Role.ENTRY),
             self.fleet,
         )
-        self.fleet.use(self.peers)
+        self.fleet.set_peers(self.peers)
         own = settings.Entry(**limits)
         self.shards = claimed or shards.make()
         self.shard_links = shards.LocalLinks(self.shards)
         self.claims = shards.connect(self.shard_links, name)
-        self.keyed = keyed_claim.KeyedCalls(
+        self.keyed = keyed_claim.KeyedClaims(
             self.claims,
             takeover.Takeover(
                 self.claims,
@@ -158,15 +158,15 @@
                 GRACE,
             ),
         )
-        self.runner = calls.Runner(
+        self.runner = calls.CallRunner(
             self.fleet,
             rng,
             lambda: 1,
             self.keyed,
         )
-        self.front = frontend.Front(
+        self.front = frontend.Frontend(
             own,
-            request_reader.Reader(self.directory, own),
+            request_reader.RequestReader(self.directory, own),
             self.runner,
             lambda call, open_calls: None,
             lambda: True,
@@ -192,8 +192,8 @@
             await self.linked(agent)
 
     async def linked(self, agent):
-        contact = self.fleet.contact(agent.service, agent.name)
-        while not contact.view.load.last_report.sequence > 0:
+        connection = self.fleet.connection(agent.service, agent.name)
+        while not connection.view.load.last_report.sequence > 0:
             await asyncio.sleep(0)
 
     async def stop(self):
--- a/tests/test_call_path.py
+++ b/tests/test_call_path.py
@@ -194,14 +194,14 @@
 
     async def test_leaving_agent_waits_for_its_streams(self):
         async with stage.running([engine('a')]) as (entry, caller):
-            agent = entry.fleet.contact('draft', 'a')
+            agent = entry.fleet.connection('draft', 'a')
             self.assertTrue(agent.is_linked)
             asking = asyncio.ensure_future(
                 caller.chat(entry.address, CHAT),
             )
             while not agent.view.load.own_calls:
                 await asyncio.sleep(0)
-            agent.held.notify(stage.messages.Request())
+            agent.current_link.notify(stage.messages.Request())
             answer = await asking
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -37,7 +37,7 @@
         known.apply(
             [stage.document('organisation', 'o', {'requests_per_second': 100})],
         )
-        self.keeper = rate_leases.CapsKeeper(
+        self.keeper = rate_leases.RateLeaser(
             'e',
             'z',
             known,
@@ -67,7 +67,7 @@
         """
 
         async def lived():
-            self.keeper.follow()
+            self.keeper.update_limits()
             running = self.loop.create_task(self.keeper.run())
             await self.passed(3)
             leased = await self.passed(5)
@@ -85,11 +85,11 @@
 
     def test_cap_taken_away(self):
         async def lived():
-            self.keeper.follow()
+            self.keeper.update_limits()
             self.keeper._directory.apply(
                 [stage.document('organisation', 'o', {})],
             )
-            self.keeper.follow()
+            self.keeper.update_limits()
 
         self.loop.run_until_complete(lived())
         self.assertIsNone(self.held.find('o'))
--- a/tests/test_keyed_calls.py
+++ b/tests/test_keyed_calls.py
@@ -79,7 +79,7 @@
 def die(entry, trying=None):
     """Have an entry do nothing more, as one that was killed."""
     entry.shard_links.is_dead = True
-    entry.keyed.later = lambda work: work.close()
+    entry.keyed.run_in_background = lambda work: work.close()
     entry.peers.close()
     if trying is not None:
         trying.cancel()
@@ -159,7 +159,7 @@
         target = Orders()
         async with two_entries(target) as (first, second, caller, _):
             await order(caller, first)
-            second.front.refuse_new()
+            second.front.refuse_calls()
             again = await order(caller, second)
             key = {'Idempotency_Key': 'order-8'}
             fresh = await order(caller, second, **key)
@@ -227,7 +227,7 @@
     async def test_entry_dies_before_it_records_the_answer(self):
         target = Orders()
         async with two_entries(target) as (first, second, caller, _):
-            first.keyed.later = lambda work: work.close()
+            first.keyed.run_in_background = lambda work: work.close()
             answered = await order(caller, first)
             die(first)
             again = await order(caller, second)
--- a/tests/test_profiles_in_use.py
+++ b/tests/test_profiles_in_use.py
@@ -17,13 +17,13 @@
         async with stage.running(agents) as (entry, caller):
             pool = entry.fleet.pool('draft')
             before = pool.admission
-            view = pool.contacts['a'].view
+            view = pool.connections['a'].view
             changed = {'routing': {'policy': 'round_robin'}}
             entry.directory.apply([stage.document('profile', 'p', changed)])
             entry.fleet.update()
             answer = await caller.chat(entry.address, test_call_path.CHAT)
             self.assertIsNot(pool.admission, before)
-            self.assertIs(pool.contacts['a'].view, view)
+            self.assertIs(pool.connections['a'].view, view)
             self.assertIsInstance(
                 pool._place._policy,
                 routing.RoundRobin,
@@ -52,7 +52,7 @@
             drafting = asyncio.ensure_future(
                 caller.chat(entry.address, draft, X_Priority='background'),
             )
-            view = entry.fleet.contact('draft', 'a').view
+            view = entry.fleet.connection('draft', 'a').view
             while view.load.own_calls < 1:
                 await asyncio.sleep(0)
             urgent = []
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,10 +21,10 @@
         self.gates = {name: gates.ClaimGate(name, 1) for name in 'ab'}
         self.unreachable = False
 
-    async def probe(self, handover, ask):
+    async def probe(self, handover, request):
         if self.unreachable:
             raise errors.AddressUnreachable(handover.address)
-        return self.gates[handover.target].probe(ask)
+        return self.gates[handover.target].probe(request)
 
 
 class Scene:
@@ -37,11 +37,11 @@
         self.links = shards.LocalLinks(self.shards)
         self.first = shards.connect(self.links, 'entry-1')
         self.second = shards.connect(self.links, 'entry-2')
-        self.settler = takeover.Takeover(self.second, self.agents)
+        self.resolver = takeover.Takeover(self.second, self.agents)
 
-    def ask(self, seconds=30, digest=b'd'):
+    def claimant(self, seconds=30, digest=b'd'):
         deadline = self.loop.time() + seconds
-        return claim_client.Ask('o', 'order-7', digest, deadline)
+        return claim_client.Claimant('o', 'order-7', digest, deadline)
 
     def handover(self, target='a'):
         until_ms = int(self.loop.time() * 1000) + 5000
@@ -49,22 +49,22 @@
 
     async def hold(self):
         """Claim the key as the first try does."""
-        ask = self.ask()
-        reply = await self.first.claim(ask, self.handover())
+        claimant = self.claimant()
+        reply = await self.first.claim(claimant, self.handover())
         assert reply.granted
-        return ask, reply
+        return claimant, reply
 
-    def opening(self, ask, held):
+    def opening(self, claimant, held):
         return messages.OpenCall(
-            claim=ask.name, fence=held.fence, handover=held.handover
+            claim=claimant.name, fence=held.fence, handover=held.handover
         )
 
-    async def settle(self, seconds=10):
+    async def resolve(self, seconds=10):
         """Come as the second try of the same key."""
-        ask = self.ask()
-        reply = await self.second.claim(ask, self.handover('b'))
+        claimant = self.claimant()
+        reply = await self.second.claim(claimant, self.handover('b'))
         until = self.loop.time() + seconds
-        return await self.settler.settle(ask, reply, until)
+        return await self.resolver.resolve(claimant, reply, until)
 
     def state(self):
         return shards.find(self.shards, 'o', 'order-7').state
@@ -80,13 +80,13 @@
         start later either.
         """
         scene = Scene()
-        ask, held = await scene.hold()
-        settled = await scene.settle()
+        claimant, held = await scene.hold()
+        settled = await scene.resolve()
         self.assertTrue(settled.granted)
         self.assertGreater(settled.fence, held.fence)
         with self.assertRaises(claim_errors.ClaimFenced):
-            scene.agents.gates['a'].admit(scene.opening(ask, held))
-        moved = await scene.first.move(ask, held, scene.handover('b'))
+            scene.agents.gates['a'].admit(scene.opening(claimant, held))
+        moved = await scene.first.move(claimant, held, scene.handover('b'))
         self.assertFalse(moved.granted)
 
     @shards.paused
@@ -97,16 +97,16 @@
         end and keeps the answer, which the second try records and gives.
         """
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
+        gate.admit(scene.opening(claimant, held))
 
         async def end():
             await asyncio.sleep(3)
-            gate.finish(scene.opening(ask, held), ANSWER)
+            gate.finish(scene.opening(claimant, held), ANSWER)
 
         ending = asyncio.ensure_future(end())
-        settled = await scene.settle()
+        settled = await scene.resolve()
         await ending
         self.assertFalse(settled.granted)
         self.assertEqual((settled.status, settled.body), (201, b'booked'))
@@ -116,11 +116,11 @@
     @shards.paused
     async def test_died_before_it_recorded_the_answer(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
-        gate.finish(scene.opening(ask, held), ANSWER)
-        settled = await scene.settle()
+        gate.admit(scene.opening(claimant, held))
+        gate.finish(scene.opening(claimant, held), ANSWER)
+        settled = await scene.resolve()
         self.assertEqual((settled.granted, settled.body), (False, b'booked'))
 
     @shards.paused
@@ -130,12 +130,12 @@
         The target broke in its answer, or the answer was too large to keep.
         """
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
-        gate.finish(scene.opening(ask, held), None)
+        gate.admit(scene.opening(claimant, held))
+        gate.finish(scene.opening(claimant, held), None)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
         self.assertIn(scene.state(), {State.GRANTED, State.UNKNOWN})
 
     @shards.paused
@@ -149,7 +149,7 @@
         await scene.hold()
         scene.agents.gates['a'] = gates.ClaimGate('a', 2)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
 
     @shards.paused
     async def test_died_and_the_agent_is_cut_off(self):
@@ -157,7 +157,7 @@
         await scene.hold()
         scene.agents.unreachable = True
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
 
     @shards.paused
     async def test_died_between_two_targets(self):
@@ -167,13 +167,13 @@
         over and died.  ``a`` would prove truthfully that nothing ran there.
         """
         scene = Scene()
-        ask, held = await scene.hold()
-        moved = await scene.first.move(ask, held, scene.handover('b'))
+        claimant, held = await scene.hold()
+        moved = await scene.first.move(claimant, held, scene.handover('b'))
         self.assertTrue(moved.granted)
         gate = scene.agents.gates['b']
-        gate.admit(scene.opening(ask, moved))
-        gate.finish(scene.opening(ask, moved), ANSWER)
-        settled = await scene.settle()
+        gate.admit(scene.opening(claimant, moved))
+        gate.finish(scene.opening(claimant, moved), ANSWER)
+        settled = await scene.resolve()
         self.assertEqual((settled.granted, settled.body), (False, b'booked'))
 
     @shards.paused
@@ -185,8 +185,8 @@
         """
         scene = Scene()
         await scene.hold()
-        self.assertTrue((await scene.settle()).granted)
-        third = await scene.settle()
+        self.assertTrue((await scene.resolve()).granted)
+        third = await scene.resolve()
         self.assertTrue(third.granted)
         self.assertIsNone(third.handover)
 
@@ -195,43 +195,47 @@
     @shards.paused
     async def test_waits_for_a_live_holder(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(ask, held))
+        claimant, held = await scene.hold()
+        scene.agents.gates['a'].admit(scene.opening(claimant, held))
 
         async def end():
             await asyncio.sleep(0.5)
-            finish = claim_client.Finish(State.COMPLETE, 200, (), b'ok')
-            await scene.first.finish(ask, held, finish)
+            finish = claim_client.Outcome(State.COMPLETE, 200, (), b'ok')
+            await scene.first.finish(claimant, held, finish)
 
         ending = asyncio.ensure_future(end())
-        settled = await scene.settle()
+        settled = await scene.resolve()
         await ending
         self.assertEqual((settled.status, settled.body), (200, b'ok'))
 
     @shards.paused
     async def test_is_told_that_it_still_runs(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(ask, held))
+        claimant, held = await scene.hold()
+        scene.agents.gates['a'].admit(scene.opening(claimant, held))
         with self.assertRaises(claim_errors.ClaimStillRunning):
-            await scene.settle(seconds=5)
+            await scene.resolve(seconds=5)
 
     @shards.paused
     async def test_answer_too_large_to_keep(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claim_client.Finish(State.COMPLETE))
+        claimant, held = await scene.hold()
+        await scene.first.finish(
+            claimant, held, claim_client.Outcome(State.COMPLETE)
+        )
         with self.assertRaises(claim_errors.ClaimAnswerNotKept):
-            await scene.settle()
+            await scene.resolve()
 
     @shards.paused
     async def test_unknown_outcome_is_not_run_again(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         scene.agents.unreachable = True
-        await scene.first.finish(ask, held, claim_client.Finish(State.UNKNOWN))
+        await scene.first.finish(
+            claimant, held, claim_client.Outcome(State.UNKNOWN)
+        )
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
 
     @shards.paused
     async def test_unknown_outcome_is_asked_once_more(self):
@@ -241,17 +245,19 @@
         agent was only cut off: it never saw the call and seals it.
         """
         scene = Scene()
-        ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claim_client.Finish(State.UNKNOWN))
-        self.assertTrue((await scene.settle()).granted)
+        claimant, held = await scene.hold()
+        await scene.first.finish(
+            claimant, held, claim_client.Outcome(State.UNKNOWN)
+        )
+        self.assertTrue((await scene.resolve()).granted)
 
     @shards.paused
     async def test_two_second_tries_get_one_grant(self):
         scene = Scene()
         await scene.hold()
         tries = await asyncio.gather(
-            scene.settle(seconds=3),
-            scene.settle(seconds=3),
+            scene.resolve(seconds=3),
+            scene.resolve(seconds=3),
             return_exceptions=True,
         )
         granted = [reply for reply in tries if getattr(reply, 'granted', False)]
@@ -265,7 +271,7 @@
         scene = Scene()
         await scene.hold()
         with self.assertRaises(claim_errors.ClaimKeyReused):
-            await scene.second.claim(scene.ask(digest=b'other'), None)
+            await scene.second.claim(scene.claimant(digest=b'other'), None)
 
 
 class ClientCase(unittest.TestCase):
@@ -299,12 +305,12 @@
     @shards.paused
     async def test_claims_share_proposals(self):
         scene = Scene()
-        asks = [
-            claim_client.Ask('o', f'order-{number}', b'd', 30)
+        claimants = [
+            claim_client.Claimant('o', f'order-{number}', b'd', 30)
             for number in range(400)
         ]
         replies = await asyncio.gather(
-            *(scene.first.claim(ask, None) for ask in asks)
+            *(scene.first.claim(claimant, None) for claimant in claimants)
         )
         self.assertTrue(all(reply.granted for reply in replies))
         proposals = sum(
@@ -333,23 +339,25 @@
     @shards.paused
     async def test_answer_is_recorded_for_a_caller_that_left(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
+        gate.admit(scene.opening(claimant, held))
         until = scene.loop.time() + 60
         collecting = asyncio.ensure_future(
-            scene.settler.collect(ask, held, until)
+            scene.resolver.record_outcome(claimant, held, until)
         )
         await asyncio.sleep(5)
         self.assertEqual(scene.state(), State.GRANTED)
-        gate.finish(scene.opening(ask, held), ANSWER)
+        gate.finish(scene.opening(claimant, held), ANSWER)
         await collecting
         self.assertEqual(scene.state(), State.COMPLETE)
 
     @shards.paused
     async def test_unknown_is_recorded_without_any_proof(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, held = await scene.hold()
         scene.agents.unreachable = True
-        await scene.settler.collect(ask, held, scene.loop.time() + 60)
+        await scene.resolver.record_outcome(
+            claimant, held, scene.loop.time() + 60
+        )
         self.assertEqual(scene.state(), State.UNKNOWN)
