--- a/tamarackthread/entry/__init__.py
+++ b/tamarackthread/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Take callers' requests, choose targets and relay answers."""
+"""Accept callers' requests, route them to targets and relay responses."""
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -1,4 +1,4 @@
-"""Hand one call to one target's agent and relay what comes back."""
+"""Send one call to one target's agent and relay the response."""
 
 from __future__ import annotations
 
@@ -18,23 +18,22 @@
 
 
 class AttemptFailed(errors.CodedError):
-    """Attempt failed; the cause tells why and what is known of it."""
+    """Attempt failed; the cause holds the error of the last step."""
 
     code = 'TT7015'
 
     def __init__(self, cause: errors.CodedError, ran: messages.Ran) -> None:
-        """Keep the cause and what is known about the call's execution."""
+        """Keep the cause and whether the call may have run."""
         super().__init__(f'{cause.code} {cause}')
         self.cause = cause
-        # The class of a cause, such as a lost link, can't know how far the
-        # call had come; whoever is told of the cause is told by the attempt.
+        # A cause such as a lost link has only its class's default here.
         cause.ran = ran
         self.ran = ran
 
 
 @attrs.define(eq=False)
 class Progress:
-    """How far an answer has come to its caller, over all attempts."""
+    """What the caller has received of the response, over all attempts."""
 
     events: int = 0
     is_event_stream: bool = False
@@ -42,7 +41,7 @@
 
 
 class Attempt:
-    """One try of a call at one target."""
+    """One attempt of a call at one target."""
 
     def __init__(
         self,
@@ -58,68 +57,65 @@
         self._progress = progress
         self._point = outcomes.Point.CONNECTING
         self._call: stream.Stream | None = None
-        self._gave_way = False
+        self._preempted = False
         self._cutter = events.EventCutter()
 
     @property
     def handed_over(self) -> bool:
-        """Tell whether the whole call has left for the agent."""
+        """Return whether the whole call was sent to the agent."""
         return self._point >= outcomes.Point.BYTES_LEFT
 
     async def run(self, opening: messages.OpenCall, body: bytes) -> None:
-        """Run the attempt; raise ``AttemptFailed`` unless it was whole."""
+        """Run the attempt; raise ``AttemptFailed`` unless it completes."""
         try:
             await self._run(opening, body)
         except asyncio.CancelledError:
             self.cancel('caller gone')
             raise
         except errors.CodedError as exc:
-            raise self._failed(exc) from exc
+            raise self._attempt_error(exc) from exc
 
     def cancel(self, reason: str) -> None:
-        """Tell the agent that nobody waits for the answer any more."""
+        """Cancel the call at the agent."""
         if self._call is not None:
             self._call.cancel(reason)
 
     def preempt(self) -> None:
-        """End the attempt, so that the call goes on at another place."""
-        self._gave_way = True
+        """Cancel the attempt so that the call resumes on another target."""
+        self._preempted = True
         self.cancel(refusals.CallPreempted.code)
 
     async def _run(self, opening: messages.OpenCall, body: bytes) -> None:
-        held = self._fresh_link(opening.idempotent)
-        self._call = held.open(opening)
+        link_in_use = self._live_link(opening.idempotent)
+        self._call = link_in_use.open(opening)
         await self._call.send(body)
-        # The agent hands a call to its target only after this end of the
-        # body.  Whatever fails before it has not run, whatever fails after
-        # it may have: the bytes may have arrived though nothing came back.
+        # The agent calls its target only after the end of the body: a call
+        # that fails before has not run, one that fails after may have run.
         self._point = outcomes.Point.BYTES_LEFT
         self._call.finish(messages.CallEnd(call_id=opening.call_id))
         await self._relay(self._call)
 
-    def _fresh_link(self, idempotent: bool) -> link.Link:
-        held = self._connection.current_link
-        if held is None or held.is_closed:
+    def _live_link(self, idempotent: bool) -> link.Link:
+        current = self._connection.current_link
+        if current is None or current.is_closed:
             raise failures.ConnectionSilent(self._connection.name)
-        # A connection that something on the way has lost track of swallows
-        # the call.  For a call that may not repeat its silence could only be
-        # told as 'may have run', so it goes only over a connection that
-        # echoed a heartbeat a moment ago.
-        if not idempotent and not held.is_fresh(HEARTBEAT_AGE_LIMIT_SECONDS):
+        # A call lost on a half-open connection may have run.  If it must not
+        # repeat, it needs a connection with a recent heartbeat.
+        if not idempotent and not current.is_fresh(HEARTBEAT_AGE_LIMIT_SECONDS):
             raise failures.ConnectionSilent(self._connection.name)
-        return held
+        return current
 
     async def _relay(self, call: stream.Stream) -> None:
         head = await call.receive_head()
         if head is None:
-            raise self._ended(call)
-        self._check_identity(call, head.call_id)
+            raise self._end_error(call)
+        self._check_call_id(call, head.call_id)
         self._point = outcomes.Point.HEAD_SEEN
-        found = responses.from_call_head(head)
+        response_head = responses.from_call_head(head)
         if _is_event_stream(head):
-            await self._relay_events(call, found)
+            await self._relay_events(call, response_head)
             return
-        await self._relay_plain(call, found)
+        await self._relay_plain(call, response_head)
 
     async def _relay_events(
         self,
@@ -130,22 +126,21 @@
         if not self._sink.started:
             await self._sink.start(head)
         try:
-            async for received in _pieces(call):
-                await self._pass_on(received)
+            async for received in _chunks(call):
+                await self._forward(received)
             self._check_end(call)
         except errors.StreamBroken:
-            # After the engine's closing event nothing is missing, whatever
-            # became of the link.
+            # After the engine's last event the response is complete.
             if not self._progress.is_complete:
                 raise
         await self._finish()
 
-    async def _pass_on(self, received: bytes) -> None:
+    async def _forward(self, received: bytes) -> None:
         before = self._cutter.count
-        whole = self._cutter.cut(received)
-        if not whole:
+        complete_events = self._cutter.cut(received)
+        if not complete_events:
             return
-        await self._sink.write(whole)
+        await self._sink.write(complete_events)
         events = self._cutter.count - before
         if events:
             self._ticket.advance(events)
@@ -157,22 +152,22 @@
         call: stream.Stream,
         head: responses.Head,
     ) -> None:
-        kept = bytearray()
+        buffered = bytearray()
         self._ticket.first_token()
-        async for received in _pieces(call):
+        async for received in _chunks(call):
             if self._sink.started:
                 await self._sink.write(received)
                 continue
-            kept += received
-            if len(kept) > BUFFER_BYTES:
+            buffered += received
+            if len(buffered) > BUFFER_BYTES:
                 await self._sink.start(head)
-                await self._sink.write(bytes(kept))
+                await self._sink.write(bytes(buffered))
         self._check_end(call)
         if self._sink.started:
             await self._finish()
             return
         self._progress.is_complete = True
-        await self._sink.send(head, bytes(kept))
+        await self._sink.send(head, bytes(buffered))
 
     async def _finish(self) -> None:
         self._progress.is_complete = True
@@ -183,31 +178,31 @@
     def _check_end(self, call: stream.Stream) -> None:
         end = call.end
         if end is None or end.ran != messages.Ran.COMPLETE:
-            raise self._ended(call)
-        self._check_identity(call, end.call_id)
+            raise self._end_error(call)
+        self._check_call_id(call, end.call_id)
 
-    def _check_identity(self, call: stream.Stream, found: bytes) -> None:
-        if found != call.call_id:
+    def _check_call_id(self, call: stream.Stream, call_id: bytes) -> None:
+        if call_id != call.call_id:
             call.cancel(failures.AnswerMismatched.code)
             raise failures.AnswerMismatched
 
-    def _ended(self, call: stream.Stream) -> errors.CodedError:
+    def _end_error(self, call: stream.Stream) -> errors.CodedError:
         end = call.end
         if end is None:
-            return errors.StreamBroken('ended without a word')
+            return errors.StreamBroken('stream ended without a CallEnd')
         kind = errors.by_code(end.code or '') or errors.PeerFailure
-        ended = kind(end.text or '', (end.retry_after_ms or 0) / 1000)
-        ended.ran = outcomes.classify(
+        error = kind(end.text or '', (end.retry_after_ms or 0) / 1000)
+        error.ran = outcomes.classify(
             outcomes.Ending(
                 point=self._point,
                 cause=outcomes.Cause.AGENT_SAID,
                 said=end.ran,
             ),
         )
-        return AgentEnded(ended)
+        return AgentEnded(error)
 
-    def _failed(self, failure: errors.CodedError) -> AttemptFailed:
-        if self._gave_way:
+    def _attempt_error(self, failure: errors.CodedError) -> AttemptFailed:
+        if self._preempted:
             return AttemptFailed(
                 refusals.CallPreempted(), ran_without_reply(self)
             )
@@ -218,18 +213,18 @@
 
 
 class AgentEnded(errors.CodedError):
-    """Agent ended the call and said what it knows."""
+    """Agent ended the call with an error."""
 
     code = 'TT7016'
 
     def __init__(self, cause: errors.CodedError) -> None:
-        """Keep what the agent said."""
+        """Keep the agent's error."""
         super().__init__(str(cause))
         self.cause = cause
 
 
 def ran_without_reply(attempted: Attempt) -> messages.Ran:
-    """Say what is known of an attempt that ended without its agent's word."""
+    """Return whether an attempt without a final reply may have run."""
     if attempted.handed_over:
         return messages.Ran.MAY_HAVE_RUN
     return messages.Ran.NOT_RUN
@@ -242,7 +237,7 @@
     return False
 
 
-async def _pieces(
+async def _chunks(
     call: stream.Stream,
 ) -> collections.abc.AsyncIterator[bytes]:
     received = await call.receive()
--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -1,4 +1,4 @@
-"""Take a call from admission to its one truthful outcome."""
+"""Run calls: admission, attempts, retries and resumed streams."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 CALL_ID_BYTES = 16
 _BudgetKey = tuple[str, generated.Retries]
-_BROKEN = (
+_TARGET_ERRORS = (
     errors.StreamBroken,
     errors.LinkLost,
     target_errors.TargetSilent,
@@ -36,10 +36,7 @@
 
 @attrs.frozen
 class Call:
-    """One caller's request, read whole and understood.
-
-    ``deadline`` is in the loop's seconds.
-    """
+    """One caller's request, completely read and parsed."""
 
     request_id: str
     service: str
@@ -55,18 +52,18 @@
 
     @property
     def is_model(self) -> bool:
-        """Tell whether the call goes to a model engine."""
+        """Return whether the call goes to a model engine."""
         return self.kind == 'model'
 
     @property
     def is_keyed(self) -> bool:
-        """Tell whether the call must not repeat and has a key to ensure it."""
+        """Return whether the call needs its idempotency key."""
         return bool(self.key) and not self.facts.idempotent
 
 
 @attrs.define(eq=False)
-class _Life:
-    """What is known of a call over all its attempts."""
+class _CallState:
+    """The state of a call over all its attempts."""
 
     call: Call
     sink: responses.Sink
@@ -80,58 +77,54 @@
 
 
 class CallRunner:
-    """Run calls: admit, hand over, retry where that is safe, resume."""
+    """Admit calls, send them to targets, retry if safe, resume streams."""
 
     def __init__(
         self,
         targets: fleet.Fleet,
         rng: random.Random,
         revision: fleet.RevisionSource,
-        claimed: keyed_claim.KeyedClaims,
+        claims: keyed_claim.KeyedClaims,
     ) -> None:
-        """Run against the fleet's targets."""
+        """Run calls on the fleet's targets."""
         self._fleet = targets
         self._rng = rng
         self._revision = revision
-        self._claimed = claimed
+        self._claims = claims
         self._budgets: dict[_BudgetKey, retries.RetryBudget] = {}
 
     async def run(self, call: Call, sink: responses.Sink) -> None:
-        """Run a call to its end.
-
-        Raises the coded error that the caller must see, with ``ran`` set to
-        what is known over all attempts.
-        """
-        life = _Life(call, sink, attempt.Progress(), call.facts)
+        """Run a call to its end; raise the coded error for the caller."""
+        state = _CallState(call, sink, attempt.Progress(), call.facts)
         loop = asyncio.get_running_loop()
         self._budget(call).earn(loop.time())
         if call.facts.idempotent:
-            await self._run_in_time(life)
+            await self._run_in_time(state)
             return
-        await self._run_claimed(life)
+        await self._run_claimed(state)
 
     async def correct_refusal(
         self, call: Call, failure: errors.CodedError
     ) -> None:
-        """Make a refusal before the run truthful for another try's key."""
+        """Set a refusal's ``ran`` by what is known of the call's key."""
         if call.is_keyed:
             await self._claim_of(call).fail(failure)
 
-    async def _run_in_time(self, life: _Life) -> None:
+    async def _run_in_time(self, state: _CallState) -> None:
         try:
-            async with asyncio.timeout_at(life.call.facts.deadline):
-                await self._attempts(life)
+            async with asyncio.timeout_at(state.call.facts.deadline):
+                await self._attempts(state)
         except TimeoutError as exc:
-            raise _past_deadline(life) from exc
+            raise _deadline_error(state) from exc
 
-    async def _run_claimed(self, life: _Life) -> None:
-        claim = self._claim_of(life.call)
-        life.claim = claim
-        life.sink = claim.wrap_sink(life.sink)
+    async def _run_claimed(self, state: _CallState) -> None:
+        claim = self._claim_of(state.call)
+        state.claim = claim
+        state.sink = claim.wrap_sink(state.sink)
         try:
-            await self._run_in_time(life)
+            await self._run_in_time(state)
         except asyncio.CancelledError:
-            claim.abandon(life.may_have_run)
+            claim.abandon(state.may_have_run)
             raise
         except errors.CodedError as exc:
             await claim.fail(exc)
@@ -140,8 +133,8 @@
 
     def _claim_of(self, call: Call) -> call_claim.CallClaim:
         if not call.is_keyed:
-            return self._claimed.start_unkeyed(call.facts.deadline)
-        return self._claimed.start(
+            return self._claims.start_unkeyed(call.facts.deadline)
+        return self._claims.start(
             keyed_claim.Request(
                 facts=call.facts,
                 rules=call.profile.claims,
@@ -153,40 +146,40 @@
             ),
         )
 
-    async def _attempts(self, life: _Life) -> None:
+    async def _attempts(self, state: _CallState) -> None:
         is_answered = False
         while not is_answered:
-            life.attempts += 1
+            state.attempts += 1
             try:
-                is_answered = await self._answered(life)
+                is_answered = await self._answered(state)
             except errors.CodedError as exc:
-                raise _truthful(life, exc) from exc
+                raise _with_overall_ran(state, exc) from exc
 
-    async def _answered(self, life: _Life) -> bool:
-        """Try once; tell whether the caller has the answer."""
+    async def _answered(self, state: _CallState) -> bool:
+        """Make one attempt; return whether the caller has a response."""
         try:
-            await self._attempt(life)
+            await self._attempt(state)
         except keyed_claim.ClaimedElsewhere as exc:
-            settled = await self._settle(life, exc.reply)
-            return settled is not None and not settled.granted
+            resolved = await self._resolve(state, exc.reply)
+            return resolved is not None and not resolved.granted
         except attempt.AttemptFailed as exc:
-            return await self._weigh_claimed(life, exc)
+            return await self._handle_failure(state, exc)
         return True
 
-    async def _attempt(self, life: _Life) -> None:
-        pool = self._fleet.pool(life.call.service)
-        if life.excluded.issuperset(pool.connections):
-            life.excluded = frozenset()
-        facts = attrs.evolve(life.facts, excluded=life.excluded)
+    async def _attempt(self, state: _CallState) -> None:
+        pool = self._fleet.pool(state.call.service)
+        if state.excluded.issuperset(pool.connections):
+            state.excluded = frozenset()
+        facts = attrs.evolve(state.facts, excluded=state.excluded)
         ticket = await pool.admission.submit(facts)
         try:
-            await self._hand_over(life, pool, ticket)
+            await self._hand_over(state, pool, ticket)
         except attempt.AttemptFailed as exc:
-            life.facts = attrs.evolve(
+            state.facts = attrs.evolve(
                 ticket.resumed,
-                start=life.progress.events,
+                start=state.progress.events,
             )
-            pool.record_result(ticket.target, is_good=not _is_broken(exc))
+            pool.record_result(ticket.target, is_good=not _is_target_fault(exc))
             raise
         finally:
             ticket.release()
@@ -194,32 +187,32 @@
 
     async def _hand_over(
         self,
-        life: _Life,
+        state: _CallState,
         pool: fleet.Pool,
         ticket: admission.Ticket,
     ) -> None:
         connection = pool.connections.get(ticket.target)
         if connection is None:
             raise refusals.NoTarget(ticket.target)
-        life.excluded |= {ticket.target}
-        opening = self._opening(life, ticket.target)
-        if life.claim is not None:
-            await self._secure(life.claim, opening, connection)
+        state.excluded |= {ticket.target}
+        opening = self._opening(state, ticket.target)
+        if state.claim is not None:
+            await self._record_handover(state.claim, opening, connection)
         running = attempt.Attempt(
             connection,
             ticket,
-            life.sink,
-            life.progress,
+            state.sink,
+            state.progress,
         )
         try:
-            await self._run_unless_preempted(life, running, ticket, opening)
+            await self._run_unless_preempted(state, running, ticket, opening)
         except asyncio.CancelledError:
-            # The deadline or the caller's leaving ends the attempt from
-            # outside.  What it had handed over may go on running.
-            life.may_have_run |= running.handed_over
+            # After the deadline or a disconnect of the caller, the target may
+            # go on with the call.
+            state.may_have_run |= running.handed_over
             raise
 
-    async def _secure(
+    async def _record_handover(
         self,
         claim: call_claim.CallClaim,
         opening: messages.OpenCall,
@@ -232,24 +225,24 @@
 
     async def _run_unless_preempted(
         self,
-        life: _Life,
+        state: _CallState,
         running: attempt.Attempt,
         ticket: admission.Ticket,
         opening: messages.OpenCall,
     ) -> None:
-        body = life.call.body
-        if not life.call.is_model:
+        body = state.call.body
+        if not state.call.is_model:
             await running.run(opening, body)
             return
         loop = asyncio.get_running_loop()
-        watching = loop.create_task(_watch(ticket, running))
+        watcher = loop.create_task(_preempt_on_request(ticket, running))
         try:
             await running.run(opening, body)
         finally:
-            watching.cancel()
+            watcher.cancel()
 
-    def _opening(self, life: _Life, target: str) -> messages.OpenCall:
-        call = life.call
+    def _opening(self, state: _CallState, target: str) -> messages.OpenCall:
+        call = state.call
         left = call.facts.deadline - asyncio.get_running_loop().time()
         return messages.OpenCall(
             call_id=secrets.token_bytes(CALL_ID_BYTES),
@@ -266,85 +259,87 @@
             priority=int(call.facts.priority),
             deadline_ms=int(left * 1000),
             config_revision=self._revision(),
-            resume_events=life.progress.events,
-            attempt=life.attempts,
+            resume_events=state.progress.events,
+            attempt=state.attempts,
             request_id=call.request_id,
         )
 
-    async def _settle(
+    async def _resolve(
         self,
-        life: _Life,
+        state: _CallState,
         reply: messages.ClaimReply | None,
     ) -> messages.ClaimReply | None:
-        """Settle the call's claim and give the caller its answer, if any."""
-        assert life.claim is not None
-        settled = await life.claim.resolve(reply)
-        if settled is not None and not settled.granted:
-            await call_claim.replay(settled, life.sink)
-        return settled
-
-    async def _weigh_claimed(
+        """Resolve the call's claim and replay its response, if any."""
+        assert state.claim is not None
+        resolved = await state.claim.resolve(reply)
+        if resolved is not None and not resolved.granted:
+            await call_claim.replay(resolved, state.sink)
+        return resolved
+
+    async def _handle_failure(
         self,
-        life: _Life,
+        state: _CallState,
         failed: attempt.AttemptFailed,
     ) -> bool:
-        """Weigh a failure; tell whether an answer was found all the same."""
+        """Resolve a claimed call or prepare a retry; return if answered."""
         is_lost = failed.ran != messages.Ran.NOT_RUN
-        if life.claim is not None and is_lost and not life.sink.started:
-            # The agent goes on with a claimed call whose link has broken,
-            # and can tell its outcome or prove that it never came.
-            before = life.may_have_run
-            life.may_have_run = True
-            settled = await self._settle(life, None)
-            if settled is not None:
-                life.may_have_run = before
+        if state.claim is not None and is_lost and not state.sink.started:
+            # The agent goes on with a claimed call after the link is lost,
+            # and returns its outcome or proves that it never started.
+            before = state.may_have_run
+            state.may_have_run = True
+            resolved = await self._resolve(state, None)
+            if resolved is not None:
+                state.may_have_run = before
                 failed.ran = messages.Ran.NOT_RUN
                 failed.cause.ran = messages.Ran.NOT_RUN
-                if not settled.granted:
+                if not resolved.granted:
                     return True
-        await self._weigh(life, failed)
+        await self._prepare_retry(state, failed)
         return False
 
-    async def _weigh(self, life: _Life, failed: attempt.AttemptFailed) -> None:
-        """Return after a pause if another attempt is right, or raise."""
+    async def _prepare_retry(
+        self, state: _CallState, failed: attempt.AttemptFailed
+    ) -> None:
+        """Wait for the backoff, or raise if the call must not be retried."""
         cause = failed.cause
         if failed.ran != messages.Ran.NOT_RUN:
-            life.may_have_run = True
-        _log.info('entry: attempt %d failed, %s', life.attempts, failed)
+            state.may_have_run = True
+        _log.info('entry: attempt %d failed, %s', state.attempts, failed)
         if isinstance(cause, failures.CallerTooSlow | failures.CallerGone):
-            raise _truthful(life, cause) from failed
-        if life.sink.started:
-            self._check_resume(life, failed)
+            raise _with_overall_ran(state, cause) from failed
+        if state.sink.started:
+            self._check_resume(state, failed)
         if isinstance(cause, refusals.CallPreempted):
-            life.attempts -= 1
+            state.attempts -= 1
             return
-        pause = self._retry(life).delay(
-            life.call.facts,
+        delay = self._retry_policy(state).delay(
+            state.call.facts,
             failed.ran,
-            life.attempts,
+            state.attempts,
             asyncio.get_running_loop().time(),
         )
-        if pause is None:
-            raise _truthful(life, cause) from failed
-        await asyncio.sleep(pause)
+        if delay is None:
+            raise _with_overall_ran(state, cause) from failed
+        await asyncio.sleep(delay)
 
     def _check_resume(
         self,
-        life: _Life,
+        state: _CallState,
         failed: attempt.AttemptFailed,
     ) -> None:
-        rules = life.call.profile.resume
+        rules = state.call.profile.resume
         if not isinstance(failed.cause, refusals.CallPreempted):
-            life.resumed += 1
-        resumable = life.progress.is_event_stream and life.call.is_model
-        if resumable and rules.enabled and life.resumed <= rules.attempts:
+            state.resumed += 1
+        resumable = state.progress.is_event_stream and state.call.is_model
+        if resumable and rules.enabled and state.resumed <= rules.attempts:
             return
-        raise _truthful(life, failed.cause) from failed
+        raise _with_overall_ran(state, failed.cause) from failed
 
-    def _retry(self, life: _Life) -> retries.RetryPolicy:
-        rules = life.call.profile.retries
+    def _retry_policy(self, state: _CallState) -> retries.RetryPolicy:
+        rules = state.call.profile.retries
         return retries.BudgetedRetry(
-            self._budget(life.call),
+            self._budget(state.call),
             self._rng,
             retries.RetrySettings(attempts=rules.attempts),
         )
@@ -352,51 +347,46 @@
     def _budget(self, call: Call) -> retries.RetryBudget:
         rules = call.profile.retries
         key = (call.service, rules)
-        found = self._budgets.get(key)
-        if found is None:
-            found = retries.RetryBudget(
+        budget = self._budgets.get(key)
+        if budget is None:
+            budget = retries.RetryBudget(
                 retries.RetrySettings(
                     share=rules.budget_share,
                     least_rate=rules.budget_per_second,
                 ),
                 asyncio.get_running_loop().time(),
             )
-            self._budgets[key] = found
-        return found
+            self._budgets[key] = budget
+        return budget
 
 
-async def _watch(
+async def _preempt_on_request(
     ticket: admission.Ticket,
     running: attempt.Attempt,
 ) -> None:
-    """Have an attempt give its place up when its ticket asks for it."""
+    """Preempt an attempt when its ticket is preempted."""
     await ticket.preempted.wait()
     running.preempt()
 
 
-def _is_broken(failed: attempt.AttemptFailed) -> bool:
-    """Tell whether a failure speaks against the target that it happened at.
-
-    A target that refuses because it leaves or is full does as it should.
-    """
-    return isinstance(failed.cause, _BROKEN)
-
+def _is_target_fault(failed: attempt.AttemptFailed) -> bool:
+    """Return whether a failure counts against the target; refusals don't."""
+    return isinstance(failed.cause, _TARGET_ERRORS)
 
-def _truthful(life: _Life, failure: errors.CodedError) -> errors.CodedError:
-    """Let the last failure speak for all attempts.
 
-    The last attempt may be refused as not run after an earlier one was lost
-    on its way.  Told as it is, the caller would send its order again and
-    have it booked twice; so one uncertain attempt makes the whole uncertain.
-    """
-    if life.may_have_run:
+def _with_overall_ran(
+    state: _CallState, failure: errors.CodedError
+) -> errors.CodedError:
+    """Mark the last failure as may have run if any attempt may have."""
+    # Told that the call has not run, the caller would repeat it.
+    if state.may_have_run:
         failure.ran = messages.Ran.MAY_HAVE_RUN
     return failure
 
 
-def _past_deadline(life: _Life) -> errors.CodedError:
-    if life.claim is not None and life.claim.is_in_doubt:
+def _deadline_error(state: _CallState) -> errors.CodedError:
+    if state.claim is not None and state.claim.is_in_doubt:
         return claim_errors.ClaimStillRunning()
-    if life.may_have_run:
+    if state.may_have_run:
         return failures.DeadlineExceeded()
     return failures.DeadlineBeforeStart()
--- a/tamarackthread/entry/responses.py
+++ b/tamarackthread/entry/responses.py
@@ -1,4 +1,4 @@
-"""Write answers and errors to callers."""
+"""Write responses and errors to callers."""
 
 from __future__ import annotations
 
@@ -30,47 +30,47 @@
 
 @attrs.frozen
 class Head:
-    """The status and headers of an answer."""
+    """The status and headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
 class Sink(abc.ABC):
-    """Take one answer, piece by piece."""
+    """Receive one response, streamed or at once."""
 
     @property
     @abc.abstractmethod
     def started(self) -> bool:
-        """Tell whether the caller has seen any of the answer."""
+        """Return whether any of the response was sent to the caller."""
 
     @abc.abstractmethod
     async def start(self, head: Head) -> None:
-        """Send the head; the body follows in pieces."""
+        """Send the head of a streamed response."""
 
     @abc.abstractmethod
     async def write(self, payload: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """End a streamed response as complete."""
 
     @abc.abstractmethod
     async def send(self, head: Head, body: bytes) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
 
 
-def from_call_head(found: messages.CallHead) -> Head:
-    """Turn an agent's head into the one for the caller."""
+def from_call_head(call_head: messages.CallHead) -> Head:
+    """Convert an agent's message to the head of a response."""
     headers = tuple(
-        (header.name, header.value) for header in found.headers or ()
+        (header.name, header.value) for header in call_head.headers or ()
     )
-    return Head(status=found.status, headers=headers)
+    return Head(status=call_head.status, headers=headers)
 
 
 def error_body(failure: errors.CodedError, request_id: str) -> bytes:
-    """Build the JSON that tells a caller what failed and whether it ran."""
+    """Build the JSON body with the error and whether the call ran."""
     error = {
         'code': failure.code,
         'type': type(failure).__name__,
@@ -83,7 +83,7 @@
 
 
 def error_head(failure: errors.CodedError, request_id: str) -> Head:
-    """Build the head of an error answer."""
+    """Build the head of an error response."""
     headers = [
         ('Content-Type', 'application/json'),
         (REQUEST_ID_HEADER, request_id),
@@ -95,8 +95,8 @@
 
 
 @contextlib.asynccontextmanager
-async def _reached() -> collections.abc.AsyncIterator[None]:
-    """Say by a coded error that the caller can't be reached."""
+async def _caller_errors() -> collections.abc.AsyncIterator[None]:
+    """Convert timeouts and socket errors to coded errors."""
     try:
         yield
     except TimeoutError as exc:
@@ -106,70 +106,65 @@
 
 
 class HttpSink(Sink):
-    """Write an answer to an HTTP caller."""
+    """Write a response to an HTTP caller."""
 
     def __init__(
         self,
         request: web.BaseRequest,
         request_id: str,
-        slow_seconds: float,
+        write_timeout: float,
     ) -> None:
-        """Send nothing yet; a caller may leave bytes unread so long."""
+        """Send nothing yet; ``write_timeout`` in seconds bounds a write."""
         self._request = request
         self._request_id = request_id
-        self._slow_seconds = slow_seconds
+        self._write_timeout = write_timeout
         self._response: web.StreamResponse | None = None
 
     @property
     def started(self) -> bool:
-        """Tell whether the head has left."""
+        """Return whether the head was sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse:
-        """Give the response that the server must return."""
+        """Return the response for the HTTP server."""
         assert self._response is not None
         return self._response
 
     async def start(self, head: Head) -> None:
-        """Send the head; the body goes out in chunks."""
+        """Send the head; the body uses chunked transfer encoding."""
         response = web.StreamResponse(status=head.status)
-        self._fill(response, head)
+        self._set_headers(response, head)
         self._response = response
-        async with _reached():
+        async with _caller_errors():
             await response.prepare(self._request)
 
     async def write(self, payload: bytes) -> None:
-        """Send a piece; raise ``CallerTooSlow`` if it is left unread."""
-        async with _reached(), asyncio.timeout(self._slow_seconds):
+        """Send a chunk; raise ``CallerTooSlow`` on a timeout."""
+        async with _caller_errors(), asyncio.timeout(self._write_timeout):
             await self.response.write(payload)
 
     async def finish(self) -> None:
-        """Send the closing chunk, which tells the caller that all came."""
-        async with _reached(), asyncio.timeout(self._slow_seconds):
+        """Send the last chunk, which marks the response as complete."""
+        async with _caller_errors(), asyncio.timeout(self._write_timeout):
             await self.response.write_eof()
 
     async def send(self, head: Head, body: bytes) -> None:
-        """Send head and body with their length."""
+        """Send a response with ``Content-Length``."""
         response = web.Response(status=head.status, body=body)
-        self._fill(response, head)
+        self._set_headers(response, head)
         self._response = response
-        async with _reached(), asyncio.timeout(self._slow_seconds):
+        async with _caller_errors(), asyncio.timeout(self._write_timeout):
             await response.prepare(self._request)
             await response.write_eof()
 
     async def abort(self, failure: errors.CodedError) -> None:
-        """End a started answer so that it cannot be taken for a whole one.
-
-        An answer that just stopped would look complete to a caller that
-        reads to the end.  The error event names the break, and the
-        connection is cut without the closing chunk, which every HTTP client
-        reports as an error.
-        """
+        """End an incomplete response so that clients report an error."""
         response = self.response
         if response.content_type == 'text/event-stream':
             body = error_body(failure, self._request_id)
             await self._try_write(b'event: error\ndata: %b\n\n' % body)
+        # Without the last chunk the response counts as incomplete.
         if self._request.transport is not None:
             self._request.transport.close()
 
@@ -180,7 +175,7 @@
         except (OSError, TimeoutError):
             return
 
-    def _fill(self, response: web.StreamResponse, head: Head) -> None:
+    def _set_headers(self, response: web.StreamResponse, head: Head) -> None:
         for name, value in head.headers:
             if name.lower() in {'date', 'server', 'content-length'}:
                 continue
