--- a/tamarackthread/entry/front.py
+++ b/tamarackthread/entry/frontend.py
@@ -10,11 +10,11 @@
 from aiohttp import web
 
 from tamarackthread.entry import (
-    answers,
     calls,
     connections,
     failures,
-    reading,
+    request_reader,
+    responses,
 )
 from tamarackthread.generated import settings as generated
 from tamarackthread.generated.messages import ttypes as messages
@@ -31,14 +31,14 @@
 Readiness = collections.abc.Callable[[], bool]
 
 
-class Front:
+class Frontend:
     """Take requests, run them and answer."""
 
     def __init__(
         self,
         limits: generated.Entry,
-        reader: reading.Reader,
-        runner: calls.Runner,
+        reader: request_reader.RequestReader,
+        runner: calls.CallRunner,
         guard: Guard,
         is_ready: Readiness,
         counted: metrics.Metrics | None = None,
@@ -84,11 +84,11 @@
         host, port = self._server.addresses[0][:2]
         return f'{host}:{port}'
 
-    def fail_health(self) -> None:
+    def fail_readiness(self) -> None:
         """Tell the platform's balancer to look elsewhere; go on serving."""
         self._leaving = True
 
-    def refuse_new(self) -> None:
+    def refuse_calls(self) -> None:
         """Refuse new calls, which have then not run."""
         self._refusing = True
 
@@ -117,8 +117,8 @@
         return web.Response(text='ready\n')
 
     async def _call(self, request: web.BaseRequest) -> web.StreamResponse:
-        request_id = reading.request_id_of(request)
-        sink = answers.HttpSink(
+        request_id = request_reader.request_id_of(request)
+        sink = responses.HttpSink(
             request,
             request_id,
             self._limits.slow_caller_seconds,
@@ -145,7 +145,7 @@
         self,
         request: web.BaseRequest,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
     ) -> None:
         try:
             await self._checked(request, request_id, sink)
@@ -160,7 +160,7 @@
     async def _tell(
         self,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
         failure: errors.CodedError,
     ) -> None:
         _log.info('entry: call ended, %s %s', failure.code, failure)
@@ -169,19 +169,19 @@
             counter = metrics.Counter.CALL_NOT_RUN
         self._metrics.count(counter)
         if sink.started:
-            await sink.break_off(failure)
+            await sink.abort(failure)
             return
         with contextlib.suppress(failures.CallerGone, failures.CallerTooSlow):
-            await sink.whole(
-                answers.error_head(failure, request_id),
-                answers.error_body(failure, request_id),
+            await sink.send(
+                responses.error_head(failure, request_id),
+                responses.error_body(failure, request_id),
             )
 
     async def _checked(
         self,
         request: web.BaseRequest,
         request_id: str,
-        sink: answers.HttpSink,
+        sink: responses.HttpSink,
     ) -> None:
         if not _may_have_run(request):
             self._check_leaving()
@@ -194,7 +194,7 @@
         try:
             self._check_call(call)
         except errors.CodedError as exc:
-            await self._runner.refuse(call, exc)
+            await self._runner.correct_refusal(call, exc)
             raise
         await self._runner.run(call, sink)
 
@@ -215,5 +215,5 @@
     no room for that and says that the order may have run, after which the
     caller asks again under the same key, which is always safe.
     """
-    has_key = reading.KEY_HEADER in request.headers
+    has_key = request_reader.KEY_HEADER in request.headers
     return has_key and request.method not in SAFE_METHODS
