--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -112,7 +112,7 @@
             names, self._entries, self._lines, strict=True
         ):
             links = _Links(name, summed)
-            shared = load_exchange.Sharing(
+            shared = load_exchange.LoadExchange(
                 known, links, _hosts, names.copy, line.share
             )
             tasks.append(asyncio.create_task(shared.run()))
@@ -132,10 +132,10 @@
             )
         return known
 
-    def _line(self, known: targets.Targets) -> admission_control.Line:
+    def _line(self, known: targets.Targets) -> admission_control.AdmissionQueue:
         bound = self._variant.bound or call_bounds.Unbounded
         empty = self._engine.stride * self._engine.step
-        return admission_control.Line(
+        return admission_control.AdmissionQueue(
             SERVICE,
             bound(self._site.gap, empty),
             known,
@@ -190,7 +190,7 @@
             aim=self._site.first,
         )
         return calls.Call(
-            asked=calls.Asked(
+            asked=calls.CallRequest(
                 call_id='', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
@@ -205,7 +205,7 @@
         self,
         known: targets.Targets,
         tried: list[str],
-    ) -> instances.Start:
+    ) -> instances.TargetInstance:
         if self._variant.route == 'ours':
             found = known.choose(SERVICE, tried)
             assert found is not None
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -113,7 +113,7 @@
             name: self._entry(name, names, number)
             for number, name in enumerate(names)
         }
-        self._under_way: list[tuple[float, str, instances.Start]] = []
+        self._under_way: list[tuple[float, str, instances.TargetInstance]] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     async def run(self, seconds: float) -> dict[str, typing.Any]:
@@ -225,14 +225,14 @@
 
 
 def _sums(
-    told: collections.abc.Iterable[dict[str, outlier_detection.Load]],
-) -> dict[str, outlier_detection.Load]:
+    told: collections.abc.Iterable[dict[str, outlier_detection.TargetLoad]],
+) -> dict[str, outlier_detection.TargetLoad]:
     """Add the calls that some entries have and had, by target."""
-    sums: dict[str, outlier_detection.Load] = {}
+    sums: dict[str, outlier_detection.TargetLoad] = {}
     for loads in told:
         for target, load in loads.items():
             held = sums.get(target, outlier_detection.IDLE)
-            sums[target] = outlier_detection.Load(
+            sums[target] = outlier_detection.TargetLoad(
                 held.calls + load.calls, held.ends.plus(load.ends)
             )
     return sums
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -75,24 +75,24 @@
         generator = random.Random(1)
         spoken = dialect.PlatformDialect()
         self._known = targets.Targets('z', 1.0, generator)
-        self._sender = target_client.Sender(spoken)
+        self._sender = target_client.TargetClient(spoken)
         await self._sender.start()
-        tables = routing_table.Holder()
-        tables.put(routing_table.Table(_configuration()))
+        tables = routing_table.CurrentTable()
+        tables.put(routing_table.RoutingTable(_configuration()))
         site = settings.Site(seeds=(), link_port=1)
-        self._front = frontend.Front(
+        self._front = frontend.Frontend(
             spoken,
             tables,
-            call_runner.Runner(
+            call_runner.CallRunner(
                 self._known,
                 self._sender,
-                retry_budgets.Budgets(site, lambda: 1, loop.time),
-                admission_control.Admission(self._known, lambda: 1),
-                poison_requests.Crashing(),
+                retry_budgets.RetryBudgets(site, lambda: 1, loop.time),
+                admission_control.AdmissionControl(self._known, lambda: 1),
+                poison_requests.PoisonRequests(),
                 generator,
             ),
             generator,
-            call_log.Ledger(),
+            call_log.CallLog(),
         )
         self._address = await self._front.start('127.0.0.1:0')
         self._runner = web.ServerRunner(web.Server(_answer))
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -39,7 +39,7 @@
     granted: asyncio.Future[None]
 
 
-class Line:
+class AdmissionQueue:
     """Let the calls of one service wait for room at its ranks.
 
     Each entry knows all calls as of the last exchange with the others.  What is
@@ -174,7 +174,7 @@
             row.granted.set_result(None)
 
 
-class Admission:
+class AdmissionControl:
     """Hold a line for each service whose targets advance together."""
 
     def __init__(
@@ -185,7 +185,7 @@
         """Begin without a service."""
         self._known = known
         self._entries = entries
-        self._lines: dict[str, Line] = {}
+        self._lines: dict[str, AdmissionQueue] = {}
         self._held: dict[str, tuple[configuration.Passes, float]] = {}
 
     def learn(self, held: configuration.Configuration) -> None:
@@ -208,7 +208,9 @@
         if line is not None:
             line.bound = bound
             return
-        self._lines[service] = Line(service, bound, self._known, self._entries)
+        self._lines[service] = AdmissionQueue(
+            service, bound, self._known, self._entries
+        )
 
     async def admit(self, call: calls.Call) -> None:
         """Wait until the targets of a call have room for it."""
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -19,7 +19,7 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class Ledger:
+class CallLog:
     """Tell of each call's end within the request's own log context.
 
     What is ordinary is only counted, so that the volume under load is bounded
@@ -35,7 +35,7 @@
         self,
         call: calls.Call,
         version: int,
-        pieces: stream_timing.Tempo,
+        pieces: stream_timing.StreamTiming,
     ) -> None:
         """Note a whole answer; it is logged if it was late, or by sample."""
         now = asyncio.get_running_loop().time()
@@ -130,7 +130,7 @@
 def _is_late(
     call: calls.Call,
     took: float,
-    pieces: stream_timing.Tempo,
+    pieces: stream_timing.StreamTiming,
 ) -> bool:
     """Tell whether an answer came too late, or a stream paused too long."""
     if not pieces.first_at:
--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(eq=False)
-class Progress:
+class CallProgress:
     """How far a call has come over all its tries.
 
     ``sent`` names the targets that may have run the call, ``refused`` those that
@@ -31,7 +31,7 @@
     refused: list[str] = attrs.field(factory=list)
     skipped: set[str] = attrs.field(factory=set)
     may_have_run: bool = False
-    trying: instances.Start | None = None
+    trying: instances.TargetInstance | None = None
     is_unnumbered: bool = False
     position: int = -1
     failure: errors.CodedError | None = None
@@ -50,8 +50,8 @@
 
 def tell(
     call: calls.Call,
-    target: instances.Start,
-    progress: Progress,
+    target: instances.TargetInstance,
+    progress: CallProgress,
     failure: errors.CodedError,
 ) -> None:
     """Log and count a try that gave no whole answer."""
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -42,16 +42,16 @@
 FAILED_STATUS = 500
 
 
-class Runner:
+class CallRunner:
     """Run calls at the targets of their services."""
 
     def __init__(
         self,
         known: targets.Targets,
-        sender: target_client.Sender,
-        budget: retry_budgets.Budgets,
-        admission: admission_control.Admission,
-        crashing: poison_requests.Crashing,
+        sender: target_client.TargetClient,
+        budget: retry_budgets.RetryBudgets,
+        admission: admission_control.AdmissionControl,
+        crashing: poison_requests.PoisonRequests,
         generator: random.Random,
     ) -> None:
         """Choose among ``known`` and send with ``sender``."""
@@ -69,7 +69,7 @@
         answer may have begun by then.
         """
         self._crashing.check(call)
-        progress = call_progress.Progress()
+        progress = call_progress.CallProgress()
         self._budget.earn(call.service)
         try:
             async with asyncio.timeout_at(call.deadline):
@@ -90,7 +90,7 @@
     async def _try_until_answered(
         self,
         call: calls.Call,
-        progress: call_progress.Progress,
+        progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
         while True:
@@ -101,8 +101,8 @@
     async def _is_answered(
         self,
         call: calls.Call,
-        target: instances.Start,
-        progress: call_progress.Progress,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> bool:
         """Try a target; tell whether the caller has its answer now."""
@@ -129,8 +129,8 @@
     async def _next_target(
         self,
         call: calls.Call,
-        progress: call_progress.Progress,
-    ) -> instances.Start:
+        progress: call_progress.CallProgress,
+    ) -> instances.TargetInstance:
         """Choose where to try next; raise the call's end if nowhere."""
         if progress.failure is not None and not self._may_try(call, progress):
             raise self._end(call, progress)
@@ -146,7 +146,7 @@
         return target
 
     def _may_try(
-        self, call: calls.Call, progress: call_progress.Progress
+        self, call: calls.Call, progress: call_progress.CallProgress
     ) -> bool:
         if progress.may_have_run and not self._may_repeat(call):
             return False
@@ -170,8 +170,8 @@
     async def _try(
         self,
         call: calls.Call,
-        target: instances.Start,
-        progress: call_progress.Progress,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
         position = call.asked.position
@@ -194,7 +194,7 @@
     def _is_worth_another(
         self,
         call: calls.Call,
-        progress: call_progress.Progress,
+        progress: call_progress.CallProgress,
         status: int,
     ) -> bool:
         """Tell whether a failure of a target's own may be tried elsewhere."""
@@ -207,12 +207,12 @@
     async def _relay(
         self,
         call: calls.Call,
-        answer: target_client.Answer,
-        progress: call_progress.Progress,
+        answer: target_client.TargetResponse,
+        progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
         """Pass events on as they come, each at most once and in order."""
-        splitter = sse.Splitter()
+        splitter = sse.EventSplitter()
         now = asyncio.get_running_loop().time()
         figures.FIRST_SECONDS.labels(call.service).observe(now - call.arrived)
         if not out.has_started:
@@ -239,7 +239,7 @@
     def _note_pause(
         self,
         call: calls.Call,
-        tempo: tempos.Tempo,
+        tempo: tempos.StreamTiming,
         pieces: int,
     ) -> None:
         if not tempo.last_at:
@@ -250,8 +250,8 @@
     def _learn(
         self,
         call: calls.Call,
-        target: instances.Start,
-        progress: call_progress.Progress,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
         failure: errors.CodedError,
     ) -> None:
         progress.failure = failure
@@ -277,7 +277,7 @@
         progress.sent.append(target.name)
         progress.may_have_run = True
 
-    def _note(self, target: instances.Start, *, is_good: bool) -> None:
+    def _note(self, target: instances.TargetInstance, *, is_good: bool) -> None:
         """Note how a call has ended at a target."""
         now = asyncio.get_running_loop().time()
         target.record.note(is_good=is_good, now=now)
@@ -285,7 +285,7 @@
     def _end(
         self,
         call: calls.Call,
-        progress: call_progress.Progress,
+        progress: call_progress.CallProgress,
     ) -> errors.CodedError:
         """Tell the caller's end: not run, or may have run."""
         if progress.may_have_run:
--- a/tamarackthread/entry/direct/calls.py
+++ b/tamarackthread/entry/direct/calls.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Asked:
+class CallRequest:
     """A request as it was read, before anything is decided.
 
     ``left`` is how long the caller will wait, in seconds, ``None`` if it did
@@ -42,7 +42,7 @@
     ``priority`` goes first: the organisation's, where it has one, else the route's.
     """
 
-    asked: Asked
+    asked: CallRequest
     body: bytes
     route: configuration.Route
     service: str
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -9,7 +9,7 @@
 
 
 def of(
-    known: collections.abc.Sequence[instances.Start],
+    known: collections.abc.Sequence[instances.TargetInstance],
     entries: int,
     now: float,
 ) -> rate_limit.Demand | None:
--- a/tamarackthread/entry/direct/dialect.py
+++ b/tamarackthread/entry/direct/dialect.py
@@ -12,7 +12,7 @@
 from tamarackthread.policy import backpressure
 
 
-class Said(enum.Enum):
+class ResponseKind(enum.Enum):
     """Say what a target's answer tells of the call.
 
     ``NOT_RUN``: refused, and never will run.  ``ELSEWHERE``: the same, because
@@ -31,7 +31,7 @@
     """Read and write the headers that callers and targets use."""
 
     @abc.abstractmethod
-    def read(self, request: web.BaseRequest) -> calls.Asked:
+    def read(self, request: web.BaseRequest) -> calls.CallRequest:
         """Read a request's head; raise a coded error if it makes no sense."""
 
     @abc.abstractmethod
@@ -58,7 +58,7 @@
         call: calls.Call,
         status: int,
         headers: multidict.CIMultiDictProxy[str],
-    ) -> Said:
+    ) -> ResponseKind:
         """Tell what a target's head says of the call."""
 
     @abc.abstractmethod
--- a/tamarackthread/entry/direct/discovery.py
+++ b/tamarackthread/entry/direct/discovery.py
@@ -18,10 +18,10 @@
 # some, and most aims are twice this.
 CALM_SECONDS = 0.2
 
-_Choose = collections.abc.Callable[[], instances.Start | None]
+_Choose = collections.abc.Callable[[], instances.TargetInstance | None]
 
 
-class Arrivals:
+class InitialDiscovery:
     """The time in which targets announce themselves to a new entry.
 
     It knows them one by one, as each announces itself within a beat.  Calls
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -17,10 +17,10 @@
 # time it may still get calls that no other target of its service can take.
 LAST_SECONDS = 1.0
 
-_Starts = collections.abc.Iterable[instances.Start]
+_Starts = collections.abc.Iterable[instances.TargetInstance]
 
 
-class Standing:
+class Eligibility:
     """Hold evacuated zones, groups, and what cold targets take."""
 
     def __init__(
@@ -77,7 +77,7 @@
         """Return the name of a target's group, empty if unknown."""
         return self._groups.of(target)
 
-    def may_take(self, target: instances.Start, now: float) -> bool:
+    def may_take(self, target: instances.TargetInstance, now: float) -> bool:
         """Tell whether a target may get a call now."""
         if not self.is_in_service(target) or not target.rest.may_take(now):
             return False
@@ -93,21 +93,23 @@
         """Take how much of a service's calls this entry has."""
         self._demands[service] = found or rate_limit.ALONE
 
-    def is_in_service(self, target: instances.Start) -> bool:
+    def is_in_service(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target neither leaves nor is in an evacuated zone."""
         return not (target.is_leaving or self._is_evacuated(target))
 
-    def is_open(self, target: instances.Start) -> bool:
+    def is_open(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target's group makes passes, for all that is known."""
         return self._groups.is_open(target.group)
 
-    def has_room(self, target: instances.Start, now: float) -> bool:
+    def has_room(self, target: instances.TargetInstance, now: float) -> bool:
         """Tell whether a target's places count as room for calls."""
         if not self.is_in_service(target) or target.rest.left(now):
             return False
         return self.is_open(target) and self._is_within_limit(target, now)
 
-    def may_take_last(self, target: instances.Start, now: float) -> bool:
+    def may_take_last(
+        self, target: instances.TargetInstance, now: float
+    ) -> bool:
         """Tell whether a target that leaves may get a call nobody else takes."""
         if target.said.is_leaving or not target.leaving_at:
             return False
@@ -118,7 +120,9 @@
             return False
         return self._is_within_limit(target, now)
 
-    def _is_within_limit(self, target: instances.Start, now: float) -> bool:
+    def _is_within_limit(
+        self, target: instances.TargetInstance, now: float
+    ) -> bool:
         if target.limit.rate is None:
             return True
         demand = self._demands.get(target.said.service, rate_limit.ALONE)
@@ -131,5 +135,5 @@
             )
         return target.limit.may_take(target.sent, part, now)
 
-    def _is_evacuated(self, target: instances.Start) -> bool:
+    def _is_evacuated(self, target: instances.TargetInstance) -> bool:
         return self._zones.is_evacuated(target.said.zone)
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -24,15 +24,15 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class Learned(following.Pupil):
+class FeedHandler(following.Pupil):
     """Put each newer configuration in force, whatever its source."""
 
     def __init__(
         self,
         known: targets.Targets,
         reader: configuration.Reader,
-        tables: routing_table.Holder,
-        admission: admission_control.Admission,
+        tables: routing_table.CurrentTable,
+        admission: admission_control.AdmissionControl,
         shares: cold.Shares,
     ) -> None:
         """Put what is learned into the parts that need it."""
@@ -78,7 +78,7 @@
             # goes on with what it has, which is better than nothing.
             _log.error('entry: cannot read version %d, %s', held.version, exc)
             return
-        self._tables.put(routing_table.Table(read))
+        self._tables.put(routing_table.RoutingTable(read))
         self._admission.learn(read)
         self._shares.learn({one.name: one.cold_rate for one in read.services})
         figures.VERSION.set(held.version)
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -36,16 +36,16 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class Front:
+class Frontend:
     """Take requests, run them and answer."""
 
     def __init__(
         self,
         spoken: dialect.Dialect,
-        tables: routing_table.Holder,
-        runner: call_runner.Runner,
+        tables: routing_table.CurrentTable,
+        runner: call_runner.CallRunner,
         generator: random.Random,
-        counted: call_log.Ledger,
+        counted: call_log.CallLog,
     ) -> None:
         """Serve nothing until ``start``."""
         self._ledger = counted
@@ -147,7 +147,7 @@
         out = sink.HttpSink(request, lambda: self._is_leaving)
         try:
             await self._answer(request, out)
-        except sink.CallerLeft:
+        except sink.CallerDisconnected:
             self._ledger.left(out)
             out.break_off()
         finally:
@@ -185,7 +185,7 @@
     async def _answer_asked(
         self,
         request: web.BaseRequest,
-        asked: calls.Asked,
+        asked: calls.CallRequest,
         out: sink.HttpSink,
     ) -> None:
         call: calls.Call | None = None
@@ -205,7 +205,7 @@
     async def _accept(
         self,
         request: web.BaseRequest,
-        asked: calls.Asked,
+        asked: calls.CallRequest,
     ) -> calls.Call:
         """Find the call's place; raise a coded refusal if it has none."""
         arrived = asyncio.get_running_loop().time()
@@ -246,7 +246,7 @@
             headers.append(('Retry-After', f'{failure.retry_after:.2f}'))
         body = {'error': {'code': failure.code, 'message': str(failure)}}
         await out.whole(
-            target_client.Head(failure.status, headers),
+            target_client.ResponseHead(failure.status, headers),
             json.dumps(body).encode(),
         )
 
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(eq=False)
-class Start:
+class TargetInstance:
     """One start of a target.
 
     ``own`` counts this entry's calls there and ``others`` those that other
@@ -47,8 +47,8 @@
     pause: float = 0
     pace: float = 1
     group: str = ''
-    record: outlier_detection.Record = attrs.field(
-        factory=outlier_detection.Record
+    record: outlier_detection.OutcomeHistory = attrs.field(
+        factory=outlier_detection.OutcomeHistory
     )
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -31,7 +31,7 @@
 Names = collections.abc.Callable[[], collections.abc.Sequence[str]]
 
 
-class Sharing:
+class LoadExchange:
     """Exchange calls with the first control host that answers.
 
     All entries ask the same one as long as they see the same hosts.  Nothing
@@ -45,14 +45,14 @@
         hosts: Names,
         entries: Names,
         on_exchange: collections.abc.Callable[[], None],
-        suspected: poison_requests.Crashing | None = None,
+        suspected: poison_requests.PoisonRequests | None = None,
     ) -> None:
         """Exchange what ``known`` holds with one of ``hosts``.
 
         ``on_exchange`` is called after each exchange, also after one that no
         host has answered.  What is known of ``suspected`` calls goes both ways.
         """
-        self._suspected = suspected or poison_requests.Crashing()
+        self._suspected = suspected or poison_requests.PoisonRequests()
         self._known = known
         self._links = links
         self._hosts = hosts
@@ -61,7 +61,7 @@
         self._host = ''
         self._epoch = 0
         self._serial = 0
-        self._sums: dict[str, outlier_detection.Load] = {}
+        self._sums: dict[str, outlier_detection.TargetLoad] = {}
         self._told_serial = NEVER_TOLD
         self._heard_serial = 0
 
@@ -122,7 +122,7 @@
     def _take(
         self,
         reply: messages.SiteLoadReply,
-        own: dict[str, outlier_detection.Load],
+        own: dict[str, outlier_detection.TargetLoad],
     ) -> None:
         if reply.epoch != self._epoch:
             self._sums = {}
@@ -133,8 +133,10 @@
         self._heard_serial = reply.suspects_serial or 0
         self._suspected.share(reply.suspects or ())
         for row in reply.changed:
-            ends = outlier_detection.Tally(row.answered or 0, row.failed or 0)
-            self._sums[row.id] = outlier_detection.Load(row.calls, ends)
+            ends = outlier_detection.OutcomeCounts(
+                row.answered or 0, row.failed or 0
+            )
+            self._sums[row.id] = outlier_detection.TargetLoad(row.calls, ends)
             if self._sums[row.id] == outlier_detection.IDLE:
                 self._sums.pop(row.id)
         self._known.share(
--- a/tamarackthread/entry/direct/outlier_detection.py
+++ b/tamarackthread/entry/direct/outlier_detection.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Tally:
+class OutcomeCounts:
     """How many calls were answered and how many failed of late."""
 
     answered: int = 0
@@ -49,37 +49,39 @@
         """Return the part of the calls that failed."""
         return self.failed / max(1, self.calls)
 
-    def plus(self, other: Tally) -> Tally:
+    def plus(self, other: OutcomeCounts) -> OutcomeCounts:
         """Return the sum of two."""
-        return Tally(self.answered + other.answered, self.failed + other.failed)
+        return OutcomeCounts(
+            self.answered + other.answered, self.failed + other.failed
+        )
 
-    def minus(self, other: Tally) -> Tally:
+    def minus(self, other: OutcomeCounts) -> OutcomeCounts:
         """Return what is left without a part, nothing below 0."""
-        return Tally(
+        return OutcomeCounts(
             max(0, self.answered - other.answered),
             max(0, self.failed - other.failed),
         )
 
 
 @attrs.frozen
-class Load:
+class TargetLoad:
     """The calls that entries have at a target, and how the last ones ended."""
 
     calls: int = 0
-    ends: Tally = Tally()
+    ends: OutcomeCounts = OutcomeCounts()
 
-    def minus(self, other: Load) -> Load:
+    def minus(self, other: TargetLoad) -> TargetLoad:
         """Return what is left without a part."""
-        return Load(
+        return TargetLoad(
             max(0, self.calls - other.calls), self.ends.minus(other.ends)
         )
 
 
-NO_ENDS = Tally()
-IDLE = Load()
+NO_ENDS = OutcomeCounts()
+IDLE = TargetLoad()
 
 
-class Record:
+class OutcomeHistory:
     """Keep how this entry's calls at one start of a target ended.
 
     ``others`` is what other entries told.
@@ -87,7 +89,7 @@
 
     def __init__(self) -> None:
         """Begin without a call."""
-        self.others = Tally()
+        self.others = OutcomeCounts()
         self._ends: collections.deque[tuple[float, bool]] = collections.deque()
         # Counted along: this is asked for at each target in each exchange.
         self._failed = 0
@@ -99,19 +101,19 @@
         self._ends.append((now, is_good))
         self._failed += not is_good
 
-    def own(self, now: float) -> Tally:
+    def own(self, now: float) -> OutcomeCounts:
         """Return how this entry's calls have ended of late."""
         self._forget(now)
         if not self._ends:
             return NO_ENDS
-        return Tally(len(self._ends) - self._failed, self._failed)
+        return OutcomeCounts(len(self._ends) - self._failed, self._failed)
 
     def has_failures(self, now: float) -> bool:
         """Tell whether any call of any entry has failed there of late."""
         self._forget(now)
         return self._failed > 0 or self.others.failed > 0
 
-    def in_all(self, now: float) -> Tally:
+    def in_all(self, now: float) -> OutcomeCounts:
         """Return how the calls of all entries have ended of late."""
         return self.own(now).plus(self.others)
 
@@ -119,7 +121,9 @@
         """Tell whether the target is left out."""
         return now < self._out_until
 
-    def is_failing(self, found: Tally, others: float, now: float) -> bool:
+    def is_failing(
+        self, found: OutcomeCounts, others: float, now: float
+    ) -> bool:
         """Tell whether the target fails more often than ``others`` do."""
         least = 1 if self._is_watched(now) else LEAST_FAILURES
         if found.failed < least:
@@ -147,9 +151,9 @@
 
 
 def judge(
-    held: collections.abc.Sequence[Record],
+    held: collections.abc.Sequence[OutcomeHistory],
     now: float,
-) -> list[Record]:
+) -> list[OutcomeHistory]:
     """Leave targets of one service out that fail what others answer.
 
     Returns those that are left out by this, the worst first.
@@ -159,7 +163,7 @@
     rows = [(record.in_all(now), record) for record in held]
     rows.sort(key=_failed_share, reverse=True)
     room = _most_out(len(held)) - sum(record.is_out(now) for record in held)
-    left_out: list[Record] = []
+    left_out: list[OutcomeHistory] = []
     for place, (found, record) in enumerate(rows):
         if len(left_out) >= room or not found.failed:
             break
@@ -178,7 +182,7 @@
     return max(1, int(targets * MOST_OUT_SHARE))
 
 
-def _usual_share(rows: list[tuple[Tally, Record]]) -> float:
+def _usual_share(rows: list[tuple[OutcomeCounts, OutcomeHistory]]) -> float:
     """Return the share that fails at the usual one of some targets.
 
     The lower of two in the middle: of three targets two may fail at once.
@@ -187,5 +191,5 @@
     return shares[(len(shares) - 1) // 2]
 
 
-def _failed_share(row: tuple[Tally, Record]) -> float:
+def _failed_share(row: tuple[OutcomeCounts, OutcomeHistory]) -> float:
     return row[0].share
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -24,7 +24,7 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class Crashing:
+class PoisonRequests:
     """Look at calls before they are sent, and at how their tries end.
 
     A call is known by what makes it the same: a hash of its path, its caller and
@@ -53,7 +53,7 @@
     def failed(
         self,
         call: calls.Call,
-        target: instances.Start,
+        target: instances.TargetInstance,
         failure: errors.CodedError,
     ) -> None:
         """Note how a try has failed.
--- a/tamarackthread/entry/direct/retry_budgets.py
+++ b/tamarackthread/entry/direct/retry_budgets.py
@@ -11,7 +11,7 @@
 Entries = collections.abc.Callable[[], int]
 
 
-class Budgets:
+class RetryBudgets:
     """Hold this entry's part of each service's budget.
 
     The bound holds for the sum over all entries.  Each lives within an equal
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -63,21 +63,21 @@
             shares,
             fleet,
         )
-        self._ledger = call_log.Ledger()
+        self._ledger = call_log.CallLog()
         self._page = figures.Page()
-        tables = routing_table.Holder()
-        admission = admission_control.Admission(
+        tables = routing_table.CurrentTable()
+        admission = admission_control.AdmissionControl(
             self._targets, lambda: len(self._follower.entries)
         )
         self._follower = following.Follower(
             self._site,
             self._links,
-            feed_handler.Learned(
+            feed_handler.FeedHandler(
                 self._targets, reader, tables, admission, shares
             ),
         )
-        suspected = poison_requests.Crashing()
-        self._sharing = load_exchange.Sharing(
+        suspected = poison_requests.PoisonRequests()
+        self._sharing = load_exchange.LoadExchange(
             self._targets,
             self._links,
             lambda: self._follower.followed,
@@ -85,14 +85,14 @@
             admission.share,
             suspected,
         )
-        self._sender = target_client.Sender(spoken)
-        self._front = frontend.Front(
+        self._sender = target_client.TargetClient(spoken)
+        self._front = frontend.Frontend(
             spoken,
             tables,
-            call_runner.Runner(
+            call_runner.CallRunner(
                 self._targets,
                 self._sender,
-                retry_budgets.Budgets(
+                retry_budgets.RetryBudgets(
                     self._site,
                     lambda: len(self._follower.entries),
                     loop.time,
--- a/tamarackthread/entry/direct/routing_table.py
+++ b/tamarackthread/entry/direct/routing_table.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Found:
+class RouteMatch:
     """Where a call goes, and for whom."""
 
     route: configuration.Route
@@ -24,7 +24,7 @@
     priority: int
 
 
-class Table:
+class RoutingTable:
     """Answer from one configuration, with an index for each question."""
 
     def __init__(self, held: configuration.Configuration) -> None:
@@ -48,7 +48,7 @@
         """Return the configuration."""
         return self._held
 
-    def find(self, host: str, path: str, key: str) -> Found:
+    def find(self, host: str, path: str, key: str) -> RouteMatch:
         """Find a call's place; raise ``RouteUnknown`` or ``KeyUnknown``."""
         route = self._route(host, path)
         if route is None:
@@ -57,11 +57,11 @@
         if owner is None:
             if self._held.organisations and not route.is_open:
                 raise failures.KeyUnknown
-            return Found(route, '', route.priority)
+            return RouteMatch(route, '', route.priority)
         priority = route.priority
         if owner.priority is not None:
             priority = owner.priority
-        return Found(route, owner.name, priority)
+        return RouteMatch(route, owner.name, priority)
 
     def _route(self, host: str, path: str) -> configuration.Route | None:
         """Take the longest prefix; each begins and ends with a slash."""
@@ -74,25 +74,25 @@
         return None
 
 
-class Holder:
+class CurrentTable:
     """Hold the table in force, and let calls wait for the first one."""
 
     def __init__(self) -> None:
         """Begin without a table."""
-        self._current: Table | None = None
+        self._current: RoutingTable | None = None
         self._first = asyncio.Event()
 
     @property
-    def current(self) -> Table | None:
+    def current(self) -> RoutingTable | None:
         """Return the table in force, ``None`` before the first."""
         return self._current
 
-    def put(self, fresh: Table) -> None:
+    def put(self, fresh: RoutingTable) -> None:
         """Put a table in force."""
         self._current = fresh
         self._first.set()
 
-    async def wait(self, seconds: float) -> Table:
+    async def wait(self, seconds: float) -> RoutingTable:
         """Return the table; raise ``NoConfiguration`` if there is none yet."""
         if self._current is None:
             with contextlib.suppress(TimeoutError):
--- a/tamarackthread/entry/direct/selection.py
+++ b/tamarackthread/entry/direct/selection.py
@@ -19,10 +19,10 @@
 # Below this share of swift ranks, the others have not the places for all calls.
 SWIFT_SHARE = 0.5
 
-_Starts = collections.abc.Sequence[instances.Start]
+_Starts = collections.abc.Sequence[instances.TargetInstance]
 
 
-class Chooser:
+class TargetSelector:
     """Choose the least loaded of a few, in the own zone among equals."""
 
     def __init__(self, zone: str, generator: random.Random) -> None:
@@ -30,7 +30,9 @@
         self._zone = zone
         self._random = generator
 
-    def best(self, usable: _Starts, now: float) -> instances.Start | None:
+    def best(
+        self, usable: _Starts, now: float
+    ) -> instances.TargetInstance | None:
         """Choose among targets that have not said that they leave.
 
         Without one that is surely up, one that has fallen silent or refused
@@ -56,7 +58,9 @@
         drawn = self._random.sample(near, count)
         return [*drawn, *self._random.sample(usable, COMPARED - count)]
 
-    def _rank(self, target: instances.Start) -> tuple[float, bool, float]:
+    def _rank(
+        self, target: instances.TargetInstance
+    ) -> tuple[float, bool, float]:
         is_far = target.said.zone != self._zone
         return target.load, is_far, self._random.random()
 
@@ -71,5 +75,5 @@
     return found if len(found) >= SWIFT_SHARE * len(ready) else ready
 
 
-def _paused_until(target: instances.Start) -> float:
+def _paused_until(target: instances.TargetInstance) -> float:
     return target.paused_until
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -11,7 +11,7 @@
 from tamarackthread.entry.direct import stream_timing, target_client
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """Caller has closed its connection; nobody waits for an answer."""
 
 
@@ -25,11 +25,11 @@
 
     @property
     @abc.abstractmethod
-    def tempo(self) -> stream_timing.Tempo:
+    def tempo(self) -> stream_timing.StreamTiming:
         """Return when the pieces of the body left."""
 
     @abc.abstractmethod
-    async def start(self, head: target_client.Head) -> None:
+    async def start(self, head: target_client.ResponseHead) -> None:
         """Send the head; the body follows in pieces."""
 
     @abc.abstractmethod
@@ -41,7 +41,9 @@
         """End the answer as whole."""
 
     @abc.abstractmethod
-    async def whole(self, head: target_client.Head, body: bytes) -> None:
+    async def whole(
+        self, head: target_client.ResponseHead, body: bytes
+    ) -> None:
         """Send a whole answer at once."""
 
 
@@ -57,7 +59,7 @@
         self._request = request
         self._is_last = is_last
         self._response: web.StreamResponse | None = None
-        self._tempo = stream_timing.Tempo()
+        self._tempo = stream_timing.StreamTiming()
 
     @property
     def has_started(self) -> bool:
@@ -65,7 +67,7 @@
         return self._response is not None
 
     @property
-    def tempo(self) -> stream_timing.Tempo:
+    def tempo(self) -> stream_timing.StreamTiming:
         """Return when the pieces of a stream left."""
         return self._tempo
 
@@ -75,7 +77,7 @@
         assert self._response is not None
         return self._response
 
-    async def start(self, head: target_client.Head) -> None:
+    async def start(self, head: target_client.ResponseHead) -> None:
         """Send the head; the body goes out in chunks."""
         response = web.StreamResponse(status=head.status)
         self._fill(response, head)
@@ -85,7 +87,7 @@
         try:
             await response.prepare(self._request)
         except OSError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
     async def write(self, piece: bytes) -> None:
         """Send a piece and wait while the caller's window is closed."""
@@ -93,16 +95,18 @@
         try:
             await self.response.write(piece)
         except OSError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
     async def finish(self) -> None:
         """Send the closing chunk, which tells the caller that all came."""
         try:
             await self.response.write_eof()
         except OSError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
-    async def whole(self, head: target_client.Head, body: bytes) -> None:
+    async def whole(
+        self, head: target_client.ResponseHead, body: bytes
+    ) -> None:
         """Send head and body with their length."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall('Content-Type', None)
@@ -112,7 +116,7 @@
             await response.prepare(self._request)
             await response.write_eof()
         except OSError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
     def end_connection(self) -> None:
         """Let no further request come on this connection."""
@@ -130,7 +134,7 @@
             self._request.transport.abort()
 
     def _fill(
-        self, response: web.StreamResponse, head: target_client.Head
+        self, response: web.StreamResponse, head: target_client.ResponseHead
     ) -> None:
         for name, value in head.headers:
             response.headers.add(name, value)
--- a/tamarackthread/entry/direct/sse.py
+++ b/tamarackthread/entry/direct/sse.py
@@ -16,7 +16,7 @@
     payload: bytes
 
 
-class Splitter:
+class EventSplitter:
     """Collect bytes and give back whole events.
 
     A target may break off in the middle of an event.  Passed on as it came,
--- a/tamarackthread/entry/direct/stream_timing.py
+++ b/tamarackthread/entry/direct/stream_timing.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Tempo:
+class StreamTiming:
     """When an answer's pieces left, in seconds of the loop's clock.
 
     ``first_at`` is 0 until the first piece.  ``pause`` is the longest time
--- a/tamarackthread/entry/direct/target_client.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -77,17 +77,19 @@
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """The head of a target's own answer to a call."""
 
     status: int
     headers: list[tuple[str, str]]
 
 
-class Answer:
+class TargetResponse:
     """A target's answer whose head has come."""
 
-    def __init__(self, head: Head, response: aiohttp.ClientResponse) -> None:
+    def __init__(
+        self, head: ResponseHead, response: aiohttp.ClientResponse
+    ) -> None:
         """Read the body with ``pieces`` or ``whole``."""
         self._head = head
         self._response = response
@@ -96,7 +98,7 @@
         self._protocol = None if connection is None else connection.protocol
 
     @property
-    def head(self) -> Head:
+    def head(self) -> ResponseHead:
         """Return status and headers for the caller."""
         return self._head
 
@@ -131,7 +133,7 @@
             raise Lost('connection was reset before the answer had ended')
 
 
-class Sender:
+class TargetClient:
     """Hold the connections to all targets."""
 
     def __init__(self, spoken: dialect.Dialect) -> None:
@@ -160,9 +162,9 @@
     async def send(
         self,
         call: calls.Call,
-        target: instances.Start,
+        target: instances.TargetInstance,
         position: str,
-    ) -> collections.abc.AsyncIterator[Answer]:
+    ) -> collections.abc.AsyncIterator[TargetResponse]:
         """Send a call and give the target's answer once its head has come.
 
         Raises ``NotSent``, ``Refused`` or ``Elsewhere`` where the call did not
@@ -201,36 +203,40 @@
     def _judged(
         self,
         call: calls.Call,
-        target: instances.Start,
+        target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
-    ) -> Answer:
+    ) -> TargetResponse:
         said = self._dialect.judge(call, response.status, response.headers)
         self._hear(target, response, said)
-        if said is dialect.Said.NOT_RUN:
+        if said is dialect.ResponseKind.NOT_RUN:
             raise Refused(f'status {response.status}')
-        if said is dialect.Said.ELSEWHERE:
+        if said is dialect.ResponseKind.ELSEWHERE:
             raise Elsewhere(f'status {response.status}')
-        if said is dialect.Said.STRAY:
+        if said is dialect.ResponseKind.STRAY:
             raise Lost(f'status {response.status} is no answer to this call')
-        head = Head(response.status, self._dialect.answer(response.headers))
-        return Answer(head, response)
+        head = ResponseHead(
+            response.status, self._dialect.answer(response.headers)
+        )
+        return TargetResponse(head, response)
 
     def _hear(
         self,
-        target: instances.Start,
+        target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
-        said: dialect.Said,
+        said: dialect.ResponseKind,
     ) -> None:
         """Give a target what its answer asks for, whatever else it says.
 
         What another target answers at its address is not its word.
         """
-        if said is dialect.Said.ELSEWHERE:
+        if said is dialect.ResponseKind.ELSEWHERE:
             return
         now = asyncio.get_running_loop().time()
         asked = self._dialect.asked(response.status, response.headers)
         before = target.asking(now)
-        target.hear(asked, now, is_taken=said is not dialect.Said.NOT_RUN)
+        target.hear(
+            asked, now, is_taken=said is not dialect.ResponseKind.NOT_RUN
+        )
         if target.asking(now) != before:
             target_log.tell_asking(target, now)
 
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -52,7 +52,7 @@
     )
 
 
-def tell_asking(target: instances.Start, now: float) -> None:
+def tell_asking(target: instances.TargetInstance, now: float) -> None:
     """Log what a target's answers ask for, as it begins or ends."""
     asking = target.asking(now)
     log_events.tell(
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -46,13 +46,13 @@
         The entries of ``fleet`` share what targets in need take.
         Must be called from within a running loop.
         """
-        self._chooser = selection.Chooser(zone, generator)
-        self._standing = eligibility.Standing(shares, fleet)
+        self._chooser = selection.TargetSelector(zone, generator)
+        self._standing = eligibility.Eligibility(shares, fleet)
         self._unheard = beat_seconds * BEATS_UNHEARD
-        self._arrivals = discovery.Arrivals(beat_seconds)
+        self._arrivals = discovery.InitialDiscovery(beat_seconds)
         self._knows_others = False
         self._untold: list[announcements.Announcement] = []
-        self._by_name: dict[str, instances.Start] = {}
+        self._by_name: dict[str, instances.TargetInstance] = {}
         self._paces: dict[str, dict[str, float]] = {}
         # In the order of their first announcement: a set's order differs from
         # process to process, and with it the choice among equals.
@@ -104,15 +104,15 @@
             told = [held.get(target.name, 1) for held in self._paces.values()]
             target.pace = max(told)
 
-    def own_loads(self) -> dict[str, outlier_detection.Load]:
+    def own_loads(self) -> dict[str, outlier_detection.TargetLoad]:
         """Return this entry's calls, by target, where it has or had any."""
         now = asyncio.get_running_loop().time()
-        found: dict[str, outlier_detection.Load] = {}
+        found: dict[str, outlier_detection.TargetLoad] = {}
         for name, target in self._by_name.items():
             ends = target.record.own(now)
             if not target.own and ends is outlier_detection.NO_ENDS:
                 continue
-            found[name] = outlier_detection.Load(target.own, ends)
+            found[name] = outlier_detection.TargetLoad(target.own, ends)
         return found
 
     @property
@@ -122,7 +122,7 @@
 
     def share(
         self,
-        others: collections.abc.Mapping[str, outlier_detection.Load],
+        others: collections.abc.Mapping[str, outlier_detection.TargetLoad],
         entries: int = 1,
     ) -> None:
         """Take the calls that all other entries have and had, by target.
@@ -174,16 +174,16 @@
             own=own,
         )
 
-    def get(self, name: str) -> instances.Start | None:
+    def get(self, name: str) -> instances.TargetInstance | None:
         """Return a start of a target."""
         return self._by_name.get(name)
 
-    def gone(self, target: instances.Start) -> None:
+    def gone(self, target: instances.TargetInstance) -> None:
         """Note that another start of a target answers at the address."""
         target.said = attrs.evolve(target.said, state=State.GONE)
         target_log.tell(target.said)
 
-    def of_service(self, service: str) -> list[instances.Start]:
+    def of_service(self, service: str) -> list[instances.TargetInstance]:
         """List the targets of a service, usable or not."""
         return [
             self._by_name[name] for name in self._by_service.get(service, ())
@@ -194,7 +194,7 @@
         service: str,
         tried: collections.abc.Collection[str],
         left: collections.abc.Collection[str] = (),
-    ) -> instances.Start | None:
+    ) -> instances.TargetInstance | None:
         """Choose a target for a call, ``None`` if none may get it.
 
         Targets whose group is closed, or one of those that the call has ``left``,
@@ -220,7 +220,7 @@
         service: str,
         tried: collections.abc.Collection[str],
         now: float,
-    ) -> list[instances.Start]:
+    ) -> list[instances.TargetInstance]:
         """List targets that leave and may still get a call."""
         return [
             target
@@ -303,7 +303,9 @@
 
     def _add(self, said: announcements.Announcement, now: float) -> None:
         group = self._standing.group_of(said.target)
-        self._by_name[said.target] = instances.Start(said, now, group=group)
+        self._by_name[said.target] = instances.TargetInstance(
+            said, now, group=group
+        )
         if said.service:
             self._by_service[said.service][said.target] = None
             self._arrivals.note()
@@ -314,7 +316,7 @@
 
     def _begin_anew(
         self,
-        ended: instances.Start,
+        ended: instances.TargetInstance,
         said: announcements.Announcement,
         now: float,
     ) -> None:
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -43,14 +43,14 @@
 class PlatformDialect(dialect.Dialect):
     """Speak with callers and targets as the platform does."""
 
-    def read(self, request: web.BaseRequest) -> calls.Asked:
+    def read(self, request: web.BaseRequest) -> calls.CallRequest:
         """Read a request's head; raise ``CallInvalid`` if it lacks an id."""
         headers = request.headers
         call_id = headers.get(wire.CALL_ID, '')
         if not call_id:
             raise failures.CallInvalid(f'{wire.CALL_ID} is missing')
         left_ms = _number(headers.get(wire.LEFT, ''))
-        return calls.Asked(
+        return calls.CallRequest(
             call_id=call_id,
             method=request.method,
             host=_host(headers.get('Host', '')),
@@ -87,22 +87,22 @@
         call: calls.Call,
         status: int,
         headers: multidict.CIMultiDictProxy[str],
-    ) -> dialect.Said:
+    ) -> dialect.ResponseKind:
         """Tell what a target's head says of the call."""
         echoed = headers.get(wire.CALL_ID)
         # A second answer to an earlier call may lie on the connection and be read
         # as the answer to this one.  Only the echoed identity tells them apart.
         if echoed is not None and echoed != call.asked.call_id:
-            return dialect.Said.STRAY
+            return dialect.ResponseKind.STRAY
         if status == wire.MISDIRECTED:
-            return dialect.Said.ELSEWHERE
+            return dialect.ResponseKind.ELSEWHERE
         if wire.REFUSAL in headers:
-            return dialect.Said.NOT_RUN
+            return dialect.ResponseKind.NOT_RUN
         if wire.SIGNATURE not in headers or echoed is None:
-            return dialect.Said.STRAY
+            return dialect.ResponseKind.STRAY
         if 'Content-Encoding' in headers:
-            return dialect.Said.STRAY
-        return dialect.Said.ANSWER
+            return dialect.ResponseKind.STRAY
+        return dialect.ResponseKind.ANSWER
 
     def asked(
         self,
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -160,25 +160,27 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(3)
         self.known = targets.Targets('z', 1.0, rng)
-        self.sender = target_client.Sender(spoken.PlatformDialect())
+        self.sender = target_client.TargetClient(spoken.PlatformDialect())
         await self.sender.start()
         site = settings.Site(seeds=(), link_port=1, retry_reserve=20)
-        self.tables = routing_table.Holder()
-        self.crashing = poison_requests.Crashing()
-        self.admission = admission_control.Admission(self.known, lambda: 1)
-        self.front = frontend.Front(
+        self.tables = routing_table.CurrentTable()
+        self.crashing = poison_requests.PoisonRequests()
+        self.admission = admission_control.AdmissionControl(
+            self.known, lambda: 1
+        )
+        self.front = frontend.Frontend(
             spoken.PlatformDialect(),
             self.tables,
-            call_runner.Runner(
+            call_runner.CallRunner(
                 self.known,
                 self.sender,
-                retry_budgets.Budgets(site, lambda: 1, loop.time),
+                retry_budgets.RetryBudgets(site, lambda: 1, loop.time),
                 self.admission,
                 self.crashing,
                 rng,
             ),
             rng,
-            call_log.Ledger(),
+            call_log.CallLog(),
         )
         self.address = await self.front.start('127.0.0.1:0')
         self.session = aiohttp.ClientSession()
@@ -204,7 +206,7 @@
             name='org', keys=frozenset(('secret',))
         )
         self.tables.put(
-            routing_table.Table(
+            routing_table.RoutingTable(
                 configuration.Configuration(
                     version=1,
                     routes=(route,),
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -53,7 +53,7 @@
         gap=GAP,
     )
     return calls.Call(
-        asked=calls.Asked(
+        asked=calls.CallRequest(
             call_id=call_id, method='POST', host='h', path='/', headers=()
         ),
         body=b'',
@@ -186,7 +186,9 @@
                 )
             )
         known.share({})
-        line = admission_control.Line(SERVICE, bound, known, lambda: entries)
+        line = admission_control.AdmissionQueue(
+            SERVICE, bound, known, lambda: entries
+        )
         return known, line
 
     def test_entry_without_a_call(self):
@@ -198,7 +200,7 @@
 
     async def _without_a_call(self):
         known, line = self._line(FixedBound(4), entries=3)
-        known.share({'0': outlier_detection.Load(9)})
+        known.share({'0': outlier_detection.TargetLoad(9)})
         line.share()
         await line.admit(call_of())
         known.get('1').own = 1
@@ -275,10 +277,10 @@
         bound = FixedBound(11)
         known, line = self._line(bound, entries=3)
         known.get('1').own = 1
-        known.share({'0': outlier_detection.Load(10)})
+        known.share({'0': outlier_detection.TargetLoad(10)})
         tasks = [asyncio.create_task(line.admit(call_of())) for _ in range(6)]
         await asyncio.sleep(0.01)
-        known.share({'0': outlier_detection.Load(4)})
+        known.share({'0': outlier_detection.TargetLoad(4)})
         line.share()
         await asyncio.sleep(0.01)
         admitted = sum(task.done() for task in tasks)
@@ -309,7 +311,7 @@
 
     async def _changed_configuration(self):
         known = targets.Targets('z', 1.0, random.Random(1))
-        admission = admission_control.Admission(known, lambda: 1)
+        admission = admission_control.AdmissionControl(known, lambda: 1)
         for gap in (0.15, 0.3):
             admission.learn(_configuration(gap))
         call = call_of()
@@ -413,4 +415,6 @@
 
     def _line(self):
         known = targets.Targets('z', 1.0, random.Random(1))
-        return admission_control.Line(SERVICE, FixedBound(1), known, lambda: 1)
+        return admission_control.AdmissionQueue(
+            SERVICE, FixedBound(1), known, lambda: 1
+        )
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -110,17 +110,17 @@
     said = announcements.Announcement(
         target=name, service=test_admitting.SERVICE, address=f'{name}:80'
     )
-    return instances.Start(said, 0)
+    return instances.TargetInstance(said, 0)
 
 
 class Entry:
     """Be an entry with its exchange."""
 
     def __init__(self, name, hosts):
-        self.crashing = poison_requests.Crashing()
+        self.crashing = poison_requests.PoisonRequests()
         known, links, _ = shared_calls.entry_of(name, hosts)
         self.links = links
-        self.sharing = load_exchange.Sharing(
+        self.sharing = load_exchange.LoadExchange(
             known,
             self.links,
             lambda: tuple(hosts),
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -439,5 +439,5 @@
                 ),
             ),
         )
-        self.tables.put(routing_table.Table(fresh))
+        self.tables.put(routing_table.RoutingTable(fresh))
         self.admission.learn(fresh)
--- a/tests/test_failing_targets.py
+++ b/tests/test_failing_targets.py
@@ -99,7 +99,7 @@
         for number in range(ENTRIES):
             known = _targets(generator)
             links = test_shared_calls.Host(f'e{number}', {'h': host})
-            shared = load_exchange.Sharing(
+            shared = load_exchange.LoadExchange(
                 known, links, _hosts, _entries, _nothing
             )
             entries.append(known)
@@ -161,7 +161,7 @@
 
 
 def _record(answered, failed):
-    record = outlier_detection.Record()
+    record = outlier_detection.OutcomeHistory()
     for call in range(answered + failed):
         record.note(is_good=call < answered, now=0.5)
     return record
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -51,7 +51,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         call = calls.Call(
-            asked=calls.Asked(
+            asked=calls.CallRequest(
                 call_id='c', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
@@ -61,7 +61,7 @@
             arrived=began,
             deadline=began + 8,
         )
-        pieces = stream_timing.Tempo(target='t1')
+        pieces = stream_timing.StreamTiming(target='t1')
         for moment in moments:
             await asyncio.sleep(began + moment - loop.time())
             pieces.note(loop.time())
@@ -69,6 +69,6 @@
         watched = self.assertLogs(log, 'INFO')
         with watched:
             log.info('begin')
-            call_log.Ledger().answered(call, 3, pieces)
+            call_log.CallLog().answered(call, 3, pieces)
         written = watched.watcher.records[1:]
         return written[0].fields if written else None
--- a/tests/test_retry_parts.py
+++ b/tests/test_retry_parts.py
@@ -18,7 +18,9 @@
     def __init__(self, known):
         self.known = known
         self.site = settings.Site(seeds=(), link_port=1)
-        self.part = retry_budgets.Budgets(self.site, self._count, self._now)
+        self.part = retry_budgets.RetryBudgets(
+            self.site, self._count, self._now
+        )
 
     def press(self):
         """Take a call that is refused; tell whether it is tried again."""
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -55,7 +55,7 @@
             )
         )
     links = Host(name, hosts)
-    shared = load_exchange.Sharing(
+    shared = load_exchange.LoadExchange(
         known, links, lambda: tuple(hosts), lambda: ('e1', 'e2'), lambda: None
     )
     return known, links, shared
@@ -138,7 +138,7 @@
     async def _alone(self):
         hosts = {'h1': loads.Loads(1)}
         known, links, shared = entry_of('e1', hosts)
-        known.share({'t0': outlier_detection.Load(3)})
+        known.share({'t0': outlier_detection.TargetLoad(3)})
         links.cut.add('h1')
         running = asyncio.create_task(shared.run())
         await asyncio.sleep(load_exchange.STALE_SECONDS + 0.5)
@@ -160,7 +160,7 @@
         known, _, _ = entry_of('e1', {}, targets_known=120)
         known.share(
             {
-                f't{number}': outlier_detection.Load(1)
+                f't{number}': outlier_detection.TargetLoad(1)
                 for number in range(1, 120)
             }
         )
