--- a/tamarackthread/entry/claim_client.py
+++ b/tamarackthread/entry/claim_client.py
@@ -1,8 +1,4 @@
-"""Say what an entry records and asks about keyed calls.
-
-A claim costs one quorum write before the hand-over, which the caller waits
-for, and one after the answer, which nobody waits for.
-"""
+"""Define the client of the shards that store claims of keyed calls."""
 
 from __future__ import annotations
 
@@ -19,16 +15,12 @@
 
 @attrs.frozen
 class Claimant:
-    """One try of a keyed call; ``deadline`` is on the loop's clock.
-
-    ``identity`` names this try: it may ask for the claim as often as
-    answers get lost and is granted it once.
-    """
+    """One request with a key; ``identity`` makes its claims idempotent."""
 
     organisation: str
     key: str
     digest: bytes
-    deadline: float
+    deadline: float  # loop time
     home_region: str = ''
     keep_ms: int = claim_times.DEFAULT_KEEP_MS
     identity: bytes = attrs.field(
@@ -37,13 +29,13 @@
 
     @property
     def name(self) -> bytes:
-        """Give the key's fixed-size name."""
+        """Return the key's fixed-size name."""
         return claim_keys.claim_key(self.organisation, self.key)
 
 
 @attrs.frozen
 class Outcome:
-    """How a claimed call ended; a status of 0 keeps no answer."""
+    """The outcome of a claimed call; status 0 means no response is kept."""
 
     state: messages.ClaimState
     status: int = 0
@@ -52,7 +44,7 @@
 
 
 class ClaimClient(abc.ABC):
-    """Record and ask what is known of keyed calls."""
+    """Write and read the claims of keyed calls."""
 
     @abc.abstractmethod
     async def claim(
@@ -60,28 +52,25 @@
         claimant: Claimant,
         handover: messages.Handover | None,
     ) -> messages.ClaimReply:
-        """Claim a key for a hand-over; ``granted`` tells whether to go on.
-
-        Raises ``ClaimsUnavailable`` when no quorum answered in time.
-        """
+        """Claim a key; raise ``ClaimsUnavailable`` without a quorum."""
 
     @abc.abstractmethod
     async def move(
         self,
         claimant: Claimant,
-        held: messages.ClaimReply,
+        grant: messages.ClaimReply,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
-        """Record where the call goes next, before it is sent there."""
+        """Record the next handover before the call is sent."""
 
     @abc.abstractmethod
     async def finish(
         self,
         claimant: Claimant,
-        held: messages.ClaimReply,
-        finish: Outcome,
+        grant: messages.ClaimReply,
+        outcome: Outcome,
     ) -> messages.ClaimReply:
-        """Record the outcome under the fence of the reply that is held."""
+        """Record the outcome under the grant's fencing token."""
 
     @abc.abstractmethod
     async def wait(
@@ -89,11 +78,11 @@
         claimant: Claimant,
         seconds: float,
     ) -> messages.ClaimReply:
-        """Ask what is known, waiting so long for an outcome."""
+        """Look a claim up, waiting up to ``seconds`` for its outcome."""
 
 
 def is_open(reply: messages.ClaimReply) -> bool:
-    """Tell whether some holder may still be at work on the claim."""
+    """Return whether a holder may still run the claimed call."""
     return bool(reply.known) and reply.state in {
         messages.ClaimState.GRANTED,
         messages.ClaimState.RUNNING,
--- a/tamarackthread/entry/keyed_claim.py
+++ b/tamarackthread/entry/keyed_claim.py
@@ -1,9 +1,4 @@
-"""Carry one keyed call that must not repeat through its claim.
-
-Every hand-over is recorded at the claim's shard before the first byte of it
-leaves, so that whoever comes after this process's death knows which agent to
-ask.
-"""
+"""Claim the keys of non-idempotent calls before each handover."""
 
 from __future__ import annotations
 
@@ -33,28 +28,28 @@
     metrics,
 )
 
-SETTLE_SECONDS = 1.0
-COLLECT_SECONDS = 60.0
+RELEASE_SECONDS = 1.0
+RECORD_SECONDS = 60.0
 _State = messages.ClaimState
 _log = logging.getLogger('tamarackthread.claims')
 
 
 class ClaimedElsewhere(errors.CodedError):
-    """Another try has claimed the key; its claim must be settled first."""
+    """Another request holds the key's claim, which must be resolved first."""
 
     code = 'TT4520'
     status = 409
     ran = messages.Ran.MAY_HAVE_RUN
 
     def __init__(self, reply: messages.ClaimReply) -> None:
-        """Keep what the shard answered."""
+        """Keep the shard's reply."""
         super().__init__(reply.holder or '')
         self.reply = reply
 
 
 @attrs.frozen
 class Request:
-    """What a claim needs to know of a call."""
+    """The parts of a call that its claim needs."""
 
     facts: calls.CallFacts
     rules: generated.Claims
@@ -66,7 +61,7 @@
 
 
 class KeyedClaim(call_claim.CallClaim):
-    """The claim of one call over all its attempts."""
+    """The claim of one keyed call over all its attempts."""
 
     def __init__(
         self,
@@ -74,21 +69,21 @@
         claimant: claim_client.Claimant,
         rules: generated.Claims,
     ) -> None:
-        """Claim nothing yet."""
+        """Claim the key at the first handover only."""
         self._owner = owner
         self._claimant = claimant
         self._rules = rules
-        self._held: messages.ClaimReply | None = None
-        self._is_asked = False
+        self._grant: messages.ClaimReply | None = None
+        self._is_requested = False
         self._sink: recording.RecordingSink | None = None
 
     @property
     def is_in_doubt(self) -> bool:
-        """Tell whether another try of this key may have run."""
-        return self._is_asked and self._held is None
+        """Return whether another request with this key may have run."""
+        return self._is_requested and self._grant is None
 
     def wrap_sink(self, sink: responses.Sink) -> responses.Sink:
-        """Keep what goes to the sink, for second tries, if it is small."""
+        """Record the response for later requests, up to the size limit."""
         limit = self._rules.answer_limit_bytes
         self._sink = recording.RecordingSink(sink, limit)
         return self._sink
@@ -98,23 +93,22 @@
         opening: messages.OpenCall,
         connection: fleet.TargetConnection,
     ) -> None:
-        """Record the hand-over and put the claim into the call.
-
-        Raises ``ClaimedElsewhere`` when the call is not, or no longer, ours.
-        """
-        handover = call_claim.window(connection, self._claimant.deadline)
+        """Claim the handover; raise ``ClaimedElsewhere`` if not granted."""
+        handover = call_claim.build_handover(
+            connection, self._claimant.deadline
+        )
         loop = asyncio.get_running_loop()
         began = loop.time()
-        reply = await self._secure(handover)
-        counted = self._owner.metrics
-        counted.time(metrics.Timer.CLAIM, loop.time() - began)
+        reply = await self._claim_or_move(handover)
+        counters = self._owner.metrics
+        counters.time(metrics.Timer.CLAIM, loop.time() - began)
         if not reply.granted:
-            self._held = None
-            counted.count(metrics.Counter.CLAIM_REPEATED)
+            self._grant = None
+            counters.count(metrics.Counter.CLAIM_REPEATED)
             raise ClaimedElsewhere(reply)
-        if self._held is None:
-            counted.count(metrics.Counter.CLAIM_GRANTED)
-        self._held = reply
+        if self._grant is None:
+            counters.count(metrics.Counter.CLAIM_GRANTED)
+        self._grant = reply
         opening.claim = self._claimant.name
         opening.fence = reply.fence
         opening.handover = handover
@@ -123,39 +117,33 @@
         self,
         reply: messages.ClaimReply | None = None,
     ) -> messages.ClaimReply | None:
-        """Wait for the truth about the key, or take its claim over.
-
-        Without ``reply`` the claim is our own and its call got lost on the
-        way.  Returns a grant or a complete answer, else raises.
-        """
+        """Return a complete response or a grant from a takeover, or raise."""
+        # Without a reply, this entry's own claim has lost its link.
         if reply is None:
-            assert self._held is not None
-            reply = self._held
+            assert self._grant is not None
+            reply = self._grant
             reply.granted = False
-        self._held = None
+        self._grant = None
         loop = asyncio.get_running_loop()
         latest = loop.time() + self._rules.wait_seconds
         until = min(self._claimant.deadline, latest)
-        settled = await self._owner.resolver.resolve(
+        resolved = await self._owner.resolver.resolve(
             self._claimant, reply, until
         )
-        if settled.granted:
-            self._held = settled
-        return settled
+        if resolved.granted:
+            self._grant = resolved
+        return resolved
 
     def succeed(self) -> None:
-        """Record the whole answer; nobody waits for that."""
-        if self._held is None or self._sink is None:
+        """Record the complete response in the background."""
+        if self._grant is None or self._sink is None:
             return
-        finish = self._sink.claim_outcome()
-        self._owner.run_in_background(self._finish(self._held, finish))
+        outcome = self._sink.claim_outcome()
+        self._owner.run_in_background(self._finish(self._grant, outcome))
 
     async def fail(self, failure: errors.CodedError) -> None:
-        """Record a failure and make its word hold for the whole key.
-
-        A refusal says 'not run' only if no other try of the key can have
-        run either; the caller would order anew under another key.
-        """
+        """Record a failure and set its ``ran`` for the whole key."""
+        # Told 'not run', the caller would repeat the call under a new key.
         if failure.ran != messages.Ran.NOT_RUN:
             self._owner.metrics.count(metrics.Counter.CLAIM_UNKNOWN)
             self.abandon(handed_over=True)
@@ -163,90 +151,90 @@
         if isinstance(failure, claim_errors.ClaimKeyReused):
             return
         try:
-            async with asyncio.timeout(SETTLE_SECONDS):
-                is_free = await self._free()
+            async with asyncio.timeout(RELEASE_SECONDS):
+                is_free = await self._release()
         except (TimeoutError, errors.CodedError):
             is_free = False
         if not is_free:
             failure.ran = messages.Ran.MAY_HAVE_RUN
 
     def abandon(self, handed_over: bool) -> None:
-        """Leave the claim to be settled while nobody waits for the call."""
-        held = self._held
-        if held is None:
+        """Record the outcome in the background after a disconnect."""
+        grant = self._grant
+        if grant is None:
             return
         if handed_over:
-            self._owner.run_in_background(self._collect(held))
+            self._owner.run_in_background(self._record_outcome(grant))
             return
         released = claim_client.Outcome(_State.RELEASED)
-        self._owner.run_in_background(self._finish(held, released))
+        self._owner.run_in_background(self._finish(grant, released))
 
-    async def _secure(
+    async def _claim_or_move(
         self,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
         client = self._owner.client
-        held = self._held
-        if held is None:
-            self._is_asked = True
-            held = await client.claim(self._claimant, handover)
-            if not held.granted or held.handover == handover:
-                return held
-        return await client.move(self._claimant, held, handover)
-
-    async def _free(self) -> bool:
+        grant = self._grant
+        if grant is None:
+            self._is_requested = True
+            grant = await client.claim(self._claimant, handover)
+            if not grant.granted or grant.handover == handover:
+                return grant
+        return await client.move(self._claimant, grant, handover)
+
+    async def _release(self) -> bool:
         client = self._owner.client
-        if self._held is None:
-            found = await client.wait(self._claimant, 0)
+        if self._grant is None:
+            reply = await client.wait(self._claimant, 0)
         else:
             released = claim_client.Outcome(_State.RELEASED)
-            found = await client.finish(self._claimant, self._held, released)
-        return not found.known or found.state == _State.RELEASED
+            reply = await client.finish(self._claimant, self._grant, released)
+        return not reply.known or reply.state == _State.RELEASED
 
     async def _finish(
         self,
-        held: messages.ClaimReply,
-        finish: claim_client.Outcome,
+        grant: messages.ClaimReply,
+        outcome: claim_client.Outcome,
     ) -> None:
-        await self._owner.client.finish(self._claimant, held, finish)
+        await self._owner.client.finish(self._claimant, grant, outcome)
 
-    async def _collect(self, held: messages.ClaimReply) -> None:
-        until = asyncio.get_running_loop().time() + COLLECT_SECONDS
-        await self._owner.resolver.record_outcome(self._claimant, held, until)
+    async def _record_outcome(self, grant: messages.ClaimReply) -> None:
+        until = asyncio.get_running_loop().time() + RECORD_SECONDS
+        await self._owner.resolver.record_outcome(self._claimant, grant, until)
 
 
 class KeyedClaims:
-    """Start keyed calls and finish their claims in the background."""
+    """Create claims of calls and record outcomes in the background."""
 
     def __init__(
         self,
         client: claim_client.ClaimClient,
         resolver: takeover.Takeover,
-        counted: metrics.Metrics | None = None,
+        counters: metrics.Metrics | None = None,
     ) -> None:
-        """Share the client and the takeover among all calls."""
-        self._metrics = counted or metrics.Metrics()
+        """Share the client and the resolver among all claims."""
+        self._metrics = counters or metrics.Metrics()
         self._client = client
-        self._settler = resolver
+        self._resolver = resolver
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def client(self) -> claim_client.ClaimClient:
-        """Give the way to the shards."""
+        """Return the client of the shards."""
         return self._client
 
     @property
     def metrics(self) -> metrics.Metrics:
-        """Give what counts the claims."""
+        """Return the metrics that count the claims."""
         return self._metrics
 
     @property
     def resolver(self) -> takeover.Takeover:
-        """Give what settles the claims of other tries."""
-        return self._settler
+        """Return the resolver of claims with an unknown outcome."""
+        return self._resolver
 
     def start(self, request: Request) -> KeyedClaim:
-        """Prepare the claim of a call."""
+        """Create the claim of a keyed call."""
         rules = request.rules
         claimant = claim_client.Claimant(
             organisation=request.facts.organisation,
@@ -263,25 +251,25 @@
         return KeyedClaim(self, claimant, rules)
 
     def start_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedClaim:
-        """Prepare a call that has no key, for its hand-over."""
-        return unkeyed_claim.UnkeyedClaim(self._settler.prober, deadline)
+        """Create the claim of a call without a key."""
+        return unkeyed_claim.UnkeyedClaim(self._resolver.prober, deadline)
 
     def run_in_background(
         self,
         work: collections.abc.Coroutine[None, None, None],
     ) -> None:
-        """Record something without making a caller wait."""
-        task = asyncio.get_running_loop().create_task(_logged(work))
+        """Run a coroutine without making the caller wait."""
+        task = asyncio.get_running_loop().create_task(_log_errors(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def wait_idle(self, seconds: float) -> None:
-        """Wait until all outcomes are recorded, at most so long."""
+        """Wait up to ``seconds`` until all outcomes are recorded."""
         if self._tasks:
             await asyncio.wait(tuple(self._tasks), timeout=seconds)
 
 
-async def _logged(
+async def _log_errors(
     work: collections.abc.Coroutine[None, None, None],
 ) -> None:
     try:
--- a/tamarackthread/entry/rate_leases.py
+++ b/tamarackthread/entry/rate_leases.py
@@ -1,4 +1,4 @@
-"""Keep this entry's portions of organisations' caps leased."""
+"""Lease this entry's portions of organisations' rate limits from control."""
 
 from __future__ import annotations
 
@@ -11,103 +11,105 @@
 from tamarackthread.policy import buckets, portions
 from tamarackthread.shared import errors, peers
 
-EVERY_SECONDS = 1.0
-TIMEOUT_SECONDS = 1.0
+RENEW_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
 MILLISECONDS = 1000
-# Until control has said how many entries there are, this entry takes itself
-# for one of so many, and so for less than its share rather than for more.
+# The number of entries until control reports it; high, so that the shares of
+# all entries stay under the limit.
 ASSUMED_ENTRIES = 32
-LEAST_DEMAND = 0.01
+MIN_DEMAND = 0.01
 _log = logging.getLogger('tamarackthread.entry')
 
 
 class RateLeaser:
-    """Ask control for portions by what callers lately asked for."""
+    """Renew the leases of portions by the recent demand of callers."""
 
     def __init__(
         self,
         node: str,
         zone: str,
-        known: directory.Directory,
-        held: buckets.Portions,
+        config: directory.Directory,
+        leased: buckets.Portions,
         links: peers.Peers,
         addresses: tuple[str, ...],
     ) -> None:
-        """Ask nothing before ``run``."""
+        """Send no request before ``run``."""
         self._node = node
         self._zone = zone
-        self._directory = known
-        self._held = held
+        self._directory = config
+        self._portions = leased
         self._links = links
-        self._turns = itertools.cycle(addresses)
-        self._address = next(self._turns, '')
+        self._address_cycle = itertools.cycle(addresses)
+        self._address = next(self._address_cycle, '')
         self._entries = ASSUMED_ENTRIES
 
     def update_limits(self) -> None:
-        """Take the caps from the directory."""
+        """Set the safe shares of the rate limits in the directory."""
         now = asyncio.get_running_loop().time()
         rates = {}
         for name, details in self._directory.organisations.items():
-            cap = details.requests_per_second
-            if cap:
-                rates[name] = portions.safe_share(cap, self._entries)
-        self._held.follow(rates, now)
+            limit = details.requests_per_second
+            if limit:
+                rates[name] = portions.safe_share(limit, self._entries)
+        self._portions.follow(rates, now)
 
     async def run(self) -> None:
-        """Ask for ever, for the organisations that callers came from."""
+        """Renew the leases of organisations with recent calls."""
         while True:
-            await asyncio.sleep(EVERY_SECONDS)
-            asked = self._asked()
-            if asked and self._address:
-                await self._lease(asked)
+            await asyncio.sleep(RENEW_SECONDS)
+            wanted = self._wanted_portions()
+            if wanted and self._address:
+                await self._renew(wanted)
 
-    def _asked(self) -> list[messages.PortionRequest]:
+    def _wanted_portions(self) -> list[messages.PortionRequest]:
         now = asyncio.get_running_loop().time()
-        asked = []
-        for organisation in self._held.organisations():
-            portion = self._held.find(organisation)
+        wanted = []
+        for organisation in self._portions.organisations():
+            portion = self._portions.find(organisation)
             if portion is None:
                 continue
             demand, used = portion.measure(now)
-            if demand < LEAST_DEMAND:
+            if demand < MIN_DEMAND:
                 continue
-            asked.append(
+            wanted.append(
                 messages.PortionRequest(
                     organisation=organisation,
                     demand=demand,
                     used=used,
                 ),
             )
-        return asked
+        return wanted
 
-    async def _lease(self, asked: list[messages.PortionRequest]) -> None:
+    async def _renew(self, wanted: list[messages.PortionRequest]) -> None:
         request = messages.Request(
             portions=messages.PortionsRequest(
                 node=self._node,
                 zone=self._zone,
-                portions=asked,
+                portions=wanted,
             ),
         )
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         try:
             reply = await self._links.request(
                 self._address,
                 request,
-                TIMEOUT_SECONDS,
+                REQUEST_TIMEOUT_SECONDS,
             )
         except errors.CodedError as exc:
-            _log.info('entry: no portions, %s %s', exc.code, exc)
-            self._address = next(self._turns)
+            _log.info('entry: rate leases not renewed, %s %s', exc.code, exc)
+            self._address = next(self._address_cycle)
             return
         if reply.portions is not None:
-            self._take(reply.portions, asked_at)
+            self._apply(reply.portions, requested_at)
 
-    def _take(self, leased: messages.PortionsReply, asked_at: float) -> None:
-        if leased.entries and leased.entries != self._entries:
-            self._entries = leased.entries
+    def _apply(
+        self, reply: messages.PortionsReply, requested_at: float
+    ) -> None:
+        if reply.entries and reply.entries != self._entries:
+            self._entries = reply.entries
             self.update_limits()
-        lease_seconds = (leased.lease_ms or 0) / MILLISECONDS
-        for given in leased.portions or ():
-            portion = self._held.find(given.organisation)
+        lease_seconds = (reply.lease_ms or 0) / MILLISECONDS
+        for granted in reply.portions or ():
+            portion = self._portions.find(granted.organisation)
             if portion is not None:
-                portion.grant(given.rate, asked_at, lease_seconds)
+                portion.grant(granted.rate, requested_at, lease_seconds)
--- a/tamarackthread/entry/recording.py
+++ b/tamarackthread/entry/recording.py
@@ -1,4 +1,4 @@
-"""Keep a small answer while it goes to its caller."""
+"""Record a response while it is sent to the caller."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class RecordingSink(responses.Sink):
-    """Pass an answer on and remember it, up to a limit in bytes."""
+    """Forward a response and keep a copy of it, up to a size limit."""
 
     def __init__(self, sink: responses.Sink, limit_bytes: int) -> None:
-        """Write to ``sink``; an answer over the limit is not remembered."""
+        """Write to ``sink``; a response over the limit is not kept."""
         self._sink = sink
         self._limit = limit_bytes
         self._head: responses.Head | None = None
@@ -19,31 +19,31 @@
 
     @property
     def started(self) -> bool:
-        """Tell whether the caller has seen any of the answer."""
+        """Return whether any of the response was sent to the caller."""
         return self._sink.started
 
     async def start(self, head: responses.Head) -> None:
-        """Send the head; the body follows in pieces."""
+        """Send the head of a streamed response."""
         self._head = head
         await self._sink.start(head)
 
     async def write(self, payload: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
         self._keep(payload)
         await self._sink.write(payload)
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """End a streamed response as complete."""
         await self._sink.finish()
 
     async def send(self, head: responses.Head, body: bytes) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
         self._head = head
         self._keep(body)
         await self._sink.send(head, body)
 
     def claim_outcome(self) -> claim_client.Outcome:
-        """Give the outcome to record, with the answer where it was kept."""
+        """Return the outcome to record, with the response if it was kept."""
         state = messages.ClaimState.COMPLETE
         if self._head is None or not self._is_kept:
             return claim_client.Outcome(state)
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -1,4 +1,4 @@
-"""Reach the shards that keep the claims, whoever leads them."""
+"""Send claim requests to the leaders of the shards that store claims."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     peers,
 )
 
-TRY_SECONDS = 1.0
+REQUEST_SECONDS = 1.0
 CLAIM_SECONDS = 5.0
 FINISH_SECONDS = 30.0
 LONG_POLL_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.02
-MOST_PAUSE_SECONDS = 0.5
-# Asking again can't change these answers.
-_FINAL = (
+MIN_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.5
+# Errors that a retry can't change.
+_PERMANENT_ERRORS = (
     claim_errors.ClaimsFull,
     claim_errors.ClaimKeyReused,
     claim_errors.ClaimInvalid,
@@ -31,7 +31,7 @@
 
 
 class ShardClaimClient(claim_client.ClaimClient):
-    """Reach the shards over this process's links to the control hosts."""
+    """Reach the shards over this process's links to control hosts."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         holder: str,
         rng: random.Random | None = None,
     ) -> None:
-        """Read the shards anew for each call; ``holder`` names this entry."""
+        """Call ``shards`` on each request; ``holder`` names this entry."""
         self._links = links
         self._shards = shards
         self._holder = holder
@@ -54,7 +54,7 @@
         claimant: claim_client.Claimant,
         handover: messages.Handover | None,
     ) -> messages.ClaimReply:
-        """Claim a key for a hand-over."""
+        """Claim a key for a handover."""
         now = asyncio.get_running_loop().time()
         until = min(claimant.deadline, now + CLAIM_SECONDS)
         shard = self._shard(claimant)
@@ -68,45 +68,45 @@
             digest=claimant.digest,
             handover=handover,
         )
-        return await self._ask(shard, messages.Request(claim=request), until)
+        return await self._send(shard, messages.Request(claim=request), until)
 
     async def move(
         self,
         claimant: claim_client.Claimant,
-        held: messages.ClaimReply,
+        grant: messages.ClaimReply,
         handover: messages.Handover,
     ) -> messages.ClaimReply:
-        """Record the next hand-over under the next number."""
+        """Record the next handover under the next ``move`` number."""
         now = asyncio.get_running_loop().time()
         until = min(claimant.deadline, now + CLAIM_SECONDS)
-        request = self._finish_request(claimant, held)
+        request = self._finish_request(claimant, grant)
         request.state = messages.ClaimState.RUNNING
         request.handover = handover
-        request.move = (held.move or 0) + 1
-        return await self._ask_finish(claimant, request, until)
+        request.move = (grant.move or 0) + 1
+        return await self._send_finish(claimant, request, until)
 
     async def finish(
         self,
         claimant: claim_client.Claimant,
-        held: messages.ClaimReply,
-        finish: claim_client.Outcome,
+        grant: messages.ClaimReply,
+        outcome: claim_client.Outcome,
     ) -> messages.ClaimReply:
-        """Record the outcome, trying for a while after the deadline too."""
-        request = self._finish_request(claimant, held)
-        request.state = finish.state
-        request.status = finish.status
-        request.headers = list(finish.headers)
-        request.body = finish.body
-        request.move = held.move or 0
+        """Record the outcome, with retries also after the deadline."""
+        request = self._finish_request(claimant, grant)
+        request.state = outcome.state
+        request.status = outcome.status
+        request.headers = list(outcome.headers)
+        request.body = outcome.body
+        request.move = grant.move or 0
         until = asyncio.get_running_loop().time() + FINISH_SECONDS
-        return await self._ask_finish(claimant, request, until)
+        return await self._send_finish(claimant, request, until)
 
     async def wait(
         self,
         claimant: claim_client.Claimant,
         seconds: float,
     ) -> messages.ClaimReply:
-        """Poll the shard, which holds its answer back until there is news."""
+        """Long-poll the shard until the claim is finished or time runs out."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         shard = self._shard(claimant)
@@ -118,8 +118,8 @@
                 wait_ms=_milliseconds(min(left, LONG_POLL_SECONDS)),
             )
             request = messages.Request(claim_lookup=lookup)
-            answer_by = max(until, loop.time() + CLAIM_SECONDS)
-            reply = await self._ask(shard, request, answer_by)
+            reply_deadline = max(until, loop.time() + CLAIM_SECONDS)
+            reply = await self._send(shard, request, reply_deadline)
             if not claim_client.is_open(reply) or loop.time() >= until:
                 return reply
 
@@ -134,16 +134,16 @@
     def _finish_request(
         self,
         claimant: claim_client.Claimant,
-        held: messages.ClaimReply,
+        grant: messages.ClaimReply,
     ) -> messages.ClaimFinish:
         return messages.ClaimFinish(
             shard=self._shard(claimant).name,
             key=claimant.name,
             claim=claimant.identity,
-            fence=held.fence,
+            fence=grant.fence,
         )
 
-    async def _ask_finish(
+    async def _send_finish(
         self,
         claimant: claim_client.Claimant,
         request: messages.ClaimFinish,
@@ -151,41 +151,40 @@
     ) -> messages.ClaimReply:
         shard = self._shard(claimant)
         wrapped = messages.Request(claim_finish=request)
-        return await self._ask(shard, wrapped, until)
+        return await self._send(shard, wrapped, until)
 
-    async def _ask(
+    async def _send(
         self,
         shard: claim_keys.Shard,
         request: messages.Request,
         until: float,
     ) -> messages.ClaimReply:
         loop = asyncio.get_running_loop()
-        pause = FIRST_PAUSE_SECONDS
+        backoff = MIN_BACKOFF_SECONDS
         while True:
-            reply = await self._ask_round(shard, request, until)
+            reply = await self._try_members(shard, request, until)
             if reply is not None:
                 return reply
-            if loop.time() + pause >= until:
+            if loop.time() + backoff >= until:
                 raise claim_errors.ClaimsUnavailable(shard.name)
-            # A new leader is found within a second or so; the jitter keeps
-            # all waiting calls from asking it in the same instant.
-            await asyncio.sleep(pause * self._rng.uniform(0.5, 1))
-            pause = min(pause * 2, MOST_PAUSE_SECONDS)
+            # Jitter spreads the retries of all calls after an election.
+            await asyncio.sleep(backoff * self._rng.uniform(0.5, 1))
+            backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
 
-    async def _ask_round(
+    async def _try_members(
         self,
         shard: claim_keys.Shard,
         request: messages.Request,
         until: float,
     ) -> messages.ClaimReply | None:
-        for address in self._in_order(shard):
-            reply = await self._ask_member(address, request, until)
+        for address in self._leader_first(shard):
+            reply = await self._try_member(address, request, until)
             if reply is not None:
                 self._leaders[shard.name] = address
                 return reply
         return None
 
-    async def _ask_member(
+    async def _try_member(
         self,
         address: str,
         request: messages.Request,
@@ -194,16 +193,16 @@
         left = until - asyncio.get_running_loop().time()
         if left <= 0:
             return None
-        seconds = min(left, TRY_SECONDS + LONG_POLL_SECONDS)
+        seconds = min(left, REQUEST_SECONDS + LONG_POLL_SECONDS)
         try:
             reply = await self._links.request(address, request, seconds)
-        except _FINAL:
+        except _PERMANENT_ERRORS:
             raise
         except errors.CodedError:
             return None
         return reply.claim
 
-    def _in_order(self, shard: claim_keys.Shard) -> list[str]:
+    def _leader_first(self, shard: claim_keys.Shard) -> list[str]:
         leader = self._leaders.get(shard.name)
         members = [address for address in shard.members if address != leader]
         self._rng.shuffle(members)
