--- a/tamarackthread/entry/connections.py
+++ b/tamarackthread/entry/connections.py
@@ -1,4 +1,4 @@
-"""Bound what callers' connections may cost before a request has come."""
+"""Limit callers' connections and the time until their first request."""
 
 from __future__ import annotations
 
@@ -10,13 +10,8 @@
 from tamarackthread.generated import settings as generated
 
 
-class GuardedServer(web.Server):
-    """Close connections beyond the limit and those that send no request.
-
-    A connection that sends its headers a byte at a time, or nothing, holds a
-    slot for ever.  Many of them would lock callers out; the limit keeps their
-    number and the time keeps their stay short.
-    """
+class LimitedServer(web.Server):
+    """Close connections over the limit and those without a request in time."""
 
     def __init__(
         self,
@@ -24,26 +19,28 @@
         limits: generated.Entry,
         **options: typing.Any,
     ) -> None:
-        """Serve with ``handler`` within the limits."""
+        """Serve requests with ``handler`` within the limits."""
         super().__init__(handler, **options)
         self._limits = limits
-        self._silent: dict[web.RequestHandler, asyncio.TimerHandle] = {}
+        self._header_timeouts: dict[
+            web.RequestHandler, asyncio.TimerHandle
+        ] = {}
 
     def note_request(self, handler: web.RequestHandler) -> None:
-        """Note that a whole request head has come on a connection."""
-        self._forget(handler)
+        """Stop the timeout of a connection that has sent a request head."""
+        self._cancel_timeout(handler)
 
     def connection_made(
         self,
         handler: web.RequestHandler,
         transport: asyncio.Transport,
     ) -> None:
-        """Take a connection, or close it when there are too many."""
+        """Accept a connection, or abort it when over the limit."""
         super().connection_made(handler, transport)
         if len(self.connections) > self._limits.connection_limit:
             transport.abort()
             return
-        self._silent[handler] = asyncio.get_running_loop().call_later(
+        self._header_timeouts[handler] = asyncio.get_running_loop().call_later(
             self._limits.slow_body_seconds,
             transport.abort,
         )
@@ -53,11 +50,11 @@
         handler: web.RequestHandler,
         exc: BaseException | None = None,
     ) -> None:
-        """Let a connection go."""
-        self._forget(handler)
+        """Remove a closed connection."""
+        self._cancel_timeout(handler)
         super().connection_lost(handler, exc)
 
-    def _forget(self, handler: web.RequestHandler) -> None:
-        closing = self._silent.pop(handler, None)
-        if closing is not None:
-            closing.cancel()
+    def _cancel_timeout(self, handler: web.RequestHandler) -> None:
+        timeout = self._header_timeouts.pop(handler, None)
+        if timeout is not None:
+            timeout.cancel()
--- a/tamarackthread/entry/directory.py
+++ b/tamarackthread/entry/directory.py
@@ -1,4 +1,4 @@
-"""Know the organisations, services and targets of the configuration."""
+"""Index the configuration by organisation, service, target and entry."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class Directory:
-    """Hold what documents say, ready to be looked up by a call."""
+    """Index documents for lookups by calls."""
 
     def __init__(self) -> None:
-        """Start empty: no credential is known and no service exists."""
+        """Start without documents."""
         self._credentials: dict[str, str] = {}
         self._organisations: dict[str, generated.Organisation] = {}
         self._services: dict[str, generated.Service] = {}
@@ -41,30 +41,30 @@
 
     @property
     def services(self) -> collections.abc.Mapping[str, generated.Service]:
-        """Give the services by name."""
+        """Return the services by name."""
         return self._services
 
     @property
     def organisations(
         self,
     ) -> collections.abc.Mapping[str, generated.Organisation]:
-        """Give the organisations by name."""
+        """Return the organisations by name."""
         return self._organisations
 
     @property
     def targets(self) -> collections.abc.Mapping[str, generated.Target]:
-        """Give the targets by name."""
+        """Return the targets by name."""
         return self._targets
 
     @property
     def entries(self) -> collections.abc.Mapping[str, generated.Entry]:
-        """Give the entries by node."""
+        """Return the entries by node."""
         return self._entries
 
-    def update(self, held: catalogue.Catalogue) -> None:
-        """Take in what the catalogue holds beyond what was taken before."""
+    def update(self, source: catalogue.Catalogue) -> None:
+        """Apply the catalogue's changes since the last update."""
         while True:
-            page = held.after(self._revision)
+            page = source.after(self._revision)
             if page.snapshot:
                 self.clear()
             self.apply(page.documents)
@@ -73,33 +73,33 @@
                 return
 
     def apply(self, changed: typing.Iterable[messages.Document]) -> None:
-        """Take in documents; an empty body is a deletion."""
+        """Apply documents; an empty body is a deletion."""
         for document in changed:
             table = self._tables().get(document.kind)
             if table is not None:
                 self._replace(table, document)
 
     def clear(self) -> None:
-        """Forget everything, before a whole new state is taken in."""
+        """Remove all documents before a snapshot is applied."""
         self._credentials.clear()
         for table in self._tables().values():
             table.clear()
 
     def profile(self, service: str) -> generated.Profile:
-        """Give the profile of a service, or the defaults if it has none."""
+        """Return the profile of a service, or the defaults without one."""
         details = self._services[service]
-        found = self._profiles.get(details.profile)
-        return found or generated.Profile()
+        profile = self._profiles.get(details.profile)
+        return profile or generated.Profile()
 
     def shards(self, members: tuple[str, ...]) -> tuple[claim_keys.Shard, ...]:
-        """Give the shards of claims, which these control hosts know."""
+        """Return the claim shards with these control hosts as members."""
         return tuple(
             claim_keys.Shard(details.group, details.region, members)
             for details in self._shards.values()
         )
 
     def caller(self, authorization: str) -> Caller:
-        """Find the organisation of an ``Authorization`` header."""
+        """Return the organisation of an ``Authorization`` header."""
         scheme, _, token = authorization.partition(' ')
         if scheme.lower() != 'bearer' or not token:
             raise failures.CredentialUnknown
@@ -110,11 +110,11 @@
         return Caller(name, self._organisations[name])
 
     def service(self, host: str, path: str, model: str) -> str:
-        """Find the service for a call; the longest path prefix wins."""
+        """Return the service for a call; the longest path prefix wins."""
         best = ''
         best_length = -1
         for name, details in self._services.items():
-            if not _takes(details, host, model):
+            if not _matches(details, host, model):
                 continue
             length = _matched_length(details, path)
             if length > best_length:
@@ -141,28 +141,28 @@
         is_organisation = document.kind == 'organisation'
         old = table.pop(document.name, None)
         if is_organisation and old is not None:
-            self._forget_credentials(document.name)
+            self._remove_credentials(document.name)
         if not document.body:
             return
         table[document.name] = documents.parse(document.kind, document.body)
         if is_organisation:
-            self._learn_credentials(document.name)
+            self._add_credentials(document.name)
 
-    def _learn_credentials(self, name: str) -> None:
+    def _add_credentials(self, name: str) -> None:
         for credential in self._organisations[name].credentials:
             self._credentials[credential.sha256] = name
 
-    def _forget_credentials(self, name: str) -> None:
-        held = [
+    def _remove_credentials(self, name: str) -> None:
+        digests = [
             digest
             for digest, owner in self._credentials.items()
             if owner == name
         ]
-        for digest in held:
+        for digest in digests:
             self._credentials.pop(digest)
 
 
-def _takes(details: generated.Service, host: str, model: str) -> bool:
+def _matches(details: generated.Service, host: str, model: str) -> bool:
     if details.hosts and host not in details.hosts:
         return False
     return not details.models or model in details.models
--- a/tamarackthread/entry/failures.py
+++ b/tamarackthread/entry/failures.py
@@ -1,4 +1,4 @@
-"""Define the coded errors that an entry gives to callers."""
+"""Define the coded errors that an entry returns to callers."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class ServiceUnknown(errors.CodedError):
-    """No service takes this host, path and model."""
+    """No service matches this host, path and model."""
 
     code = 'TT7002'
     status = 404
 
 
 class BodyTooLarge(errors.CodedError):
-    """Body of the request is over the limit."""
+    """Body of the request exceeds the limit."""
 
     code = 'TT7003'
     status = 413
@@ -35,14 +35,14 @@
 
 
 class BodyInvalid(errors.CodedError):
-    """Body of the request is not the JSON that this path needs."""
+    """Body of the request is not the JSON object that this path requires."""
 
     code = 'TT7005'
     status = 400
 
 
 class HeaderInvalid(errors.CodedError):
-    """Header of the request has a value that makes no sense."""
+    """Header of the request has an invalid value."""
 
     code = 'TT7006'
     status = 400
@@ -56,14 +56,14 @@
 
 
 class EntryLeaving(errors.CodedError):
-    """Entry is stopping and takes no new call."""
+    """Entry is stopping and accepts no new call."""
 
     code = 'TT7008'
     status = 503
 
 
 class DeadlineExceeded(errors.CodedError):
-    """Deadline passed before the answer was whole."""
+    """Deadline passed before the response was complete."""
 
     code = 'TT7009'
     status = 504
@@ -71,14 +71,14 @@
 
 
 class DeadlineBeforeStart(errors.CodedError):
-    """Deadline passed before the call was handed over."""
+    """Deadline passed before the call was sent to a target."""
 
     code = 'TT7010'
     status = 504
 
 
 class AnswerMismatched(errors.CodedError):
-    """Answer carried the identity of another call and was thrown away."""
+    """Response carried another call's id and was discarded."""
 
     code = 'TT7011'
     status = 502
@@ -86,14 +86,14 @@
 
 
 class ConnectionSilent(errors.CodedError):
-    """No connection to the target answered its heartbeat a moment ago."""
+    """Connection to the target is down or has no recent heartbeat."""
 
     code = 'TT7012'
     status = 503
 
 
 class CallerTooSlow(errors.CodedError):
-    """Caller left its answer unread for too long."""
+    """Caller did not read its response in time."""
 
     code = 'TT7013'
     status = 408
@@ -101,14 +101,14 @@
 
 
 class ConnectionsFull(errors.CodedError):
-    """Entry holds as many calls as it may."""
+    """Entry has reached its limit of open calls."""
 
     code = 'TT7014'
     status = 503
 
 
 class EntryFault(errors.CodedError):
-    """Entry met a fault of its own while it held the call."""
+    """Entry failed with an internal error during the call."""
 
     code = 'TT7017'
     status = 500
@@ -116,7 +116,7 @@
 
 
 class CallerGone(errors.CodedError):
-    """Caller closed its connection before the answer was whole."""
+    """Caller closed its connection before the response was complete."""
 
     code = 'TT7018'
     status = 499
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -1,4 +1,4 @@
-"""Keep links to the agents of each service and what they report."""
+"""Keep links to the agents of this entry's subset of targets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tamarackthread.shared import errors, link, peers
 
 RETRY_SECONDS = 0.2
-CLOSE_SECONDS = 1.0
+DRAIN_POLL_SECONDS = 1.0
 RevisionSource = collections.abc.Callable[[], int]
 Pool = pools.Pool
 TargetConnection = pools.TargetConnection
@@ -22,22 +22,22 @@
 
 
 class Fleet(link.Handler):
-    """Hold one pool for each service."""
+    """Connect to targets and hold a pool for each service."""
 
     def __init__(
         self,
         node: str,
         zone: str,
-        known: directory.Directory,
+        config: directory.Directory,
         rng: random.Random,
     ) -> None:
-        """Start without pools; ``update`` follows the directory."""
-        self._directory = known
+        """Start without pools; ``update`` creates them."""
+        self._directory = config
         self._rng = rng
         self._portions = buckets.Portions()
-        self._own = subsets.Place(node, zone)
+        self._own_place = subsets.Place(node, zone)
         self._ranks: dict[str, ranks.RankedTargets] = {}
-        self._around = pools.PoolContext(zone, known, self._portions, rng)
+        self._context = pools.PoolContext(zone, config, self._portions, rng)
         self._peers: peers.Peers | None = None
         self._pools: dict[str, pools.Pool] = {}
         self._by_target: dict[str, pools.Pool] = {}
@@ -45,23 +45,23 @@
 
     @property
     def portions(self) -> buckets.Portions:
-        """Give the portions of organisations' caps."""
+        """Return the leased portions of organisations' rate limits."""
         return self._portions
 
-    def set_peers(self, dialler: peers.Peers) -> None:
-        """Dial agents with these peers from now on."""
-        self._peers = dialler
+    def set_peers(self, links: peers.Peers) -> None:
+        """Set the pool of links that dials agents."""
+        self._peers = links
 
     async def on_request(
         self,
         link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Refuse: agents only report to an entry."""
+        """Refuse all requests; agents only send reports."""
         raise errors.RequestUnsupported
 
     def on_notice(self, link: link.Link, request: messages.Request) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         if request.report is None:
             return
         pool = self._by_target.get(request.report.target)
@@ -69,47 +69,47 @@
             pool.apply_report(request.report)
 
     def pool(self, service: str) -> pools.Pool:
-        """Give the pool of a service, making it at the first use."""
-        found = self._pools.get(service)
-        if found is None:
+        """Return the pool of a service, created at the first use."""
+        pool = self._pools.get(service)
+        if pool is None:
             profile = self._directory.profile(service)
-            found = pools.Pool(service, profile, self._around)
-            self._pools[service] = found
-        return found
+            pool = pools.Pool(service, profile, self._context)
+            self._pools[service] = pool
+        return pool
 
     def connection(
         self, service: str, target: str
     ) -> pools.TargetConnection | None:
-        """Give the contact for a target of a service."""
+        """Return the connection to a target of a service."""
         return self.pool(service).connections.get(target)
 
     def update(self) -> None:
-        """Follow the directory and the profiles that it holds."""
+        """Apply the directory's targets, entries and profiles."""
         for name in tuple(self._by_target):
             if self._has_moved(name):
-                self._part(name)
-        self._rank()
+                self._disconnect(name)
+        self._update_ranks()
         for service in self._directory.services:
             pool = self.pool(service)
             pool.set_profile(self._directory.profile(service))
-            self._settle(pool)
+            self._update_subset(pool)
 
     def close(self) -> None:
-        """Stop keeping links."""
+        """Disconnect from all targets."""
         for name in tuple(self._by_target):
-            self._part(name)
+            self._disconnect(name)
 
     def _has_moved(self, name: str) -> bool:
         details = self._directory.targets.get(name)
         if details is None:
             return True
         pool = self._by_target[name]
-        known = pool.connections[name].details
+        current = pool.connections[name].details
         if details.service != pool.service:
             return True
-        return details.address != known.address
+        return details.address != current.address
 
-    def _rank(self) -> None:
+    def _update_ranks(self) -> None:
         entries = {
             name: subsets.Place(name, details.zone)
             for name, details in self._directory.entries.items()
@@ -124,17 +124,13 @@
         for service, places in targets.items():
             ranked = self._ranks.get(service)
             if ranked is None:
-                ranked = ranks.RankedTargets(self._own)
+                ranked = ranks.RankedTargets(self._own_place)
                 self._ranks[service] = ranked
             ranked.set_entries(entries)
             ranked.set_targets(places)
 
-    def _settle(self, pool: pools.Pool) -> None:
-        """Keep links to the subset of a service's targets, and only to it.
-
-        A target that is dialled counts as usable until a dial has failed, so
-        that a subset is not widened just because it is new.
-        """
+    def _update_subset(self, pool: pools.Pool) -> None:
+        """Connect to the targets of the subset and disconnect from others."""
         ranked = self._ranks.get(pool.service)
         if ranked is None:
             return
@@ -144,12 +140,12 @@
         )
         for name in tuple(pool.connections):
             if name not in chosen:
-                self._part(name)
+                self._disconnect(name)
         for name in chosen:
-            self._meet(name, self._directory.targets[name])
+            self._connect(name, self._directory.targets[name])
         pool.refresh()
 
-    def _meet(self, name: str, details: generated.Target) -> None:
+    def _connect(self, name: str, details: generated.Target) -> None:
         pool = self.pool(details.service)
         connection = pool.connections.get(name)
         if connection is not None:
@@ -158,18 +154,20 @@
         connection = pool.add(name, details)
         self._by_target[name] = pool
         loop = asyncio.get_running_loop()
-        connection.connect_task = loop.create_task(self._keep(pool, connection))
+        connection.connect_task = loop.create_task(
+            self._keep_connected(pool, connection)
+        )
 
-    def _part(self, name: str) -> None:
+    def _disconnect(self, name: str) -> None:
         pool = self._by_target.pop(name)
-        held = pool.connections[name].current_link
+        current = pool.connections[name].current_link
         pool.remove(name)
-        if held is not None and not held.is_closed:
-            closing = asyncio.get_running_loop().create_task(_close(held))
+        if current is not None and not current.is_closed:
+            closing = asyncio.get_running_loop().create_task(_drain(current))
             self._closing.add(closing)
             closing.add_done_callback(self._closing.discard)
 
-    async def _keep(
+    async def _keep_connected(
         self, pool: pools.Pool, connection: pools.TargetConnection
     ) -> None:
         assert self._peers is not None
@@ -179,20 +177,22 @@
                     connection.details.address
                 )
             except errors.CodedError as exc:
-                _log.debug('entry: no link to %s, %s', connection.name, exc)
+                _log.debug(
+                    'entry: dialling %s failed, %s', connection.name, exc
+                )
                 if not connection.connect_failed:
                     connection.connect_failed = True
-                    self._settle(pool)
+                    self._update_subset(pool)
                 await asyncio.sleep(RETRY_SECONDS * self._rng.uniform(0.5, 1))
                 continue
             connection.connect_failed = False
-            self._settle(pool)
+            self._update_subset(pool)
             await connection.current_link.wait_closed()
             pool.refresh()
 
 
-async def _close(held: link.Link) -> None:
-    """Close a link that isn't needed once its calls have ended."""
-    while held.open_streams and not held.is_closed:
-        await asyncio.sleep(CLOSE_SECONDS)
-    held.close('not in the subset any more')
+async def _drain(unused: link.Link) -> None:
+    """Close a link once its open calls have ended."""
+    while unused.open_streams and not unused.is_closed:
+        await asyncio.sleep(DRAIN_POLL_SECONDS)
+    unused.close('not in the subset any more')
--- a/tamarackthread/entry/frontend.py
+++ b/tamarackthread/entry/frontend.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP and tell the platform's balancer how we are."""
+"""Serve callers and health checks over HTTP."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 
 HEALTH_PATH = '/-/health'
 READY_PATH = '/-/ready'
-LEAVING_RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
 _log = logging.getLogger('tamarackthread.entry')
 
-# Raises a coded refusal when this entry must not take the call now.
-Guard = collections.abc.Callable[[calls.Call, int], None]
+# Raises a coded error if this entry must refuse the call.
+AdmissionCheck = collections.abc.Callable[[calls.Call, int], None]
 Readiness = collections.abc.Callable[[], bool]
 
 
 class Frontend:
-    """Take requests, run them and answer."""
+    """Accept requests, run their calls and respond."""
 
     def __init__(
         self,
         limits: generated.Entry,
         reader: request_reader.RequestReader,
         runner: calls.CallRunner,
-        guard: Guard,
+        check: AdmissionCheck,
         is_ready: Readiness,
-        counted: metrics.Metrics | None = None,
+        counters: metrics.Metrics | None = None,
     ) -> None:
         """Serve nothing until ``start``."""
-        self._metrics = counted or metrics.Metrics()
+        self._metrics = counters or metrics.Metrics()
         self._limits = limits
         self._reader = reader
         self._runner = runner
-        self._guard = guard
+        self._check = check
         self._is_ready = is_ready
         self._leaving = False
         self._refusing = False
@@ -59,12 +59,12 @@
 
     @property
     def open_calls(self) -> int:
-        """Count the calls in this entry."""
+        """Return the number of open calls."""
         return self._open
 
     async def start(self) -> str:
-        """Bind and return the address; port 0 lets the kernel pick."""
-        self._guarded = connections.GuardedServer(
+        """Bind and return the address; port 0 picks a free port."""
+        self._http_server = connections.LimitedServer(
             self._handle,
             self._limits,
             access_log=None,
@@ -75,7 +75,7 @@
             lingering_time=0,
         )
         self._server = web.ServerRunner(
-            self._guarded,
+            self._http_server,
             handle_signals=False,
         )
         await self._server.setup()
@@ -85,24 +85,24 @@
         return f'{host}:{port}'
 
     def fail_readiness(self) -> None:
-        """Tell the platform's balancer to look elsewhere; go on serving."""
+        """Fail the readiness check and continue to serve calls."""
         self._leaving = True
 
     def refuse_calls(self) -> None:
-        """Refuse new calls, which have then not run."""
+        """Refuse new calls as not run."""
         self._refusing = True
 
     async def wait_idle(self) -> None:
-        """Wait until the last call has ended."""
+        """Wait until no call is open."""
         await self._idle.wait()
 
     async def stop(self) -> None:
-        """Close the address and all callers' connections."""
+        """Close the listening socket and all connections."""
         if self._server is not None:
             await self._server.cleanup()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._guarded.note_request(request.protocol)
+        self._http_server.note_request(request.protocol)
         if request.path == HEALTH_PATH:
             return web.Response(text='alive\n')
         if request.path == READY_PATH:
@@ -131,12 +131,12 @@
             with logs.request(request_id):
                 await self._run(request, request_id, sink)
         finally:
-            self._ended(began)
+            self._record_end(began)
         return sink.response
 
-    def _ended(self, began: float) -> None:
-        took = asyncio.get_running_loop().time() - began
-        self._metrics.time(metrics.Timer.CALL, took)
+    def _record_end(self, began: float) -> None:
+        duration = asyncio.get_running_loop().time() - began
+        self._metrics.time(metrics.Timer.CALL, duration)
         self._open -= 1
         if self._open == 0:
             self._idle.set()
@@ -148,16 +148,16 @@
         sink: responses.HttpSink,
     ) -> None:
         try:
-            await self._checked(request, request_id, sink)
+            await self._admit_and_run(request, request_id, sink)
         except errors.CodedError as exc:
-            await self._tell(request_id, sink, exc)
+            await self._send_error(request_id, sink, exc)
         except Exception:
-            _log.exception('entry: call failed by a fault of this entry')
-            await self._tell(request_id, sink, failures.EntryFault())
+            _log.exception('entry: call failed with an internal error')
+            await self._send_error(request_id, sink, failures.EntryFault())
         else:
             self._metrics.count(metrics.Counter.CALL_COMPLETE)
 
-    async def _tell(
+    async def _send_error(
         self,
         request_id: str,
         sink: responses.HttpSink,
@@ -177,7 +177,7 @@
                 responses.error_body(failure, request_id),
             )
 
-    async def _checked(
+    async def _admit_and_run(
         self,
         request: web.BaseRequest,
         request_id: str,
@@ -186,10 +186,10 @@
         if not _may_have_run(request):
             self._check_leaving()
         if self._open > self._limits.call_limit:
-            full = failures.ConnectionsFull(retry_after=LEAVING_RETRY_SECONDS)
+            refusal = failures.ConnectionsFull(retry_after=RETRY_AFTER_SECONDS)
             if _may_have_run(request):
-                full.ran = messages.Ran.MAY_HAVE_RUN
-            raise full
+                refusal.ran = messages.Ran.MAY_HAVE_RUN
+            raise refusal
         call = await self._reader.read(request, request_id)
         try:
             self._check_call(call)
@@ -200,20 +200,15 @@
 
     def _check_call(self, call: calls.Call) -> None:
         self._check_leaving()
-        self._guard(call, self._open)
+        self._check(call, self._open)
 
     def _check_leaving(self) -> None:
         if self._refusing:
-            raise failures.EntryLeaving(retry_after=LEAVING_RETRY_SECONDS)
+            raise failures.EntryLeaving(retry_after=RETRY_AFTER_SECONDS)
 
 
 def _may_have_run(request: web.BaseRequest) -> bool:
-    """Tell whether an earlier try of a request's key may have run elsewhere.
-
-    Told 'not run' here, its caller would order anew under another key.  A
-    leaving entry reads such a request and looks the key up; a full one has
-    no room for that and says that the order may have run, after which the
-    caller asks again under the same key, which is always safe.
-    """
+    """Return whether an earlier request with this key may have run."""
+    # Told 'not run', the caller would repeat it under another key.
     has_key = request_reader.KEY_HEADER in request.headers
     return has_key and request.method not in SAFE_METHODS
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -1,4 +1,4 @@
-"""Build a service's queue, routing and ejection as its profile says."""
+"""Hold the connections, queue, routing and ejection of each service."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @attrs.define(eq=False)
 class TargetConnection:
-    """One target that this entry keeps a link to."""
+    """A target and the link that this entry keeps to its agent."""
 
     name: str
     details: generated.Target
@@ -40,31 +40,31 @@
 
     @property
     def is_linked(self) -> bool:
-        """Tell whether there is an open link to the target's agent."""
+        """Return whether the link to the target's agent is open."""
         return self.current_link is not None and not self.current_link.is_closed
 
     @property
     def accepts_calls(self) -> bool:
-        """Tell whether new calls may be sent there."""
+        """Return whether the target takes new calls."""
         return self.is_linked and not self.details.leaving
 
 
 class OrganisationShares(fairness.Shares):
-    """Give each organisation the weight that its document says."""
+    """Weight organisations as configured."""
 
-    def __init__(self, known: directory.Directory) -> None:
-        """Look weights up in the directory at each use."""
-        self._directory = known
+    def __init__(self, config: directory.Directory) -> None:
+        """Read weights from the directory at each use."""
+        self._directory = config
 
     def weight(self, organisation: str) -> float:
-        """Return the weight, 1 for an organisation that is gone."""
-        found = self._directory.organisations.get(organisation)
-        return 1 if found is None else found.weight
+        """Return the weight, 1 for an unknown organisation."""
+        details = self._directory.organisations.get(organisation)
+        return 1 if details is None else details.weight
 
 
 @attrs.frozen
 class PoolContext:
-    """What every pool of an entry shares."""
+    """What all pools of an entry share."""
 
     zone: str
     directory: directory.Directory
@@ -73,48 +73,44 @@
 
 
 class Pool:
-    """Hold the targets of one service and the queue in front of them.
-
-    A new profile replaces the queue and the rules for calls that come from
-    then on; calls that were admitted or wait under the old one end there.
-    """
+    """The targets of one service and its admission queue."""
 
     def __init__(
         self,
         service: str,
         profile: generated.Profile,
-        around: PoolContext,
+        context: PoolContext,
     ) -> None:
         """Start without targets."""
         self._service = service
-        self._around = around
+        self._context = context
         self._connections: dict[str, TargetConnection] = {}
-        self._apply(profile)
+        self._apply_profile(profile)
 
     @property
     def service(self) -> str:
-        """Give the service's name."""
+        """Return the service's name."""
         return self._service
 
     @property
     def profile(self) -> generated.Profile:
-        """Give the profile in use."""
+        """Return the profile in use."""
         return self._profile
 
     @property
     def admission(self) -> admission.Admission:
-        """Give the queue for new calls."""
+        """Return the queue for new calls."""
         return self._admission
 
     @property
     def connections(self) -> collections.abc.Mapping[str, TargetConnection]:
-        """Give the targets by name."""
+        """Return the targets by name."""
         return self._connections
 
     def set_profile(self, profile: generated.Profile) -> None:
-        """Put a profile in use if it differs from the one in use."""
+        """Apply a changed profile; queued calls stay in the old queue."""
         if profile != self._profile:
-            self._apply(profile)
+            self._apply_profile(profile)
 
     def add(self, name: str, details: generated.Target) -> TargetConnection:
         """Add a target that is not linked yet."""
@@ -134,20 +130,20 @@
         return connection
 
     def remove(self, name: str) -> None:
-        """Drop a target; its calls in flight go on."""
+        """Remove a target; its calls in flight go on."""
         connection = self._connections.pop(name)
         self._ejection.forget(name)
         if connection.connect_task is not None:
             connection.connect_task.cancel()
 
     def is_usable(self, name: str) -> bool:
-        """Tell whether a target is linked, or was not dialled in vain."""
+        """Return whether no dial of the target has failed."""
         connection = self._connections.get(name)
         return connection is None or not connection.connect_failed
 
     def refresh(self) -> None:
-        """Offer the linked targets to new calls and serve the queue."""
-        self._place.set_targets(
+        """Set the targets for new calls and wake the queue."""
+        self._room.set_targets(
             [
                 connection.view
                 for connection in self._connections.values()
@@ -157,7 +153,7 @@
         self._admission.wake()
 
     def apply_report(self, report: messages.LoadReport) -> None:
-        """Take in a target's report of its load."""
+        """Apply a target's load report."""
         connection = self._connections.get(report.target)
         if connection is None:
             return
@@ -171,21 +167,17 @@
         )
         step_ms = view.load.step_seconds * 1000
         self._ejection.report(view.name, step_ms, report.running or 0, now)
-        self._share(view.name, now)
+        self._update_shares(view.name, now)
         self._admission.wake()
 
     def record_result(self, target: str, is_good: bool) -> None:
-        """Count how a call ended at a target."""
+        """Record the result of a call for ejection."""
         now = asyncio.get_running_loop().time()
         self._ejection.answered(target, is_good, now)
-        self._share(target, now)
-
-    def _share(self, changed: str, now: float) -> None:
-        """Set the share of a target that was judged, and of those on return.
+        self._update_shares(target, now)
 
-        All others keep their whole share, so that a report costs the same
-        whatever the size of the subset.
-        """
+    def _update_shares(self, changed: str, now: float) -> None:
+        """Update the shares of a target and of those already reduced."""
         for name in (changed, *self._reduced):
             connection = self._connections.get(name)
             if connection is None:
@@ -197,41 +189,43 @@
             else:
                 self._reduced.discard(name)
 
-    def _apply(self, profile: generated.Profile) -> None:
+    def _apply_profile(self, profile: generated.Profile) -> None:
         self._profile = profile
         self._ejection = ejection.Ejection(_ejection_settings(profile))
         self._reduced: set[str] = set()
         for connection in self._connections.values():
             connection.view.share = 1
-        self._place = room.TargetRoom(
-            self._routing(profile),
+        self._room = room.TargetRoom(
+            self._routing_policy(profile),
             room.RoomSettings(
                 reserved_share=profile.admission.urgent_reserve_share,
             ),
         )
         self._admission = admission.Admission(
-            self._place,
-            OrganisationShares(self._around.directory),
-            self._around.rng,
+            self._room,
+            OrganisationShares(self._context.directory),
+            self._context.rng,
             admission.AdmissionSettings(
                 first_token_seconds=profile.admission.first_token_seconds,
                 queue_limit=profile.admission.queue_limit,
             ),
-            portions=self._around.portions,
-            preempt=_preemption(profile),
-            move=_moves(profile),
+            portions=self._context.portions,
+            preempt=_preemption_policy(profile),
+            move=_move_policy(profile),
         )
         self.refresh()
 
-    def _routing(self, profile: generated.Profile) -> routing.RoutingPolicy:
+    def _routing_policy(
+        self, profile: generated.Profile
+    ) -> routing.RoutingPolicy:
         rules = profile.routing
-        rng = self._around.rng
+        rng = self._context.rng
         if rules.policy == 'round_robin':
             return routing.RoundRobin()
         if rules.policy == 'least_load':
             return routing.LeastReportedLoad(rng)
         return routing.ExpectedFirstToken(
-            self._around.zone,
+            self._context.zone,
             rng,
             routing.RoutingSettings(
                 extra_load=rules.affinity_load_ratio,
@@ -252,13 +246,15 @@
     )
 
 
-def _preemption(profile: generated.Profile) -> preemption.PreemptionPolicy:
+def _preemption_policy(
+    profile: generated.Profile,
+) -> preemption.PreemptionPolicy:
     if profile.admission.preemption and profile.resume.enabled:
         return preemption.NewestDraft()
     return preemption.NoPreemption()
 
 
-def _moves(profile: generated.Profile) -> migration.MovePolicy:
+def _move_policy(profile: generated.Profile) -> migration.MovePolicy:
     if not profile.resume.enabled:
         return migration.StayPut()
     rules = profile.retries
--- a/tamarackthread/entry/request_reader.py
+++ b/tamarackthread/entry/request_reader.py
@@ -1,4 +1,4 @@
-"""Read a caller's request and understand what it asks for."""
+"""Read and parse callers' requests."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 MAX_KEY_LENGTH = 255
 MAX_DEADLINE_SECONDS = 3600
 CHARACTERS_PER_TOKEN = 4
-TYPICAL_ANSWER_TOKENS = 256
-_OWN_HEADERS = frozenset(
+TYPICAL_RESPONSE_TOKENS = 256
+_DROPPED_HEADERS = frozenset(
     (
         'authorization',
         'x-call-id',
@@ -50,26 +50,26 @@
 
 
 class RequestReader:
-    """Turn HTTP requests into calls."""
+    """Convert HTTP requests to calls."""
 
     def __init__(
         self,
-        known: directory.Directory,
+        config: directory.Directory,
         limits: settings.Entry,
     ) -> None:
-        """Look things up in the directory and keep to the limits."""
-        self._directory = known
+        """Use the directory for lookups and enforce the limits."""
+        self._directory = config
         self._limits = limits
 
     async def read(
         self, request: web.BaseRequest, request_id: str
     ) -> calls.Call:
-        """Read a request whole; raise a coded error if it makes no sense."""
+        """Read a complete request; raise a coded error if it is invalid."""
         caller = self._directory.caller(
             request.headers.get('Authorization', ''),
         )
         key = _key(request)
-        stated = _stated_deadline(request)
+        seconds_given = _requested_seconds(request)
         body = await self._body(request)
         prompt = _prompt(request, body)
         service = self._directory.service(
@@ -80,7 +80,7 @@
         details = self._directory.services[service]
         profile = self._directory.profile(service)
         now = asyncio.get_running_loop().time()
-        seconds = stated or _own_deadline(prompt, profile)
+        seconds = seconds_given or _default_seconds(prompt, profile)
         return calls.Call(
             request_id=request_id,
             service=service,
@@ -88,7 +88,7 @@
             profile=profile,
             method=request.method,
             path=request.raw_path,
-            headers=_passed_on(request),
+            headers=_forwarded_headers(request),
             body=body,
             key=key,
             home_region=caller.details.home_region,
@@ -109,14 +109,14 @@
             raise failures.BodyTooLarge(f'limit is {limit} bytes')
         body = bytearray()
         while True:
-            part = await self._part(request)
-            if not part:
+            chunk = await self._chunk(request)
+            if not chunk:
                 return bytes(body)
-            body += part
+            body += chunk
             if len(body) > limit:
                 raise failures.BodyTooLarge(f'limit is {limit} bytes')
 
-    async def _part(self, request: web.BaseRequest) -> bytes:
+    async def _chunk(self, request: web.BaseRequest) -> bytes:
         try:
             async with asyncio.timeout(self._limits.slow_body_seconds):
                 return await request.content.readany()
@@ -125,10 +125,10 @@
 
 
 def request_id_of(request: web.BaseRequest) -> str:
-    """Take the caller's request id, or make one."""
-    given = request.headers.get(responses.REQUEST_ID_HEADER, '')
-    if given and len(given) <= MAX_KEY_LENGTH and given.isprintable():
-        return given
+    """Return the caller's request id, or generate one."""
+    header = request.headers.get(responses.REQUEST_ID_HEADER, '')
+    if header and len(header) <= MAX_KEY_LENGTH and header.isprintable():
+        return header
     return secrets.token_hex(8)
 
 
@@ -141,7 +141,7 @@
     return key
 
 
-def _stated_deadline(request: web.BaseRequest) -> float:
+def _requested_seconds(request: web.BaseRequest) -> float:
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
         return 0
@@ -172,18 +172,17 @@
     request: web.BaseRequest,
     details: generated.Service,
 ) -> bool:
-    # A draft that is made twice harms nobody: only one of them is relayed.
-    # What a plain service does on other methods may not be done twice.
+    # Models have no side effects; a plain service names its safe methods.
     if details.kind == 'model':
         return True
     return request.method in details.idempotent_methods
 
 
-def _passed_on(request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() not in _OWN_HEADERS
+        if name.lower() not in _DROPPED_HEADERS
     )
 
 
@@ -191,40 +190,40 @@
     if not request.path.startswith('/v1/') or not body:
         return _Prompt()
     try:
-        asked = json.loads(body)
+        fields = json.loads(body)
     except (ValueError, RecursionError) as exc:
         raise failures.BodyInvalid(f'not JSON: {exc}') from exc
-    if not isinstance(asked, dict):
+    if not isinstance(fields, dict):
         raise failures.BodyInvalid('not a JSON object')
     return _Prompt(
-        model=str(asked.get('model', '')),
-        text=_text(asked),
-        answer_tokens=_answer_tokens(asked),
-        is_stream=asked.get('stream') is True,
+        model=str(fields.get('model', '')),
+        text=_text(fields),
+        answer_tokens=_answer_tokens(fields),
+        is_stream=fields.get('stream') is True,
     )
 
 
-def _text(asked: dict[str, typing.Any]) -> bytes:
-    listed = asked.get('messages')
-    if not isinstance(listed, list):
-        return str(asked.get('prompt', '')).encode()
+def _text(fields: dict[str, typing.Any]) -> bytes:
+    chat = fields.get('messages')
+    if not isinstance(chat, list):
+        return str(fields.get('prompt', '')).encode()
     texts = []
-    for item in listed:
+    for item in chat:
         if isinstance(item, dict):
             texts.append(str(item.get('content', '')))
     return '\n'.join(texts).encode()
 
 
-def _answer_tokens(asked: dict[str, typing.Any]) -> int:
-    limit = asked.get('max_tokens', TYPICAL_ANSWER_TOKENS)
+def _answer_tokens(fields: dict[str, typing.Any]) -> int:
+    limit = fields.get('max_tokens', TYPICAL_RESPONSE_TOKENS)
     if isinstance(limit, bool) or not isinstance(limit, int) or limit < 1:
         raise failures.BodyInvalid('max_tokens must be a whole number above 0')
-    # The limit is what the caller allows, and most answers end well before
-    # it.  Taken for the length, it would refuse calls that end in time.
-    return min(limit, TYPICAL_ANSWER_TOKENS)
+    # Most responses are shorter than the limit; taken as the length, it
+    # would refuse calls that complete in time.
+    return min(limit, TYPICAL_RESPONSE_TOKENS)
 
 
-def _own_deadline(prompt: _Prompt, profile: generated.Profile) -> float:
+def _default_seconds(prompt: _Prompt, profile: generated.Profile) -> float:
     if prompt.is_stream:
         return profile.timeouts.stream_seconds
     return profile.admission.default_deadline_seconds
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -1,4 +1,4 @@
-"""Run an entry on a thin host in front of the targets."""
+"""Run the process of an entry."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 )
 
 LAPSED_RETRY_SECONDS = 1.0
-OUTCOMES_SECONDS = 10.0
-MEASURE_SECONDS = 10.0
+RECORD_OUTCOMES_SECONDS = 10.0
+GAUGE_SECONDS = 10.0
 ANNOUNCE_SECONDS = 1.0
 _log = logging.getLogger('tamarackthread.entry')
 
@@ -46,9 +46,9 @@
 class EntryHandler(link.Handler):
     """Relay the configuration to other nodes of the zone."""
 
-    def __init__(self, known: feed.ConfigFeed) -> None:
-        """Serve what the feed holds."""
-        self._relay = relay.FeedServer(known, known.below, relay.Limits())
+    def __init__(self, source: feed.ConfigFeed) -> None:
+        """Serve the configuration of this entry's feed."""
+        self._relay = relay.FeedServer(source, source.below, relay.Limits())
 
     async def on_request(
         self,
@@ -62,12 +62,12 @@
 
 
 class Entry:
-    """Hold the parts of an entry's process."""
+    """The components of an entry's process."""
 
     def __init__(self, settings: generated.Settings) -> None:
-        """Build the parts; ``run`` starts them."""
+        """Build the components; ``run`` starts them."""
         self._settings = settings
-        self._own = settings.entry
+        self._limits = settings.entry
         self._place = process.take_place(settings)
         rng = random.Random()
         self._directory = directory.Directory()
@@ -97,11 +97,11 @@
         self._overload = overload.OverloadGuard(
             self._meter,
             overload.OverloadSettings(
-                most_lag=self._own.loop_lag_limit_seconds,
-                most_calls=self._own.call_limit,
+                most_lag=self._limits.loop_lag_limit_seconds,
+                most_calls=self._limits.call_limit,
             ),
         )
-        self._caps = rate_leases.RateLeaser(
+        self._rate_leases = rate_leases.RateLeaser(
             settings.node.id,
             settings.node.zone,
             self._directory,
@@ -115,19 +115,19 @@
             settings.node.id,
             rng,
         )
-        self._claimed = keyed_claim.KeyedClaims(
+        self._claims = keyed_claim.KeyedClaims(
             client,
             takeover.Takeover(client, takeover.LinkProber(self._peers)),
             self._metrics,
         )
-        self._front = frontend.Frontend(
-            self._own,
-            request_reader.RequestReader(self._directory, self._own),
+        self._frontend = frontend.Frontend(
+            self._limits,
+            request_reader.RequestReader(self._directory, self._limits),
             calls.CallRunner(
                 self._fleet,
                 rng,
                 lambda: self._feed.revision,
-                self._claimed,
+                self._claims,
             ),
             self._check,
             self._feed.is_current,
@@ -139,47 +139,45 @@
         )
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then end without cutting anything off."""
+        """Run until asked to stop, then drain the open calls."""
         address = await self._listener.start_on(self._place.bound)
-        self._feed.subscribe(self._follow)
+        self._feed.subscribe(self._apply_configuration)
         self._feed.start()
         loop = asyncio.get_running_loop()
-        working = [
+        tasks = [
             loop.create_task(self._meter.run()),
-            loop.create_task(self._caps.run()),
+            loop.create_task(self._rate_leases.run()),
             loop.create_task(self._announcer.run()),
-            loop.create_task(self._measure()),
+            loop.create_task(self._report_gauges()),
         ]
-        http = await self._front.start()
+        http = await self._frontend.start()
         if announce is not None:
             announce({'link': address, 'http': http})
         _log.info('entry: serves callers on %s', http)
         await process.stop_asked()
-        await self._leave()
-        for work in working:
-            work.cancel()
+        await self._stop()
+        for task in tasks:
+            task.cancel()
 
-    async def _measure(self) -> None:
-        """Report this process's own levels for ever."""
+    async def _report_gauges(self) -> None:
+        """Report this process's gauges at an interval."""
         while True:
-            await asyncio.sleep(MEASURE_SECONDS)
-            running = self._front.open_calls
+            await asyncio.sleep(GAUGE_SECONDS)
+            running = self._frontend.open_calls
             self._metrics.level(metrics.Gauge.CALLS_RUNNING, running)
             self._metrics.level(metrics.Gauge.REVISION, self._feed.revision)
             self._metrics.level(metrics.Gauge.LINKS, len(self._peers.links))
             self._metrics.time(metrics.Timer.LOOP_LAG, self._meter.lag)
 
-    def _follow(self, held: catalogue.Catalogue) -> None:
-        self._directory.update(held)
+    def _apply_configuration(self, changed: catalogue.Catalogue) -> None:
+        self._directory.update(changed)
         self._fleet.update()
-        self._caps.update_limits()
+        self._rate_leases.update_limits()
 
     def _check(self, call: calls.Call, open_calls: int) -> None:
         rules = call.profile.configuration
-        # An entry that is cut off would go on serving a profile that the
-        # operator has replaced.  Without a lease it refuses, so an accepted
-        # change is in force everywhere once the lease has ended; the caller
-        # is told 'not run' and the platform's balancer turns elsewhere.
+        # Without a lease the configuration may be outdated.  Refusing calls
+        # puts an accepted change in force on all entries when leases expire.
         if not self._feed.is_current(rules.lease_seconds):
             if rules.lapse == 'refuse':
                 raise failures.ConfigurationLapsed(
@@ -191,21 +189,20 @@
     def _shards(self) -> tuple[claim_keys.Shard, ...]:
         return self._directory.shards(tuple(self._settings.control_addresses))
 
-    async def _leave(self) -> None:
-        _log.info('entry: leaves, %d calls open', self._front.open_calls)
-        self._front.fail_readiness()
-        await asyncio.sleep(self._own.health_grace_seconds)
-        self._front.refuse_calls()
+    async def _stop(self) -> None:
+        _log.info('entry: stopping, %d calls open', self._frontend.open_calls)
+        self._frontend.fail_readiness()
+        await asyncio.sleep(self._limits.health_grace_seconds)
+        self._frontend.refuse_calls()
         await process.drained(
-            self._front.wait_idle(),
-            self._own.drain_seconds,
+            self._frontend.wait_idle(),
+            self._limits.drain_seconds,
             _log,
             'entry: calls are still open, stop them or wait?',
         )
-        await self._front.stop()
-        # An outcome that isn't recorded leaves its key unsettled: the second
-        # try would wait and ask the agent, though all is known here.
-        await self._claimed.wait_idle(OUTCOMES_SECONDS)
+        await self._frontend.stop()
+        # Without its outcome recorded, a repeated key must probe the agent.
+        await self._claims.wait_idle(RECORD_OUTCOMES_SECONDS)
         await self._feed.stop()
         self._fleet.close()
         self._listener.close()
--- a/tamarackthread/entry/takeover.py
+++ b/tamarackthread/entry/takeover.py
@@ -130,7 +130,7 @@
         try:
             proof = await self._prober.probe(claim.handover, probe)
         except errors.CodedError as exc:
-            _log.info('claims: probe of %s failed, %s', claim.target, exc)
+            _log.info('claims: no proof from %s, %s', claim.target, exc)
             return None
         return proof if proof.known else None
 
--- a/tests/test_profiles_in_use.py
+++ b/tests/test_profiles_in_use.py
@@ -25,7 +25,7 @@
             self.assertIsNot(pool.admission, before)
             self.assertIs(pool.connections['a'].view, view)
             self.assertIsInstance(
-                pool._place._policy,
+                pool._room._policy,
                 routing.RoundRobin,
             )
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
