--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -113,7 +113,7 @@
     async def _run_in_time(self, state: _CallState) -> None:
         try:
             async with asyncio.timeout_at(state.call.facts.deadline):
-                await self._attempts(state)
+                await self._run_attempts(state)
         except TimeoutError as exc:
             raise _deadline_error(state) from exc
 
@@ -146,19 +146,19 @@
             ),
         )
 
-    async def _attempts(self, state: _CallState) -> None:
+    async def _run_attempts(self, state: _CallState) -> None:
         is_answered = False
         while not is_answered:
             state.attempts += 1
             try:
-                is_answered = await self._answered(state)
+                is_answered = await self._try_attempt(state)
             except errors.CodedError as exc:
                 raise _with_overall_ran(state, exc) from exc
 
-    async def _answered(self, state: _CallState) -> bool:
+    async def _try_attempt(self, state: _CallState) -> bool:
         """Make one attempt; return whether the caller has a response."""
         try:
-            await self._attempt(state)
+            await self._run_attempt(state)
         except keyed_claim.ClaimedElsewhere as exc:
             resolved = await self._resolve(state, exc.reply)
             return resolved is not None and not resolved.granted
@@ -166,7 +166,7 @@
             return await self._handle_failure(state, exc)
         return True
 
-    async def _attempt(self, state: _CallState) -> None:
+    async def _run_attempt(self, state: _CallState) -> None:
         pool = self._fleet.pool(state.call.service)
         if state.excluded.issuperset(pool.connections):
             state.excluded = frozenset()
@@ -179,11 +179,13 @@
                 ticket.resumed,
                 start=state.progress.events,
             )
-            pool.record_result(ticket.target, is_good=not _is_target_fault(exc))
+            pool.record_result(
+                ticket.target, is_success=not _is_target_fault(exc)
+            )
             raise
         finally:
             ticket.release()
-        pool.record_result(ticket.target, is_good=True)
+        pool.record_result(ticket.target, is_success=True)
 
     async def _hand_over(
         self,
--- a/tamarackthread/entry/frontend.py
+++ b/tamarackthread/entry/frontend.py
@@ -52,7 +52,7 @@
         self._is_ready = is_ready
         self._leaving = False
         self._refusing = False
-        self._open = 0
+        self._open_calls = 0
         self._idle = asyncio.Event()
         self._idle.set()
         self._server: web.ServerRunner | None = None
@@ -60,12 +60,12 @@
     @property
     def open_calls(self) -> int:
         """Return the number of open calls."""
-        return self._open
+        return self._open_calls
 
     async def start(self) -> str:
         """Bind and return the address; port 0 picks a free port."""
         self._http_server = connections.LimitedServer(
-            self._handle,
+            self._handle_request,
             self._limits,
             access_log=None,
             handler_cancellation=True,
@@ -101,22 +101,26 @@
         if self._server is not None:
             await self._server.cleanup()
 
-    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
         self._http_server.note_request(request.protocol)
         if request.path == HEALTH_PATH:
             return web.Response(text='alive\n')
         if request.path == READY_PATH:
-            return self._readiness()
-        return await self._call(request)
+            return self._readiness_response()
+        return await self._handle_call(request)
 
-    def _readiness(self) -> web.Response:
+    def _readiness_response(self) -> web.Response:
         if self._leaving:
             return web.Response(status=503, text='leaving\n')
         if not self._is_ready():
             return web.Response(status=503, text='configuration lapsed\n')
         return web.Response(text='ready\n')
 
-    async def _call(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_call(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
         request_id = request_reader.request_id_of(request)
         sink = responses.HttpSink(
             request,
@@ -124,12 +128,12 @@
             self._limits.slow_caller_seconds,
         )
         began = asyncio.get_running_loop().time()
-        self._open += 1
+        self._open_calls += 1
         self._idle.clear()
         self._metrics.count(metrics.Counter.CALL_ASKED)
         try:
             with logs.request(request_id):
-                await self._run(request, request_id, sink)
+                await self._run_call(request, request_id, sink)
         finally:
             self._record_end(began)
         return sink.response
@@ -137,11 +141,11 @@
     def _record_end(self, began: float) -> None:
         duration = asyncio.get_running_loop().time() - began
         self._metrics.time(metrics.Timer.CALL, duration)
-        self._open -= 1
-        if self._open == 0:
+        self._open_calls -= 1
+        if self._open_calls == 0:
             self._idle.set()
 
-    async def _run(
+    async def _run_call(
         self,
         request: web.BaseRequest,
         request_id: str,
@@ -185,7 +189,7 @@
     ) -> None:
         if not _may_have_run(request):
             self._check_leaving()
-        if self._open > self._limits.call_limit:
+        if self._open_calls > self._limits.call_limit:
             refusal = failures.ConnectionsFull(retry_after=RETRY_AFTER_SECONDS)
             if _may_have_run(request):
                 refusal.ran = messages.Ran.MAY_HAVE_RUN
@@ -200,7 +204,7 @@
 
     def _check_call(self, call: calls.Call) -> None:
         self._check_leaving()
-        self._check(call, self._open)
+        self._check(call, self._open_calls)
 
     def _check_leaving(self) -> None:
         if self._refusing:
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -170,10 +170,10 @@
         self._update_shares(view.name, now)
         self._admission.wake()
 
-    def record_result(self, target: str, is_good: bool) -> None:
+    def record_result(self, target: str, is_success: bool) -> None:
         """Record the result of a call for ejection."""
         now = asyncio.get_running_loop().time()
-        self._ejection.answered(target, is_good, now)
+        self._ejection.answered(target, is_success, now)
         self._update_shares(target, now)
 
     def _update_shares(self, changed: str, now: float) -> None:
