--- a/tests/claim_world.py
+++ b/tests/claim_simulation.py
@@ -28,10 +28,10 @@
 class RandomLinks(shards.LocalLinks):
     """Lose, delay and double what an entry asks of the shards."""
 
-    def __init__(self, held, rng, world):
+    def __init__(self, held, rng, simulation):
         super().__init__(held)
         self._rng = rng
-        self._world = world
+        self._simulation = simulation
 
     async def request(self, address, request, timeout_seconds):
         if self.is_dead:
@@ -40,7 +40,7 @@
         if self._rng.random() < 0.08:
             raise claim_errors.ClaimsUnavailable
         if self._rng.random() < 0.1:
-            self._world.run_in_background(self._again(request))
+            self._simulation.run_in_background(self._again(request))
         reply = await super().request(address, request, timeout_seconds)
         if self._rng.random() < 0.12:
             raise claim_errors.ClaimsUnavailable
@@ -57,9 +57,9 @@
 class Agent:
     """Be an agent and its target; ``incarnation`` grows with restarts."""
 
-    def __init__(self, name, world):
+    def __init__(self, name, simulation):
         self.name = name
-        self.world = world
+        self.simulation = simulation
         self.incarnation = 0
         self.restart()
 
@@ -82,7 +82,7 @@
 
     async def serve(self, opening, body, answered):
         """Take one call off the network and run it."""
-        rng = self.world.rng
+        rng = self.simulation.rng
         await asyncio.sleep(rng.choice([0, 0.002, 0.05, 3, 40, 2000]))
         gate = self.gate
         if rng.random() < 0.1:
@@ -94,7 +94,7 @@
             _answer(answered, exc.ran)
             return
         now = asyncio.get_running_loop().time()
-        self.world.starts.append(checker.Start(body, now))
+        self.simulation.starts.append(checker.Start(body, now))
         await asyncio.sleep(rng.choice([0.01, 0.01, 0.5, 4]))
         text = f'booked {body}'
         if rng.random() < 0.1:
@@ -113,15 +113,15 @@
 class Prober(takeover.Prober):
     """Reach agents, if they can be reached."""
 
-    def __init__(self, world):
-        self._world = world
+    def __init__(self, simulation):
+        self._simulation = simulation
 
     async def probe(self, handover, request):
-        rng = self._world.rng
+        rng = self._simulation.rng
         await asyncio.sleep(rng.choice([0.001, 0.01]))
         if rng.random() < 0.15:
             raise errors.AddressUnreachable(handover.address)
-        proof = self._world.agents[handover.address].gate.probe(request)
+        proof = self._simulation.agents[handover.address].gate.probe(request)
         if rng.random() < 0.1:
             raise errors.RequestTimeout(handover.address)
         return proof
@@ -140,12 +140,12 @@
 class Entry:
     """Carry keyed calls as the entry's runner does."""
 
-    def __init__(self, name, world):
-        self.world = world
-        self.links = RandomLinks(world.shards, world.rng, world)
+    def __init__(self, name, simulation):
+        self.simulation = simulation
+        self.links = RandomLinks(simulation.shards, simulation.rng, simulation)
         client = shards.connect(self.links, name)
         self.keyed = keyed_claim.KeyedClaims(
-            client, takeover.Takeover(client, Prober(world))
+            client, takeover.Takeover(client, Prober(simulation))
         )
 
     def die(self):
@@ -189,18 +189,18 @@
             if settled is not None and not settled.granted:
                 sink.text = settled.body.decode()
                 return
-            if self.world.rng.random() < 0.3:
+            if self.simulation.rng.random() < 0.3:
                 raise refusals.EntryLeaving
 
     async def _attempt(self, claim, key):
-        rng = self.world.rng
-        agent = self.world.agents[rng.choice(TARGETS)]
+        rng = self.simulation.rng
+        agent = self.simulation.agents[rng.choice(TARGETS)]
         opening = messages.OpenCall(call_id=b'c')
         await claim.record_handover(opening, agent.connection())
         if rng.random() < 0.1:
             await asyncio.sleep(rng.choice([0.1, 12]))
         answered = asyncio.get_running_loop().create_future()
-        self.world.run_in_background(agent.serve(opening, key, answered))
+        self.simulation.run_in_background(agent.serve(opening, key, answered))
         try:
             async with asyncio.timeout(rng.choice([0.02, 1, 3])):
                 ran, text = await answered
@@ -209,7 +209,7 @@
         return ran, text.encode()
 
 
-class World:
+class Simulation:
     """Hold everything and the history."""
 
     def __init__(self, rng):
--- a/tests/shards.py
+++ b/tests/shards.py
@@ -102,7 +102,7 @@
     return None
 
 
-def paused(work):
+def virtual_time(work):
     """Run a test method on a clock that only moves when all wait."""
 
     def run(case):
--- a/tests/test_claim_gate.py
+++ b/tests/test_claim_gate.py
@@ -47,7 +47,7 @@
         with self.assertRaises(error):
             gate.admit(opening)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_starts_once(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -56,7 +56,7 @@
         self.refused(gate, call())
         self.refused(gate, call(fence=2))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_sealed_claim_never_starts(self):
         """A holder that wakes up late is refused by the seal.
 
@@ -71,7 +71,7 @@
         gate.admit(call(fence=2))
         self.refused(gate, call())
 
-    @shards.paused
+    @shards.virtual_time
     async def test_started_claim_is_not_sealed(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -84,7 +84,7 @@
         self.assertTrue(proof.finished and proof.answered)
         self.assertEqual((proof.status, proof.body), (201, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_withdrawn_call_may_come_again(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -93,7 +93,7 @@
         self.assertFalse(gate.probe(probe(seal=False)).reached)
         gate.admit(call())
 
-    @shards.paused
+    @shards.virtual_time
     async def test_window_bounds_the_start(self):
         """A call that was stuck in a buffer doesn't run after its claim ended.
 
@@ -108,7 +108,7 @@
         self.refused(gate, call(window=far), claim_errors.HandoverExpired)
         self.assertEqual(len(gate), 0)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_other_process_or_start_is_refused(self):
         gate = claims.ClaimGate('a', 2)
         old = handover(incarnation=1)
@@ -120,7 +120,7 @@
         bare = messages.OpenCall(claim=KEY, fence=1)
         self.refused(gate, bare, claim_errors.HandoverMismatch)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_restart_proves_nothing_about_before(self):
         """The caller is told 'may have run' after the agent was killed.
 
@@ -131,7 +131,7 @@
         proof = gate.probe(probe(window=handover(incarnation=1)))
         self.assertFalse(proof.known or proof.sealed or proof.reached)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_forgotten_is_unknown_and_never_starts(self):
         """What was forgotten proves nothing and can't start.
 
@@ -149,7 +149,7 @@
         self.assertEqual(len(gate), 0)
         self.refused(gate, ran, claim_errors.HandoverExpired)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_running_claim_is_never_forgotten(self):
         gate = claims.ClaimGate('a', 1)
         ran = call()
@@ -159,7 +159,7 @@
             gate.probe(probe(key=b'other'))
         self.refused(gate, call(fence=2))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_keyless_call_is_forgotten_sooner(self):
         gate = claims.ClaimGate('a', 1)
         ran = call(fence=claim_times.UNKEYED_FENCE)
@@ -172,7 +172,7 @@
         self.assertFalse(gate.probe(asked).known)
         self.assertEqual(len(gate), 0)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_full_gate_refuses_and_seals_by_time_only(self):
         gate = claims.ClaimGate('a', 1, max_claims=1)
         gate.admit(call())
--- a/tests/test_claim_history.py
+++ b/tests/test_claim_history.py
@@ -9,7 +9,7 @@
 
 from bench import load
 from bench.checks import calls
-from tests import claim_world
+from tests import claim_simulation
 
 SEEDS = 120
 KEYS = 8
@@ -19,9 +19,9 @@
     """Run one seeded world to its end on paused time."""
 
     async def run():
-        world = claim_world.World(random.Random(seed))
+        simulation = claim_simulation.Simulation(random.Random(seed))
         keys = [f'order-{number}' for number in range(KEYS)]
-        return await world.run(keys)
+        return await simulation.run(keys)
 
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
         return runner.run(run())
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -71,7 +71,7 @@
 
 
 class DeathCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_died_before_hand_over(self):
         """The second try runs the order.
 
@@ -89,7 +89,7 @@
         moved = await scene.first.move(claimant, held, scene.handover('b'))
         self.assertFalse(moved.granted)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_while_it_runs(self):
         """The second try waits and gets the first one's answer.
 
@@ -113,7 +113,7 @@
         self.assertEqual(settled.headers, list(ANSWER.headers))
         self.assertEqual(scene.state(), State.COMPLETE)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_before_it_recorded_the_answer(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -123,7 +123,7 @@
         settled = await scene.resolve()
         self.assertEqual((settled.granted, settled.body), (False, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_and_the_answer_was_not_kept(self):
         """The second try is told 'may have run' and nothing runs again.
 
@@ -138,7 +138,7 @@
             await scene.resolve()
         self.assertIn(scene.state(), {State.GRANTED, State.UNKNOWN})
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_and_the_agent_too(self):
         """The second try is told 'may have run'.
 
@@ -151,7 +151,7 @@
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_and_the_agent_is_cut_off(self):
         scene = Scene()
         await scene.hold()
@@ -159,7 +159,7 @@
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_between_two_targets(self):
         """The second try asks the agent of the last recorded hand-over.
 
@@ -176,7 +176,7 @@
         settled = await scene.resolve()
         self.assertEqual((settled.granted, settled.body), (False, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_after_a_grant_without_a_hand_over(self):
         """A third try runs the order after the second one died too.
 
@@ -192,7 +192,7 @@
 
 
 class SecondTryCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_waits_for_a_live_holder(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -208,7 +208,7 @@
         await ending
         self.assertEqual((settled.status, settled.body), (200, b'ok'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_is_told_that_it_still_runs(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -216,7 +216,7 @@
         with self.assertRaises(claim_errors.ClaimStillRunning):
             await scene.resolve(seconds=5)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_answer_too_large_to_keep(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -226,7 +226,7 @@
         with self.assertRaises(claim_errors.ClaimAnswerNotKept):
             await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_unknown_outcome_is_not_run_again(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -237,7 +237,7 @@
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_unknown_outcome_is_asked_once_more(self):
         """The second try runs the order after its agent came back.
 
@@ -251,7 +251,7 @@
         )
         self.assertTrue((await scene.resolve()).granted)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_two_second_tries_get_one_grant(self):
         scene = Scene()
         await scene.hold()
@@ -266,7 +266,7 @@
         last = shards.find(scene.shards, 'o', 'order-7')
         self.assertIn(last.fence, fences)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_key_of_another_request(self):
         scene = Scene()
         await scene.hold()
@@ -275,7 +275,7 @@
 
 
 class ClientCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_lost_answers_are_asked_for_again(self):
         scene = Scene()
         scene.links.lose_answers = 3
@@ -284,7 +284,7 @@
         self.assertEqual(set(scene.links.asked), {'claim'})
         self.assertEqual(len(scene.links.asked), 4)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_no_quorum_is_may_have_run(self):
         """The caller isn't told 'not run' while nobody knows the key.
 
@@ -302,7 +302,7 @@
             scene.loop.time(), shard_claim_client.CLAIM_SECONDS
         )
 
-    @shards.paused
+    @shards.virtual_time
     async def test_claims_share_proposals(self):
         scene = Scene()
         claimants = [
@@ -318,7 +318,7 @@
         )
         self.assertLess(proposals, 100)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_busy_shard_refuses(self):
         shard = shards.Shard()
         gathered = await asyncio.gather(
@@ -336,7 +336,7 @@
 
 
 class CollectCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_answer_is_recorded_for_a_caller_that_left(self):
         scene = Scene()
         claimant, held = await scene.hold()
@@ -352,7 +352,7 @@
         await collecting
         self.assertEqual(scene.state(), State.COMPLETE)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_unknown_is_recorded_without_any_proof(self):
         scene = Scene()
         claimant, held = await scene.hold()
