--- a/tamarackthread/policy/__init__.py
+++ b/tamarackthread/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Hold decisions as plain classes that need no socket."""
+"""Policies as plain classes that need no socket or event loop."""
--- a/tamarackthread/policy/group_planning.py
+++ b/tamarackthread/policy/group_planning.py
@@ -1,9 +1,5 @@
-"""Plan a group's map by what its copies cost in time.
-
-Answers the load in which demand changes every few seconds and one expert takes a
-good part of a second to copy: the evenest map comes into force when its demand is
-nearly over.  A map of one or two copies a rank takes off most of the skew and is
-there while it serves; what is left comes with the next one.
+"""Trade off a group map's skew against the time that its copies take, since
+a map that takes longer to copy than demand lasts is out of date once in force.
 """
 
 from __future__ import annotations
@@ -16,33 +12,30 @@
 
 GroupMap = tuple[rebalancing.SetMap, ...]
 Tokens = collections.abc.Sequence[collections.abc.Sequence[float]]
-Paces = collections.abc.Sequence[float]
+Slowdowns = collections.abc.Sequence[float]
 
 
 @attrs.frozen(kw_only=True)
 class MapCost:
-    """Say what a map costs in time, in seconds.
-
-    A switch takes ``switch_seconds`` without copies and ``copy_seconds`` for each
-    copy of the rank that has most of them.  ``stable_seconds`` is how long demand
-    is expected to stay as it is from now.
-    """
+    """Estimate how long a map switch takes and how long the map is useful."""
 
+    # For each copy of the rank with the most copies.
     copy_seconds: float
+    # For a switch without copies.
     switch_seconds: float
+    # Expected time until demand changes.
     stable_seconds: float
 
     def delay(self, copies: int) -> float:
-        """Return how long after the plan its map is in force."""
-        taken = self.switch_seconds + copies * self.copy_seconds
-        return min(taken, self.stable_seconds)
+        """Return the seconds until the map is in force or demand changes."""
+        seconds = self.switch_seconds + copies * self.copy_seconds
+        return min(seconds, self.stable_seconds)
 
     def relative_step_time(
         self, before: float, after: float, copies: int
     ) -> float:
-        """Return the time that steps take until demand changes.
-
-        It is in times of even ranks; ``before`` and ``after`` are the skews.
+        """Return the step time until demand changes, in times of balanced ranks;
+        ``before`` and ``after`` are the skews of the old and the new map.
         """
         delay = self.delay(copies)
         return before * delay + after * (self.stable_seconds - delay)
@@ -50,96 +43,100 @@
 
 @attrs.define(eq=False)
 class RankCopyBudget(rebalancing.CopyBudget):
-    """Count what each rank has to copy, over all sets; bound it by ``most``."""
+    """Count the copies of each rank over all sets, up to ``limit``."""
 
     by_rank: list[int]
-    most: int = 0
+    limit: int = 0
 
     def has_room(self, rank: int) -> bool:
-        """Tell whether a rank may copy one expert more."""
-        return self.by_rank[rank] < self.most
+        """Tell whether a rank may copy one more expert."""
+        return self.by_rank[rank] < self.limit
 
-    def change(self, rank: int, change: int) -> None:
-        """Count copies that a rank has more, or less."""
-        self.by_rank[rank] += change
+    def add(self, rank: int, copies: int) -> None:
+        """Add to the copies of a rank; the number may be negative."""
+        self.by_rank[rank] += copies
 
 
 class StagedRebalancer:
-    """The plans of all sets, evened under one bound on copies after another."""
+    """Rebalance all sets of a group under an increasing limit on copies."""
 
     def __init__(
         self,
         current: GroupMap,
         tokens: Tokens,
         bounds: rebalancing.Bounds,
-        paces: Paces = (),
+        slowdowns: Slowdowns = (),
     ) -> None:
-        """Begin with the map in force."""
+        """Start from the map in force."""
         ranks = len(current[0]) if current else 0
-        self._copies = RankCopyBudget([0 for _ in range(ranks)])
-        self._plans = [
-            rebalancing.SetRebalancer(held, counts, bounds, paces, self._copies)
+        self._copy_budget = RankCopyBudget([0 for _ in range(ranks)])
+        self._rebalancers = [
+            rebalancing.SetRebalancer(
+                held, counts, bounds, slowdowns, self._copy_budget
+            )
             for held, counts in zip(current, tokens, strict=True)
         ]
 
     @property
     def skew(self) -> float:
-        """Return the mean over the sets."""
-        found = [plan.skew for plan in self._plans]
-        return sum(found) / max(1, len(found))
+        """Return the mean skew of the sets."""
+        skews = [rebalancer.skew for rebalancer in self._rebalancers]
+        return sum(skews) / max(1, len(skews))
 
     @property
     def max_copies(self) -> int:
-        """Return the copies of the rank that has most of them."""
-        return max(self._copies.by_rank, default=0)
+        """Return the number of copies of the rank with the most copies."""
+        return max(self._copy_budget.by_rank, default=0)
 
     @property
     def result(self) -> GroupMap:
-        """Return the map as it is now."""
-        return tuple(plan.result for plan in self._plans)
-
-    def improve(self, most: int) -> bool:
-        """Even all sets with up to ``most`` copies a rank, the worst first.
+        """Return the current map."""
+        return tuple(rebalancer.result for rebalancer in self._rebalancers)
 
-        A rank's copies go where they shorten steps most.  Returns whether
-        anything has changed.
+    def improve(self, limit: int) -> bool:
+        """Rebalance the most skewed sets first, up to ``limit`` copies a rank;
+        return whether any map has changed.
         """
-        self._copies.most = most
-        has_changed = False
-        left = list(self._plans)
-        while left:
-            worst = max(left, key=_skew_of)
-            if worst.improve():
-                has_changed = True
+        self._copy_budget.limit = limit
+        has_improved = False
+        remaining = list(self._rebalancers)
+        while remaining:
+            most_skewed = max(remaining, key=_skew_of)
+            if most_skewed.improve():
+                has_improved = True
                 continue
-            left.remove(worst)
-        return has_changed
+            remaining.remove(most_skewed)
+        return has_improved
 
 
 def plan(
     current: GroupMap,
     tokens: Tokens,
     bounds: rebalancing.Bounds,
-    paces: Paces,
+    slowdowns: Slowdowns,
     cost: MapCost,
 ) -> GroupMap:
-    """Return the map by which callers lose least until demand changes.
-
-    That is the map in force where no copy pays for its time.
+    """Return the map with the least step time until demand changes, which is
+    ``current`` if no copy pays off in time.
     """
-    stages = StagedRebalancer(current, tokens, bounds, paces)
-    before = stages.skew
+    rebalancer = StagedRebalancer(current, tokens, bounds, slowdowns)
+    before = rebalancer.skew
     best = current
-    least = cost.relative_step_time(before, before, 0)
-    for most in range(1, bounds.max_new * len(current) + 1):
-        if not stages.improve(most) or cost.delay(most) >= cost.stable_seconds:
+    shortest = cost.relative_step_time(before, before, 0)
+    for limit in range(1, bounds.max_new * len(current) + 1):
+        if (
+            not rebalancer.improve(limit)
+            or cost.delay(limit) >= cost.stable_seconds
+        ):
             break
-        total = cost.relative_step_time(before, stages.skew, stages.max_copies)
-        if total < least:
-            best = stages.result
-            least = total
+        total = cost.relative_step_time(
+            before, rebalancer.skew, rebalancer.max_copies
+        )
+        if total < shortest:
+            best = rebalancer.result
+            shortest = total
     return best
 
 
-def _skew_of(held: rebalancing.SetRebalancer) -> float:
-    return held.skew
+def _skew_of(rebalancer: rebalancing.SetRebalancer) -> float:
+    return rebalancer.skew
