--- a/tamarackthread/policy/expert_map.py
+++ b/tamarackthread/policy/expert_map.py
@@ -1,8 +1,5 @@
-"""Describe where the experts of a group live.
-
-A map gives each rank's slots in each layer the expert they hold.  An expert
-may have several replicas; engines split its tokens evenly between them.
-Arrays are indexed layer first and are never changed after construction.
+"""Map a group's experts to the slots of its ranks; engines split an expert's
+tokens evenly over its replicas, and arrays are indexed by layer first.
 """
 
 from __future__ import annotations
@@ -17,7 +14,7 @@
 
 EMPTY = -1
 _JSON_ERRORS = (ValueError, KeyError, TypeError, OverflowError)
-# Takes a whole axis of an array, as a bare colon does.
+# Selects a whole axis of an array, as a bare colon does.
 ALL = slice(None)
 
 
@@ -30,7 +27,7 @@
 
 @attrs.frozen
 class GroupShape:
-    """The size of a group; ``slots`` counts for one rank and layer."""
+    """The size of a group; ``slots`` are per rank and layer."""
 
     layers: int
     experts: int
@@ -39,19 +36,19 @@
 
     @property
     def redundant(self) -> int:
-        """Count the slots of a layer left when each expert has one."""
+        """Return a layer's number of slots beyond one for each expert."""
         return self.ranks * self.slots - self.experts
 
 
 @attrs.frozen(eq=False)
 class ExpertMap:
-    """One placement: ``slots[layer, rank, slot]`` is an expert or EMPTY."""
+    """Immutable placement: ``slots[layer, rank, slot]`` is expert or EMPTY."""
 
     shape: GroupShape
     slots: numpy.ndarray
 
     def holds(self) -> numpy.ndarray:
-        """Tell for each layer, rank and expert whether the rank has it."""
+        """Return a boolean ``[layer, rank, expert]`` array of the replicas."""
         shape = self.shape
         size = (shape.layers, shape.ranks, shape.experts + 1)
         held = numpy.zeros(size, dtype=bool)
@@ -60,30 +57,29 @@
         return numpy.delete(held, EMPTY, axis=2)
 
     def replicas(self) -> numpy.ndarray:
-        """Count each expert's replicas in each layer."""
+        """Return the number of replicas as ``[layer, expert]``."""
         return self.holds().sum(axis=1)
 
     def rank_loads(self, tokens: numpy.ndarray) -> numpy.ndarray:
-        """Sum the tokens that each rank serves in each layer.
-
-        Tokens of an expert without a replica reach no rank.
+        """Return ``[layer, rank]`` loads of ``tokens[layer, expert]``, without
+        the tokens of experts that have no replica.
         """
         held = self.holds()
         share = tokens / numpy.maximum(held.sum(axis=1), 1)
         return numpy.matmul(held, share[..., None])[..., 0]
 
     def without_replica(self) -> numpy.ndarray:
-        """List (layer, expert) pairs that have no replica left."""
+        """List the (layer, expert) pairs without a replica."""
         return numpy.argwhere(self.replicas() == 0)
 
     def without_ranks(self, lost: set[int]) -> 'ExpertMap':
-        """Empty the slots of lost ranks."""
+        """Return a copy with the slots of lost ranks empty."""
         slots = self.slots.copy()
         slots[ALL, sorted(lost)] = EMPTY
         return ExpertMap(self.shape, slots)
 
     def digest(self) -> str:
-        """Name the map's content, so that a rank can prove what it holds."""
+        """Return a hash of the slots, by which ranks compare their maps."""
         raw = numpy.ascontiguousarray(self.slots, dtype=numpy.int16)
         return hashlib.sha256(raw.tobytes()).hexdigest()[:16]
 
@@ -92,22 +88,26 @@
         shape = self.shape
         wanted = (shape.layers, shape.ranks, shape.slots)
         if self.slots.shape != wanted:
-            raise ExpertMapInvalid(f'{self.slots.shape} is not {wanted}')
+            raise ExpertMapInvalid(
+                f'slots have shape {self.slots.shape} instead of {wanted}',
+            )
         outside = (self.slots < EMPTY) | (self.slots >= shape.experts)
         if outside.any():
-            raise ExpertMapInvalid('a slot names an unknown expert')
+            raise ExpertMapInvalid('a slot holds an unknown expert')
         missing = self.without_replica()
         if missing.size:
-            raise ExpertMapInvalid(f'no replica at {missing[0].tolist()}')
+            raise ExpertMapInvalid(
+                f'no replica at [layer, expert] {missing[0].tolist()}',
+            )
 
     def to_json(self) -> str:
-        """Write the map as JSON for an order's body."""
+        """Encode the map as JSON."""
         sizes = attrs.asdict(self.shape)
         return json.dumps({'shape': sizes, 'slots': self.slots.tolist()})
 
 
 def from_json(text: str) -> ExpertMap:
-    """Read a map and check it; raise ``ExpertMapInvalid`` on nonsense."""
+    """Decode and check a map; raise ``ExpertMapInvalid`` if it is malformed."""
     try:
         fields = json.loads(text)
         shape = GroupShape(**fields['shape'])
@@ -120,10 +120,8 @@
 
 
 def cold_start(shape: GroupShape) -> ExpertMap:
-    """Place experts in order when nothing is known of their load.
-
-    Redundant slots repeat experts half the ranks away, so that losing one
-    rank leaves these experts a replica.
+    """Place experts in order, before any load is known; redundant replicas
+    are half the ranks away, so that the loss of one rank leaves the other.
     """
     if shape.redundant < 0:
         raise ExpertMapInvalid(f'{shape} has too few slots')
@@ -132,44 +130,41 @@
     order = numpy.arange(shape.ranks * base).reshape(shape.ranks, base)
     first = numpy.where(order < shape.experts, order, EMPTY)
     slots[ALL, :base] = first
-    spare = min(shape.slots - base, base)
+    extra = min(shape.slots - base, base)
     shifted = numpy.roll(first, shape.ranks // 2, axis=0)
-    slots[ALL, base : base + spare] = shifted[ALL, :spare]
+    slots[ALL, base : base + extra] = shifted[ALL, :extra]
     return ExpertMap(shape, numpy.repeat(slots[None], shape.layers, axis=0))
 
 
 def moves_between(old: ExpertMap, new: ExpertMap) -> numpy.ndarray:
-    """List (layer, rank, expert) that ranks must load to go to ``new``."""
+    """List the (layer, rank, expert) that a switch to ``new`` must load."""
     return numpy.argwhere(new.holds() & ~old.holds())
 
 
 def skew(loads: numpy.ndarray) -> numpy.ndarray:
-    """Divide slowest minus fastest rank by the mean, for each layer."""
+    """Return (maximum - minimum) / mean of the rank loads, for each layer."""
     mean = numpy.maximum(loads.mean(axis=-1), 1e-12)
     return (loads.max(axis=-1) - loads.min(axis=-1)) / mean
 
 
 def slowdown(loads: numpy.ndarray) -> numpy.ndarray:
-    """Divide the slowest rank by the mean, for each layer; 1 is perfect."""
+    """Return maximum / mean of the rank loads, for each layer; 1 is even."""
     mean = numpy.maximum(loads.mean(axis=-1), 1e-12)
     return loads.max(axis=-1) / mean
 
 
 def skew_bound(tokens: numpy.ndarray, shape: GroupShape) -> numpy.ndarray:
-    """Bound the skew of any placement from below, for each layer.
-
-    Some rank serves the largest share of an expert, and no replication
-    within the slots makes that share smaller than the value found by
-    bisection here; no rank is above the mean by less than it.
+    """Return a lower bound of any placement's skew, for each layer: by how much
+    the smallest load that the hottest replica can have exceeds the mean.
     """
     total = shape.ranks * shape.slots
     low = tokens.max(axis=1) / shape.ranks
     high = tokens.max(axis=1)
     for _ in range(40):
-        middle = (low + high) / 2
-        needed = numpy.ceil(tokens / numpy.maximum(middle, 1e-12)[..., None])
+        share = (low + high) / 2
+        needed = numpy.ceil(tokens / numpy.maximum(share, 1e-12)[..., None])
         fits = needed.clip(1, None).sum(axis=1) <= total
-        high = numpy.where(fits, middle, high)
-        low = numpy.where(fits, low, middle)
+        high = numpy.where(fits, share, high)
+        low = numpy.where(fits, low, share)
     mean = numpy.maximum(tokens.sum(axis=1) / shape.ranks, 1e-12)
     return numpy.maximum(low / mean - 1, 0)
--- a/tamarackthread/policy/group_planning.py
+++ b/tamarackthread/policy/group_planning.py
@@ -34,7 +34,7 @@
     def relative_step_time(
         self, before: float, after: float, copies: int
     ) -> float:
-        """Return the step time until demand changes, in times of balanced ranks;
+        """Return step time until demand changes, relative to balanced ranks;
         ``before`` and ``after`` are the skews of the old and the new map.
         """
         delay = self.delay(copies)
