--- a/tamarackthread/policy/greedy.py
+++ b/tamarackthread/policy/greedy.py
@@ -1,7 +1,5 @@
-"""Plan a map from nothing: replicate the hot, then pack the largest first.
-
-This is what balancers commonly do at each interval.  It comes near the best
-evenness, and moves nearly every weight each time.
+"""Place experts from scratch: replicate the hottest, then pack replicas onto
+ranks, largest first.  Balances well, but moves nearly every weight.
 """
 
 from __future__ import annotations
@@ -17,12 +15,13 @@
     alive: numpy.ndarray,
 ) -> expert_map.ExpertMap:
     """Place all experts on the ranks numbered in ``alive``."""
-    room = alive.size * shape.slots
-    if room < shape.experts:
+    total_slots = alive.size * shape.slots
+    if total_slots < shape.experts:
         raise expert_map.ExpertMapInvalid(
-            f'{alive.size} ranks have {room} slots for {shape.experts}',
+            f'{alive.size} ranks have {total_slots} slots'
+            f' for {shape.experts} experts',
         )
-    counts = _replicate(shares, room, alive.size)
+    counts = _replicate(shares, total_slots, alive.size)
     slots = numpy.full(
         (shape.layers, shape.ranks, shape.slots),
         expert_map.EMPTY,
@@ -36,13 +35,13 @@
 
 def _replicate(
     shares: numpy.ndarray,
-    room: int,
-    most: int,
+    total_slots: int,
+    ranks: int,
 ) -> numpy.ndarray:
     counts = numpy.ones(shares.shape, dtype=int)
     layers = numpy.arange(shares.shape[0])
-    for _ in range(room - shares.shape[1]):
-        sizes = numpy.where(counts < most, shares / counts, -1)
+    for _ in range(total_slots - shares.shape[1]):
+        sizes = numpy.where(counts < ranks, shares / counts, -1)
         counts[layers, sizes.argmax(axis=1)] += 1
     return counts
 
@@ -51,50 +50,52 @@
     shares: numpy.ndarray,
     counts: numpy.ndarray,
     ranks: int,
-    depth: int,
+    slots_per_rank: int,
 ) -> numpy.ndarray:
-    packing = _Packing(shares / counts, ranks, depth)
-    items = _sorted_items(shares, counts)
-    for number in range(items.shape[1]):
-        packing.add(items[..., number])
-    return packing.slots
+    packer = _Packer(shares / counts, ranks, slots_per_rank)
+    items = _largest_first(shares, counts)
+    for index in range(items.shape[1]):
+        packer.add(items[..., index])
+    return packer.slots
 
 
-class _Packing:
-    """Put one replica of each layer at a time on the least loaded rank."""
+class _Packer:
+    """Put replicas on the least loaded rank of each layer."""
 
-    def __init__(self, sizes: numpy.ndarray, ranks: int, depth: int) -> None:
+    def __init__(
+        self, sizes: numpy.ndarray, ranks: int, slots_per_rank: int
+    ) -> None:
         layers, experts = sizes.shape
         self._sizes = sizes
-        self._depth = depth
+        self._slots_per_rank = slots_per_rank
         self._layers = numpy.arange(layers)
         self._used = numpy.zeros((layers, ranks), dtype=int)
         self._loads = numpy.zeros((layers, ranks))
         self._held = numpy.zeros((layers, ranks, experts), dtype=bool)
-        self.slots = numpy.full((layers, ranks, depth), expert_map.EMPTY)
+        self.slots = numpy.full(
+            (layers, ranks, slots_per_rank), expert_map.EMPTY
+        )
 
     def add(self, expert: numpy.ndarray) -> None:
-        """Place one expert in each layer where a rank can take it."""
-        # A rank that is full, or has the expert, is infinitely loaded.
+        """Place one expert of each layer, if a rank has a free slot for it."""
+        # Ranks that are full or hold the expert count as infinitely loaded.
         held = self._held[self._layers, expert_map.ALL, expert]
-        barred = held | (self._used >= self._depth)
-        rank = numpy.where(barred, numpy.inf, self._loads).argmin(axis=1)
-        free = ~barred[self._layers, rank]
-        at = (self._layers[free], rank[free])
-        self.slots[(*at, self._used[at])] = expert[free]
-        self._used[at] += 1
-        self._loads[at] += self._sizes[at[0], expert[free]]
-        self._held[(*at, expert[free])] = 1
+        excluded = held | (self._used >= self._slots_per_rank)
+        rank = numpy.where(excluded, numpy.inf, self._loads).argmin(axis=1)
+        placed = ~excluded[self._layers, rank]
+        where = (self._layers[placed], rank[placed])
+        self.slots[(*where, self._used[where])] = expert[placed]
+        self._used[where] += 1
+        self._loads[where] += self._sizes[where[0], expert[placed]]
+        self._held[(*where, expert[placed])] = 1
 
 
-def _sorted_items(
+def _largest_first(
     shares: numpy.ndarray,
     counts: numpy.ndarray,
 ) -> numpy.ndarray:
-    """List each layer's replicas, largest first, the sole ones in time.
-
-    Replicas of one expert stand together, so they land on distinct ranks
-    while most ranks have free slots.
+    """List each layer's replicas by descending load, those of one expert in a
+    row, so that enough ranks have free slots to spread them.
     """
     rows = []
     for layer_shares, layer_counts in zip(shares, counts, strict=True):
