--- a/tamarackthread/policy/placement.py
+++ b/tamarackthread/policy/placement.py
@@ -1,8 +1,5 @@
-"""Plan which rank holds which expert.
-
-A planner is given today's map and an outlook and returns the map to go to.
-It is plain computation that takes tens of milliseconds and more: callers on
-an event loop run it in a thread.
+"""Plan a group's next expert map from the current one and a load forecast;
+runs for tens of milliseconds or more, so event loops call it in a thread.
 """
 
 from __future__ import annotations
@@ -21,23 +18,21 @@
 )
 
 
-_LEAST_FALL = 1e-5
-# Larger arrays leave the processor's cache, and each call on them keeps other
-# threads, the event loop's too, waiting for longer.
-_LAYERS_AT_ONCE = 16
+_MIN_SQUARES_FALL = 1e-5
+# Larger arrays exceed the processor's cache, and each call on them holds the
+# interpreter lock for longer.
+_BATCH_LAYERS = 16
 
 
 @attrs.frozen
 class BalanceSettings:
-    """A profile's trade-off between evenness and moves.
-
-    ``move_cost_seconds`` is what moving one weight is worth in seconds of a
-    layer's full skew; ``min_gain`` is the skew that a layer must win
-    before anything of it moves; ``max_moves_per_layer`` caps one plan.
-    """
+    """A profile's trade-off between balance and moved weights."""
 
+    # Cost of moving one weight, in seconds of a layer with skew 1.
     move_cost_seconds: float
+    # Reduction of skew below which a layer stays as it is.
     min_gain: float
+    # Moves in one plan.
     max_moves_per_layer: int
 
 
@@ -51,9 +46,8 @@
 
 @attrs.frozen(eq=False)
 class Plan:
-    """A proposed map with what it costs and promises.
-
-    ``skew_before`` and ``skew_after`` are the forecast's means over layers.
+    """A proposed map, its moves ``[move, (layer, rank, expert)]`` and the mean
+    forecast skew of layers before and after it.
     """
 
     new_map: expert_map.ExpertMap
@@ -63,7 +57,7 @@
 
     @property
     def is_change(self) -> bool:
-        """Tell whether any weight moves."""
+        """Tell whether any weight has to move."""
         return bool(len(self.moves))
 
 
@@ -72,16 +66,16 @@
 
     def plan(
         self,
-        today: expert_map.ExpertMap,
-        outlook: forecast.LoadForecast,
+        current: expert_map.ExpertMap,
+        load_forecast: forecast.LoadForecast,
         lost: set[int] | None = None,
     ) -> Plan:
-        """Return the plan for the ranks that are not in ``lost``."""
-        usable = today.without_ranks(lost) if lost else today
-        alive = _alive(today, lost or set())
-        new_map = self._new_map(usable, outlook, alive)
-        before = usable.rank_loads(outlook.shares)[expert_map.ALL, alive]
-        after = new_map.rank_loads(outlook.shares)[expert_map.ALL, alive]
+        """Plan for all ranks that are not in ``lost``."""
+        usable = current.without_ranks(lost) if lost else current
+        alive = _alive(current, lost or set())
+        new_map = self._new_map(usable, load_forecast, alive)
+        before = usable.rank_loads(load_forecast.shares)[expert_map.ALL, alive]
+        after = new_map.rank_loads(load_forecast.shares)[expert_map.ALL, alive]
         return Plan(
             new_map,
             expert_map.moves_between(usable, new_map),
@@ -92,84 +86,88 @@
     @abc.abstractmethod
     def _new_map(
         self,
-        today: expert_map.ExpertMap,
-        outlook: forecast.LoadForecast,
+        current: expert_map.ExpertMap,
+        load_forecast: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
         """Choose the map for the ranks numbered in ``alive``."""
 
 
 class StaticPlanner(Planner):
-    """Keep today's map and replace only experts with no replica left."""
+    """Keep the current map and place only experts without a replica."""
 
     def _new_map(
         self,
-        today: expert_map.ExpertMap,
-        outlook: forecast.LoadForecast,
+        current: expert_map.ExpertMap,
+        load_forecast: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
-        return repair.restore_replicas(today, outlook.shares, alive)
+        return repair.restore_replicas(current, load_forecast.shares, alive)
 
 
 class GreedyPlanner(Planner):
-    """Plan anew each time, as if no weight were anywhere yet."""
+    """Place all experts from scratch, whatever weights are loaded."""
 
     def _new_map(
         self,
-        today: expert_map.ExpertMap,
-        outlook: forecast.LoadForecast,
+        current: expert_map.ExpertMap,
+        load_forecast: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
-        return greedy.place(today.shape, outlook.shares, alive)
+        return greedy.place(current.shape, load_forecast.shares, alive)
 
 
 class IncrementalPlanner(Planner):
-    """Change today's map as long as a change is worth its moves."""
+    """Change the current map while the gain in balance exceeds the moves."""
 
-    def __init__(self, weights: BalanceSettings, rounds: int = 64) -> None:
-        """Set the trade-off; ``rounds`` bounds the time of one plan."""
-        self._weights = weights
+    def __init__(self, settings: BalanceSettings, rounds: int = 64) -> None:
+        """Set the trade-off; ``rounds`` limits the time of one plan."""
+        self._settings = settings
         self._rounds = rounds
 
     def _new_map(
         self,
-        today: expert_map.ExpertMap,
-        outlook: forecast.LoadForecast,
+        current: expert_map.ExpertMap,
+        load_forecast: forecast.LoadForecast,
         alive: numpy.ndarray,
     ) -> expert_map.ExpertMap:
-        covered = repair.restore_replicas(today, outlook.shares, alive)
+        covered = repair.restore_replicas(current, load_forecast.shares, alive)
         slots = covered.slots.copy()
-        loads = covered.rank_loads(outlook.shares)[expert_map.ALL, alive]
-        # Below the least gain no change could pay: the layer is left alone.
-        uneven = expert_map.skew(loads) > self._weights.min_gain
-        layers = numpy.flatnonzero(uneven)
-        price = self._weights.move_cost_seconds / outlook.valid_seconds
-        for start in range(0, layers.size, _LAYERS_AT_ONCE):
-            few = layers[start : start + _LAYERS_AT_ONCE]
-            part = slots[few][expert_map.ALL, alive]
-            trail = self._search(part, outlook.shares[few])
-            chosen = trail.best_slots(price, self._weights.min_gain)
-            slots[numpy.ix_(few, alive)] = chosen
+        loads = covered.rank_loads(load_forecast.shares)[expert_map.ALL, alive]
+        # A layer with less skew than the minimal gain cannot gain enough.
+        skewed = expert_map.skew(loads) > self._settings.min_gain
+        layers = numpy.flatnonzero(skewed)
+        move_price = (
+            self._settings.move_cost_seconds / load_forecast.valid_seconds
+        )
+        for start in range(0, layers.size, _BATCH_LAYERS):
+            batch = layers[start : start + _BATCH_LAYERS]
+            batch_slots = slots[batch][expert_map.ALL, alive]
+            history = self._search(batch_slots, load_forecast.shares[batch])
+            selected = history.best_slots(move_price, self._settings.min_gain)
+            slots[numpy.ix_(batch, alive)] = selected
         return expert_map.ExpertMap(covered.shape, slots)
 
-    def _search(self, slots: numpy.ndarray, shares: numpy.ndarray) -> '_Trail':
+    def _search(
+        self, slots: numpy.ndarray, shares: numpy.ndarray
+    ) -> '_SearchHistory':
         state = local_search.SearchState(slots, shares)
-        trail = _Trail(slots, shares.shape[1], state.loads)
+        history = _SearchHistory(slots, shares.shape[1], state.loads)
         for _ in range(self._rounds):
             change = state.best_change()
-            spent = trail.cost + change.cost
-            chosen = (change.gain > _LEAST_FALL) & (
-                spent <= self._weights.max_moves_per_layer
+            cost = history.cost + change.cost
+            selected = (change.gain > _MIN_SQUARES_FALL) & (
+                cost <= self._settings.max_moves_per_layer
             )
-            if not chosen.any():
+            if not selected.any():
                 break
-            state.apply(change, chosen)
-            trail.record(change, chosen, state.loads)
-        return trail
+            state.apply(change, selected)
+            history.record(change, selected, state.loads)
+        return history
 
 
-class _Trail:
-    """Keep a search's steps, to go back to where each layer was best."""
+class _SearchHistory:
+    """Record a search's steps, to return each layer to its best one."""
 
     def __init__(
         self,
@@ -190,32 +188,32 @@
     def record(
         self,
         change: local_search.Change,
-        chosen: numpy.ndarray,
+        selected: numpy.ndarray,
         loads: numpy.ndarray,
     ) -> None:
-        self._changes.append((change, chosen))
+        self._changes.append((change, selected))
         self._skews.append(expert_map.skew(loads))
-        self._costs.append(self.cost + chosen * change.cost)
+        self._costs.append(self.cost + selected * change.cost)
 
-    def best_slots(self, price: float, min_gain: float) -> numpy.ndarray:
-        """Replay each layer up to the step worth most after its price."""
+    def best_slots(self, move_price: float, min_gain: float) -> numpy.ndarray:
+        """Replay each layer up to the step with the best net gain."""
         skews = numpy.stack(self._skews)
-        worth = skews[0] - skews - price * numpy.stack(self._costs)
-        steps = worth.argmax(axis=0)
-        won = numpy.take_along_axis(skews[0] - skews, steps[None], axis=0)[0]
-        steps = numpy.where(won >= min_gain, steps, 0)
+        net_gain = skews[0] - skews - move_price * numpy.stack(self._costs)
+        steps = net_gain.argmax(axis=0)
+        gained = numpy.take_along_axis(skews[0] - skews, steps[None], axis=0)[0]
+        steps = numpy.where(gained >= min_gain, steps, 0)
         slots = self._slots.astype(int)
-        for number, (change, chosen) in enumerate(self._changes):
-            _replay(slots, change, chosen & (steps > number))
+        for number, (change, selected) in enumerate(self._changes):
+            _replay(slots, change, selected & (steps > number))
         return local_search.to_slots(slots, self._experts)
 
 
 def _replay(
     slots: numpy.ndarray,
     change: local_search.Change,
-    chosen: numpy.ndarray,
+    selected: numpy.ndarray,
 ) -> None:
-    layers = numpy.flatnonzero(chosen)
+    layers = numpy.flatnonzero(selected)
     slots[layers, change.rank[layers], change.slot[layers]] = change.expert[
         layers
     ]
@@ -226,9 +224,9 @@
 
 
 def _alive(
-    today: expert_map.ExpertMap,
+    current: expert_map.ExpertMap,
     lost: set[int],
 ) -> numpy.ndarray:
     return numpy.array(
-        [rank for rank in range(today.shape.ranks) if rank not in lost],
+        [rank for rank in range(current.shape.ranks) if rank not in lost],
     )
--- a/tamarackthread/policy/repair.py
+++ b/tamarackthread/policy/repair.py
@@ -1,7 +1,5 @@
-"""Give experts without a replica a slot again.
-
-After the loss of a rank some experts may live nowhere; tokens routed to them
-cannot be computed, so their slots come before any weighing of moves.
+"""Place experts that lost their last replica with a rank; no token routed to
+them can be computed, so this comes before any trade-off of moves.
 """
 
 from __future__ import annotations
@@ -12,23 +10,23 @@
 
 
 def restore_replicas(
-    today: expert_map.ExpertMap,
+    current: expert_map.ExpertMap,
     shares: numpy.ndarray,
     alive: numpy.ndarray,
 ) -> expert_map.ExpertMap:
-    """Return a map on ``alive`` ranks where each expert has a replica."""
-    missing = today.without_replica()
+    """Return a map on ``alive`` ranks in which each expert has a replica."""
+    missing = current.without_replica()
     if not missing.size:
-        return today
-    shape = today.shape
+        return current
+    shape = current.shape
     if alive.size * shape.slots < shape.experts:
         raise expert_map.ExpertMapInvalid(
             f'{alive.size} ranks cannot hold {shape.experts} experts',
         )
-    slots = today.slots.copy()
-    # The hottest of the missing experts choose first.
-    heat = shares[missing[..., 0], missing[..., 1]]
-    for layer, expert in missing[numpy.argsort(-heat)]:
+    slots = current.slots.copy()
+    # Places the hottest experts first, on the least loaded ranks.
+    missing_shares = shares[missing[..., 0], missing[..., 1]]
+    for layer, expert in missing[numpy.argsort(-missing_shares)]:
         _place(slots[layer], shares[layer], alive, int(expert))
     return expert_map.ExpertMap(shape, slots)
 
@@ -44,8 +42,8 @@
     loads = sizes[slots].sum(axis=1)
     best = (numpy.inf, 0, 0)
     for rank in alive:
-        for slot, held in enumerate(slots[rank]):
-            if held >= 0 and counts[held] < 2:
+        for slot, replaced in enumerate(slots[rank]):
+            if replaced >= 0 and counts[replaced] < 2:
                 continue
-            best = min(best, (loads[rank] - sizes[held], rank, slot))
+            best = min(best, (loads[rank] - sizes[replaced], rank, slot))
     slots[best[1], best[2]] = expert
