--- a/tamarackthread/policy/migration.py
+++ b/tamarackthread/policy/migration.py
@@ -1,8 +1,5 @@
-"""Decide whether a running stream is better off on another target.
-
-A rank that stalls slows every stream of its group at once.  Calls that were
-admitted in good time would then all end late, though the engines can resume
-a stream at its position elsewhere.
+"""Decide whether a running stream should resume on another target, for example
+when a stalled rank would make all streams of its group miss their deadlines.
 """
 
 from __future__ import annotations
@@ -16,7 +13,7 @@
 
 @attrs.define(slots=True, eq=False)
 class Progress:
-    """Follow one stream as its entry sees it; ``pace`` is seconds an event."""
+    """Track one stream at its entry; ``pace`` is the mean seconds per event."""
 
     sent_at: float
     last_at: float
@@ -24,7 +21,7 @@
     pace: float = 0
 
     def advance(self, events: int, now: float) -> None:
-        """Note that ``events`` more arrived."""
+        """Record that ``events`` more arrived."""
         gap = (now - self.last_at) / events
         if self.events:
             self.pace = ((self.pace or gap) + gap) / 2
@@ -34,55 +31,53 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class MigrationSettings:
-    """Hold when a move pays, times in seconds.
-
-    A stream is moved if it would end later than ``margin`` before its
-    deadline, and would take at most ``gain`` of that time elsewhere.
-    ``least_left`` is the part of the expected answer that is always left.
-    """
+    """Hold the conditions of a migration."""
 
-    margin: float = 0.05
-    gain: float = 0.5
-    least_left: float = 0.25
+    # Seconds before its deadline by which a stream should end.
+    deadline_margin: float = 0.05
+    # Time needed on the other target, as a share of the remaining time here.
+    max_time_share: float = 0.5
+    # Share of the expected answer that is always assumed to be left.
+    min_left_share: float = 0.25
 
 
 @attrs.frozen(slots=True)
 class MigrationEstimate:
-    """The target's seconds a step, and the time needed ``elsewhere_seconds``."""
+    """The step time here, and the time to the end on another target."""
 
     step_seconds: float
     elsewhere_seconds: float
 
 
 class MigrationPolicy(abc.ABC):
-    """Decide on moves."""
+    """Decide on migrations."""
 
     @abc.abstractmethod
     def admitted(self, now: float) -> None:
-        """Note a new call, which pays for a share of a move."""
+        """Count a new call, which earns a share of a migration."""
 
     @abc.abstractmethod
     def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: MigrationEstimate,
+        estimate: MigrationEstimate,
         now: float,
     ) -> bool:
-        """Tell whether to move; only idempotent calls are asked about."""
+        """Tell whether to migrate a call, which must be idempotent."""
 
 
 class NeverMigrate(MigrationPolicy):
-    """Leave every stream where it is."""
+    """Keep every stream on its target."""
 
     def admitted(self, now: float) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: MigrationEstimate,
+        estimate: MigrationEstimate,
         now: float,
     ) -> bool:
         """Return false."""
@@ -90,10 +85,8 @@
 
 
 class MigrateLateStreams(MigrationPolicy):
-    """Move streams that would end late and in time elsewhere.
-
-    The budget keeps a slow moment of the whole service, where elsewhere only
-    looks better, from moving everything at once.
+    """Migrate streams that would end late here and in time elsewhere; a budget
+    limits migrations while the whole service is slow.
     """
 
     def __init__(
@@ -101,47 +94,46 @@
         budget: retries.RetryBudget,
         settings: MigrationSettings | None = None,
     ) -> None:
-        """Pay for each move from ``budget``."""
+        """Spend ``budget`` on each migration of a call that is not urgent."""
         self._budget = budget
         self._settings = settings or MigrationSettings()
 
     def admitted(self, now: float) -> None:
-        """Pay a share of a move into the budget."""
+        """Earn a share of a migration."""
         self._budget.earn(now)
 
     def should_migrate(
         self,
         call: calls.CallFacts,
         progress: Progress,
-        place: MigrationEstimate,
+        estimate: MigrationEstimate,
         now: float,
     ) -> bool:
-        """Compare the time left here, there and until the deadline."""
+        """Compare the remaining time on both targets with the deadline."""
         settings = self._settings
-        here = self._time_left(call, progress, place.step_seconds, now)
-        until = call.deadline - settings.margin - now
-        if here <= until or place.elsewhere_seconds > until:
+        remaining = self._remaining_seconds(
+            call, progress, estimate.step_seconds, now
+        )
+        available = call.deadline - settings.deadline_margin - now
+        if remaining <= available or estimate.elsewhere_seconds > available:
             return False
-        if place.elsewhere_seconds > here * settings.gain:
+        if estimate.elsewhere_seconds > remaining * settings.max_time_share:
             return False
-        # Urgent calls are few, and one that ends late is lost work.
+        # Urgent calls are few and worthless when late, so they need no budget.
         if call.priority == calls.Priority.URGENT:
             return True
         return self._budget.spend(now)
 
-    def _time_left(
+    def _remaining_seconds(
         self,
         call: calls.CallFacts,
         progress: Progress,
         step_seconds: float,
         now: float,
     ) -> float:
-        """Estimate seconds to the end.
-
-        The answer's length is a guess, so some is always left.  A silence is
-        expected to last as long again as it has lasted.
-        """
-        least = call.answer_tokens * self._settings.least_left
-        left = max(least, call.answer_tokens - progress.events)
+        """Estimate the seconds to the end of the stream."""
+        # Expects a stall to last as long again as it has lasted already.
+        min_left = call.answer_tokens * self._settings.min_left_share
+        left_tokens = max(min_left, call.answer_tokens - progress.events)
         silence = now - progress.last_at
-        return silence + left * max(step_seconds, progress.pace)
+        return silence + left_tokens * max(step_seconds, progress.pace)
--- a/tamarackthread/policy/moves.py
+++ b/tamarackthread/policy/moves.py
@@ -1,8 +1,5 @@
-"""Move weights in small pieces, in the background, out of the way of notices.
-
-A queue hands out one piece at a time.  While urgent work is near it hands
-out none, and a piece in flight is interrupted: its bytes are loaded again
-later, the pieces before it are kept.
+"""Queue weights to load in the background, in pieces that can be interrupted
+so that loading doesn't delay urgent calls.
 """
 
 from __future__ import annotations
@@ -24,9 +21,8 @@
 
 @attrs.frozen
 class Move:
-    """One weight to load; ``urgent`` when no replica of it is left.
-
-    Two moves of the same weight are equal whatever their urgency.
+    """One weight to load, ``urgent`` if it has no replica left; the urgency is
+    not compared.
     """
 
     layer: int
@@ -37,7 +33,7 @@
 
 @attrs.frozen
 class Piece:
-    """One part of a move, the smallest thing that is paused or resumed."""
+    """One part of a move, the unit of loading and interruption."""
 
     move: Move
     number: int
@@ -45,7 +41,7 @@
 
 @attrs.frozen
 class Progress:
-    """What an operator sees of a queue; counts are in pieces."""
+    """The state of a queue, counted in pieces."""
 
     loaded: int
     total: int
@@ -59,11 +55,8 @@
 
 
 class UrgentCallMonitor:
-    """Know whether urgent work is near; times are in seconds.
-
-    A hint comes when an entry has admitted an urgent call and its claim is
-    still being recorded, so before the call itself.  After the last urgent
-    call the watch stays on for ``pause_seconds``, because they come in bursts.
+    """Decide whether moves pause for urgent calls, from before an announced
+    call arrives until a while after the last one, as they come in bursts.
     """
 
     def __init__(
@@ -71,15 +64,15 @@
         pause_seconds: float = 0.05,
         hint_seconds: float = 0.25,
     ) -> None:
-        """Set how long quiet must last and how long a hint counts."""
+        """Set the pause after an urgent call and the time to live of hints."""
         self._pause_seconds = pause_seconds
         self._hint_seconds = hint_seconds
-        self._running = 0
-        self._until = float('-inf')
+        self._running_calls = 0
+        self._paused_until = float('-inf')
 
     @property
     def pause_seconds(self) -> float:
-        """Give how long moves stand still after an urgent call."""
+        """Return how long moves pause after an urgent call."""
         return self._pause_seconds
 
     @pause_seconds.setter
@@ -87,36 +80,32 @@
         self._pause_seconds = seconds
 
     def hint(self, now: float) -> None:
-        """Take note that an urgent call is on its way."""
-        self._until = max(self._until, now + self._hint_seconds)
+        """Record that an entry has admitted an urgent call for this target."""
+        self._paused_until = max(self._paused_until, now + self._hint_seconds)
 
     def arrived(self, now: float) -> None:
-        """Take note that an urgent call is here."""
-        self._running += 1
-        self._until = max(self._until, now + self._pause_seconds)
+        """Record that an urgent call has arrived."""
+        self._running_calls += 1
+        self._paused_until = max(self._paused_until, now + self._pause_seconds)
 
     def finished(self, now: float) -> None:
-        """Take note that an urgent call has ended."""
-        self._running -= 1
-        self._until = max(self._until, now + self._pause_seconds)
+        """Record that an urgent call has ended."""
+        self._running_calls -= 1
+        self._paused_until = max(self._paused_until, now + self._pause_seconds)
 
     def must_pause(self, now: float) -> bool:
-        """Tell whether moves must stand still."""
-        return self._running > 0 or now < self._until
+        """Tell whether moves must pause."""
+        return self._running_calls > 0 or now < self._paused_until
 
     def resume_at(self, now: float) -> float:
-        """Return the earliest time for moves, infinite while a call runs."""
-        if self._running > 0:
+        """Return the earliest time for moves, infinite during a call."""
+        if self._running_calls > 0:
             return float('inf')
-        return max(now, self._until)
+        return max(now, self._paused_until)
 
 
 class MoveQueue:
-    """Hand out the pieces of one plan, those of urgent moves first.
-
-    It is resumable: a queue made with the moves that a rank reports as
-    loaded starts after them.
-    """
+    """Hand out the pieces of one plan one at a time, urgent moves first."""
 
     def __init__(
         self,
@@ -124,13 +113,13 @@
         pieces_each: int,
         loaded: collections.abc.Container[Move] = (),
     ) -> None:
-        """Queue the moves that are not loaded yet."""
-        wanted = [move for move in moves if move not in loaded]
-        wanted.sort(key=lambda move: not move.urgent)
-        self._moves = collections.deque(wanted)
+        """Queue the moves that are not in ``loaded``, to resume a plan."""
+        pending = [move for move in moves if move not in loaded]
+        pending.sort(key=lambda move: not move.urgent)
+        self._moves = collections.deque(pending)
         self._pieces_each = pieces_each
-        self._number = 0
-        self._total = len(wanted) * pieces_each
+        self._next_number = 0
+        self._total = len(pending) * pieces_each
         self._loaded = 0
         self._interrupted = 0
         self._in_flight: Piece | None = None
@@ -138,7 +127,7 @@
 
     @property
     def progress(self) -> Progress:
-        """Return how far the queue has come."""
+        """Return the progress of the queue."""
         return Progress(
             self._loaded,
             self._total,
@@ -147,19 +136,18 @@
         )
 
     def start(self, urgent_active: bool) -> Piece | None:
-        """Hand out the next piece; ``None`` while paused, busy or at the end.
-
-        A move for an expert without a replica is never paused: every call
-        that needs the expert waits for it, urgent ones too.
+        """Hand out the next piece, or ``None`` while paused, busy or empty;
+        raise ``MovesCancelled`` after a cancellation.
         """
         if self._cancelled:
             raise MovesCancelled()
         if self._in_flight is not None or not self._moves:
             return None
+        # Urgent moves never pause: all calls that need the expert wait for it.
         move = self._moves[0]
         if urgent_active and not move.urgent:
             return None
-        self._in_flight = Piece(move, self._number)
+        self._in_flight = Piece(move, self._next_number)
         return self._in_flight
 
     def finish(self, piece: Piece) -> None:
@@ -168,25 +156,25 @@
             return
         self._in_flight = None
         self._loaded += 1
-        self._number += 1
-        if self._number == self._pieces_each:
-            self._number = 0
+        self._next_number += 1
+        if self._next_number == self._pieces_each:
+            self._next_number = 0
             self._moves.popleft()
 
     def is_whole(self, piece: Piece) -> bool:
-        """Tell whether a piece was its move's last and is loaded."""
-        is_last = piece.number == self._pieces_each - 1
-        is_queued = bool(self._moves) and self._moves[0] == piece.move
-        return is_last and not is_queued
+        """Tell whether a loaded piece completed its move."""
+        is_last_piece = piece.number == self._pieces_each - 1
+        is_pending = bool(self._moves) and self._moves[0] == piece.move
+        return is_last_piece and not is_pending
 
     def interrupt(self, piece: Piece) -> None:
-        """Give the piece in flight back, to be loaded again later."""
+        """Return the piece in flight to the queue, to load it again."""
         if piece != self._in_flight:
             return
         self._in_flight = None
         self._interrupted += 1
 
     def cancel(self) -> None:
-        """Stop for good; weights already loaded stay where they are."""
+        """Stop handing out pieces; loaded weights stay loaded."""
         self._cancelled = True
         self._in_flight = None
