--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -99,8 +99,8 @@
     def test_fields(self):
         """Each field that the code gives to an event is on the page."""
         page = (ROOT / 'docs' / 'LOGS.md').read_text()
-        ledger = ROOT / 'tamarackthread' / 'entry' / 'direct' / 'ledger.py'
-        running = ledger.with_name('running.py')
+        ledger = ROOT / 'tamarackthread' / 'entry' / 'direct' / 'call_log.py'
+        running = ledger.with_name('call_runner.py')
         text = ledger.read_text() + running.read_text()
         told = re.findall(r'^ {8,12}(\w+)=[^=]*,$', text, re.MULTILINE)
         fields = set(told).intersection(re.findall(r'\w+_ms|\w+_calls', text))
