--- a/tests/claim_simulation.py
+++ b/tests/claim_simulation.py
@@ -1,8 +1,4 @@
-"""Run keyed calls in a world that fails at random, on paused time.
-
-Entries die, agents restart and stall, frames come late, answers get lost, and
-requests to the shards are doubled and applied again much later.
-"""
+"""Simulate keyed calls under random faults, on virtual time."""
 
 import asyncio
 import types
@@ -26,7 +22,7 @@
 
 
 class RandomLinks(shards.LocalLinks):
-    """Lose, delay and double what an entry asks of the shards."""
+    """Delay, drop and duplicate an entry's requests to the shards."""
 
     def __init__(self, held, rng, simulation):
         super().__init__(held)
@@ -40,13 +36,13 @@
         if self._rng.random() < 0.08:
             raise claim_errors.ClaimsUnavailable
         if self._rng.random() < 0.1:
-            self._simulation.run_in_background(self._again(request))
+            self._simulation.run_in_background(self._send_duplicate(request))
         reply = await super().request(address, request, timeout_seconds)
         if self._rng.random() < 0.12:
             raise claim_errors.ClaimsUnavailable
         return reply
 
-    async def _again(self, request):
+    async def _send_duplicate(self, request):
         await asyncio.sleep(self._rng.choice([0.01, 1, 5, 60]))
         try:
             await self._dispatch(request)
@@ -55,7 +51,7 @@
 
 
 class Agent:
-    """Be an agent and its target; ``incarnation`` grows with restarts."""
+    """A simulated agent and its target; restarts raise ``incarnation``."""
 
     def __init__(self, name, simulation):
         self.name = name
@@ -80,18 +76,18 @@
             details=types.SimpleNamespace(address=self.name),
         )
 
-    async def serve(self, opening, body, answered):
-        """Take one call off the network and run it."""
+    async def serve(self, opening, body, result):
+        """Receive one call from the network and run it."""
         rng = self.simulation.rng
         await asyncio.sleep(rng.choice([0, 0.002, 0.05, 3, 40, 2000]))
         gate = self.gate
         if rng.random() < 0.1:
-            _answer(answered, Ran.NOT_RUN)
+            _set_result(result, Ran.NOT_RUN)
             return
         try:
             gate.admit(opening)
         except errors.CodedError as exc:
-            _answer(answered, exc.ran)
+            _set_result(result, exc.ran)
             return
         now = asyncio.get_running_loop().time()
         self.simulation.starts.append(checker.Start(body, now))
@@ -102,16 +98,16 @@
             return
         gate.finish(opening, gates.Answer(201, (), text.encode()))
         if rng.random() < 0.85:
-            _answer(answered, Ran.COMPLETE, text)
+            _set_result(result, Ran.COMPLETE, text)
 
 
-def _answer(answered, ran, text=''):
-    if not answered.done():
-        answered.set_result((ran, text))
+def _set_result(result, ran, text=''):
+    if not result.done():
+        result.set_result((ran, text))
 
 
 class Prober(takeover.Prober):
-    """Reach agents, if they can be reached."""
+    """Probe agents, with random failures."""
 
     def __init__(self, simulation):
         self._simulation = simulation
@@ -128,7 +124,7 @@
 
 
 class Sink:
-    """Take the answer of one try."""
+    """Keep the response of one request."""
 
     def __init__(self):
         self.text = None
@@ -138,7 +134,7 @@
 
 
 class Entry:
-    """Carry keyed calls as the entry's runner does."""
+    """Run keyed calls as the entry's runner does."""
 
     def __init__(self, name, simulation):
         self.simulation = simulation
@@ -148,12 +144,12 @@
             client, takeover.Takeover(client, Prober(simulation))
         )
 
-    def die(self):
+    def kill(self):
         self.links.is_dead = True
         self.keyed.run_in_background = lambda work: work.close()
 
     async def run(self, key, sink):
-        """Run one try; raise what its caller is told."""
+        """Run one request; raise its caller's error."""
         loop = asyncio.get_running_loop()
         request = keyed_claim.Request(
             facts=calls.CallFacts(organisation='o', deadline=loop.time() + 15),
@@ -167,50 +163,50 @@
         claim = self.keyed.start(request)
         claim.wrap_sink(sink)
         try:
-            await self._attempts(claim, key, sink)
+            await self._run_attempts(claim, key, sink)
         except errors.CodedError as exc:
             await claim.fail(exc)
             raise
         claim.succeed()
 
-    async def _attempts(self, claim, key, sink):
+    async def _run_attempts(self, claim, key, sink):
         while True:
-            settled = None
+            resolved = None
             try:
-                ran, text = await self._attempt(claim, key)
+                ran, text = await self._run_attempt(claim, key)
             except keyed_claim.ClaimedElsewhere as exc:
-                settled = await claim.resolve(exc.reply)
+                resolved = await claim.resolve(exc.reply)
             else:
                 if ran == Ran.COMPLETE:
                     await claim._sink.send(responses.Head(201, ()), text)
                     return
                 if ran == Ran.MAY_HAVE_RUN:
-                    settled = await claim.resolve(None)
-            if settled is not None and not settled.granted:
-                sink.text = settled.body.decode()
+                    resolved = await claim.resolve(None)
+            if resolved is not None and not resolved.granted:
+                sink.text = resolved.body.decode()
                 return
             if self.simulation.rng.random() < 0.3:
                 raise refusals.EntryLeaving
 
-    async def _attempt(self, claim, key):
+    async def _run_attempt(self, claim, key):
         rng = self.simulation.rng
         agent = self.simulation.agents[rng.choice(TARGETS)]
         opening = messages.OpenCall(call_id=b'c')
         await claim.record_handover(opening, agent.connection())
         if rng.random() < 0.1:
             await asyncio.sleep(rng.choice([0.1, 12]))
-        answered = asyncio.get_running_loop().create_future()
-        self.simulation.run_in_background(agent.serve(opening, key, answered))
+        result = asyncio.get_running_loop().create_future()
+        self.simulation.run_in_background(agent.serve(opening, key, result))
         try:
             async with asyncio.timeout(rng.choice([0.02, 1, 3])):
-                ran, text = await answered
+                ran, text = await result
         except TimeoutError:
             return Ran.MAY_HAVE_RUN, b''
         return ran, text.encode()
 
 
 class Simulation:
-    """Hold everything and the history."""
+    """The simulated shards, agents and callers, and their history."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -226,14 +222,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def run(self, keys):
-        breaking = asyncio.ensure_future(self._break())
-        await asyncio.gather(*(self._caller(key) for key in keys))
-        breaking.cancel()
+        faults = asyncio.ensure_future(self._inject_faults())
+        await asyncio.gather(*(self._run_caller(key) for key in keys))
+        faults.cancel()
         while self._tasks:
             await asyncio.wait(self._tasks)
         return checker.History(self.tries, self.starts)
 
-    async def _break(self):
+    async def _inject_faults(self):
         while True:
             await asyncio.sleep(self.rng.choice([0.3, 2, 20]))
             if self.rng.random() < 0.5:
@@ -246,30 +242,30 @@
             for shard in self.shards.values():
                 shard.group.failure = None
 
-    async def _caller(self, key):
+    async def _run_caller(self, key):
         await asyncio.sleep(self.rng.uniform(0, 3))
         for number in range(4):
-            trying = asyncio.ensure_future(self._try(key, number))
+            attempt = asyncio.ensure_future(self._send(key, number))
             if self.rng.random() < 0.6:
-                await trying
+                await attempt
             await asyncio.sleep(self.rng.choice([0.01, 0.5, 2, 20, 250]))
-            self._tasks.add(trying)
-            trying.add_done_callback(self._tasks.discard)
-            if trying.done() and trying.result():
+            self._tasks.add(attempt)
+            attempt.add_done_callback(self._tasks.discard)
+            if attempt.done() and attempt.result():
                 return
 
-    async def _try(self, key, number):
+    async def _send(self, key, number):
         loop = asyncio.get_running_loop()
-        asked = loop.time()
+        started = loop.time()
         entry = Entry(f'entry-{number}', self)
         sink = Sink()
         outcome = load.Outcome.COMPLETE
-        life = 60 if self.rng.random() < 0.6 else self.rng.uniform(0, 3)
+        lifetime = 60 if self.rng.random() < 0.6 else self.rng.uniform(0, 3)
         try:
-            async with asyncio.timeout(life):
+            async with asyncio.timeout(lifetime):
                 await entry.run(key, sink)
         except TimeoutError:
-            entry.die()
+            entry.kill()
             outcome = load.Outcome.BROKEN
         except errors.CodedError as exc:
             outcome = load.Outcome.REFUSED
@@ -280,7 +276,7 @@
                 call=key,
                 kind=checker.Kind.KEYED,
                 body=key,
-                asked_at=asked,
+                asked_at=started,
                 told_at=loop.time(),
                 outcome=outcome,
                 text=sink.text or '',
--- a/tests/shards.py
+++ b/tests/shards.py
@@ -1,4 +1,4 @@
-"""Keep claims in the test's own process, through the real machine."""
+"""Run claim shards in the test's process on the real state machine."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class LocalGroup:
-    """Apply proposals at once, or fail as a group without a quorum."""
+    """A consensus group that applies proposals at once or always fails."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -29,8 +29,8 @@
             raise self.failure
         self.proposals += 1
         self.index += 1
-        answer = self.machine.apply(self.index, command)
-        return proposing.ProposeResult(self.index, answer)
+        result = self.machine.apply(self.index, command)
+        return proposing.ProposeResult(self.index, result)
 
     async def read_barrier(self):
         if self.failure is not None:
@@ -39,7 +39,7 @@
 
 
 class Shard:
-    """Be one shard's machine, group and service."""
+    """One shard's state machine, group and service."""
 
     def __init__(self, proposer='control-0'):
         self.machine = claims.ClaimsMachine()
@@ -52,48 +52,48 @@
 
 
 class LocalLinks:
-    """Stand for an entry's links to the control hosts."""
+    """An entry's links to control hosts, without a network."""
 
     def __init__(self, shards):
         self._shards = shards
         self.is_dead = False
-        self.lose_answers = 0
-        self.asked = []
+        self.lost_replies = 0
+        self.requests = []
 
     async def request(self, address, request, timeout_seconds):
         if self.is_dead:
             await asyncio.Event().wait()
         reply = await self._dispatch(request)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise claim_errors.ClaimsUnavailable
         return reply
 
     async def _dispatch(self, request):
-        for ask, name in (
+        for message, name in (
             (request.claim, 'claim'),
             (request.claim_finish, 'finish'),
             (request.claim_lookup, 'lookup'),
         ):
-            if ask is not None:
-                self.asked.append(name)
-                service = self._shards[ask.shard].service
-                return await getattr(service, name)(ask)
+            if message is not None:
+                self.requests.append(name)
+                service = self._shards[message.shard].service
+                return await getattr(service, name)(message)
         raise AssertionError(request)
 
 
 def make():
-    """Make the shards that all entries of a test share."""
+    """Create the shards that all entries of a test share."""
     return {shard.name: Shard() for shard in SHARDS}
 
 
 def connect(links, holder):
-    """Give the client of one entry."""
+    """Create the client of one entry."""
     return shard_claim_client.ShardClaimClient(links, lambda: SHARDS, holder)
 
 
 def find(shards, organisation, key):
-    """Look a key up in whichever shard has it."""
+    """Return a key's claim from the shard that holds it."""
     name = claim_keys.claim_key(organisation, key)
     for shard in shards.values():
         reply = shard.machine.lookup(name)
@@ -103,7 +103,7 @@
 
 
 def virtual_time(work):
-    """Run a test method on a clock that only moves when all wait."""
+    """Run a test method on a clock that advances only when all tasks wait."""
 
     def run(case):
         with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
--- a/tests/test_keyed_calls.py
+++ b/tests/test_keyed_calls.py
@@ -1,4 +1,4 @@
-"""Prove over real sockets that a keyed order runs at most once."""
+"""Test over real sockets that a keyed call runs at most once."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 class Orders:
-    """Be a target that books orders, each when it is let go."""
+    """A target that accepts orders and can hold or cut its responses."""
 
     def __init__(self):
         self.started = []
@@ -40,7 +40,7 @@
         body = await request.text()
         self.started.append(body)
         self.begun.set()
-        # A real target books the order even if its caller goes away.
+        # As a real target, complete the order after a disconnect too.
         await asyncio.shield(self.free.wait())
         if self.cut:
             request.transport.abort()
@@ -50,7 +50,7 @@
 
 @contextlib.asynccontextmanager
 async def two_entries(*targets):
-    """Put two entries with the same shards before these targets."""
+    """Run two entries with the same shards in front of the targets."""
     agents = [
         stage.Agent(f'target-{number}', target.application())
         for number, target in enumerate(targets)
@@ -67,7 +67,7 @@
 
 
 def order(caller, entry, body='starter feed', **headers):
-    """Send the order with its key."""
+    """Send an order with an idempotency key."""
     headers = {'Idempotency_Key': 'order-7', **headers}
     return caller.plain(entry.address, 'POST', '/stock', body, **headers)
 
@@ -76,17 +76,17 @@
     return shards.find(entry.shards, 'o', 'order-7')
 
 
-def die(entry, trying=None):
-    """Have an entry do nothing more, as one that was killed."""
+def kill(entry, request=None):
+    """Stop an entry as if its process was killed."""
     entry.shard_links.is_dead = True
     entry.keyed.run_in_background = lambda work: work.close()
     entry.peers.close()
-    if trying is not None:
-        trying.cancel()
+    if request is not None:
+        request.cancel()
 
 
-def take_targets(entry, agents):
-    """Have all targets leave the configuration of an entry."""
+def remove_targets(entry, agents):
+    """Remove all targets from an entry's configuration."""
     entry.directory.apply(
         messages.Document(kind='target', name=agent.name, body='')
         for agent in agents
@@ -94,19 +94,19 @@
     entry.fleet.update()
 
 
-async def settled(entry, wanted):
-    """Wait until the key's claim has a state."""
+async def wait_for_state(entry, wanted):
+    """Wait until the key's claim is in a state."""
     while state(entry) is None or state(entry).state != wanted:
         await asyncio.sleep(0.001)
 
 
 class SecondTryCase(unittest.IsolatedAsyncioTestCase):
     async def test_after_the_answer(self):
-        """The second try gets the first one's answer from another entry."""
+        """Guards against a second run through another entry."""
         target = Orders()
         async with two_entries(target) as (first, second, caller, _):
             answered = await order(caller, first)
-            await settled(first, State.COMPLETE)
+            await wait_for_state(first, State.COMPLETE)
             again = await order(caller, second)
         self.assertEqual(answered.outcome, Outcome.COMPLETE)
         self.assertEqual((again.status, again.text), (201, answered.text))
@@ -114,17 +114,17 @@
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_while_it_runs(self):
-        """The second try waits for the first and gets the same answer."""
+        """Guards against a second run while the first is in progress."""
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, second, caller, _):
-            trying = asyncio.ensure_future(order(caller, first))
+            request = asyncio.ensure_future(order(caller, first))
             await target.begun.wait()
             again = asyncio.ensure_future(order(caller, second))
-            while 'claim' not in second.shard_links.asked:
+            while 'claim' not in second.shard_links.requests:
                 await asyncio.sleep(0)
             target.free.set()
-            texts = {(await trying).text, (await again).text}
+            texts = {(await request).text, (await again).text}
         self.assertEqual(len(texts), 1)
         self.assertEqual(target.started, ['starter feed'])
 
@@ -136,26 +136,18 @@
         self.assertEqual((reused.status, reused.code), (422, 'TT4502'))
         self.assertEqual(target.started, ['starter feed'])
 
-    async def test_refusal_after_a_run_says_so(self):
-        """A second try that finds no target isn't told 'not run'.
-
-        The order ran, its answer was lost, and now the targets leave.  A
-        caller that is told 'not run' would order under another key.
-        """
+    async def test_refusal_after_a_run_may_have_run(self):
+        """Guards against 'not run' for a completed key without targets."""
         target = Orders()
         async with two_entries(target) as (first, second, caller, agents):
             await order(caller, first)
-            await settled(first, State.COMPLETE)
-            take_targets(second, agents)
+            await wait_for_state(first, State.COMPLETE)
+            remove_targets(second, agents)
             again = await order(caller, second, X_Deadline_Ms='300')
         self.assertEqual(again.outcome, Outcome.MAY_HAVE_RUN)
 
-    async def test_leaving_entry_says_no_more_than_it_knows(self):
-        """A leaving entry looks a key up before it says 'not run'.
-
-        The order ran through another entry.  Told 'not run' by the one that
-        leaves, the caller would order anew under another key.
-        """
+    async def test_stopping_entry_looks_the_key_up(self):
+        """Guards against 'not run' from a stopping entry for a used key."""
         target = Orders()
         async with two_entries(target) as (first, second, caller, _):
             await order(caller, first)
@@ -172,7 +164,7 @@
     async def test_refusal_of_a_fresh_key_is_not_run(self):
         target = Orders()
         async with two_entries(target) as (first, _, caller, agents):
-            take_targets(first, agents)
+            remove_targets(first, agents)
             refused = await order(caller, first, X_Deadline_Ms='300')
         self.assertEqual(refused.outcome, Outcome.REFUSED)
         self.assertEqual(target.started, [])
@@ -180,44 +172,36 @@
 
 class DeathCase(unittest.IsolatedAsyncioTestCase):
     async def test_entry_dies_before_hand_over(self):
-        """The second try runs the order, once.
-
-        The first entry's claim is granted and the entry dies before the call
-        leaves it.  The agent has not seen the claim and seals it.
-        """
+        """Guards against a lost call if its entry dies before the handover."""
         target = Orders()
         async with two_entries(target) as (first, second, caller, _):
-            secured = asyncio.Event()
-            claiming = first.claims.claim
+            claimed = asyncio.Event()
+            claim = first.claims.claim
 
-            async def claim_and_die(ask, handover):
-                reply = await claiming(ask, handover)
-                secured.set()
+            async def claim_and_hang(claimant, handover):
+                reply = await claim(claimant, handover)
+                claimed.set()
                 await asyncio.Event().wait()
                 return reply
 
-            first.claims.claim = claim_and_die
-            trying = asyncio.ensure_future(order(caller, first))
-            await secured.wait()
-            die(first, trying)
+            first.claims.claim = claim_and_hang
+            request = asyncio.ensure_future(order(caller, first))
+            await claimed.wait()
+            kill(first, request)
             again = await order(caller, second)
         self.assertEqual(again.outcome, Outcome.COMPLETE)
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_entry_dies_while_it_runs(self):
-        """The second try gets the answer of the call that went on.
-
-        The entry dies after the hand-over; the agent lets the call run to
-        its end and keeps its answer.
-        """
+        """Guards against a second run if the entry dies after the handover."""
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, second, caller, _):
-            trying = asyncio.ensure_future(order(caller, first))
+            request = asyncio.ensure_future(order(caller, first))
             await target.begun.wait()
-            die(first, trying)
+            kill(first, request)
             again = asyncio.ensure_future(order(caller, second))
-            while 'lookup' not in second.shard_links.asked:
+            while 'lookup' not in second.shard_links.requests:
                 await asyncio.sleep(0)
             target.free.set()
             answered = await again
@@ -229,17 +213,13 @@
         async with two_entries(target) as (first, second, caller, _):
             first.keyed.run_in_background = lambda work: work.close()
             answered = await order(caller, first)
-            die(first)
+            kill(first)
             again = await order(caller, second)
         self.assertEqual((again.status, again.text), (201, answered.text))
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_target_dies_while_it_runs(self):
-        """Both tries are told 'may have run' and nothing runs again.
-
-        The target takes the order and cuts the connection.  A second target
-        stands ready, but nobody can know whether the order was booked.
-        """
+        """Guards against a second run after a target dropped the call."""
         targets = (Orders(), Orders())
         for target in targets:
             target.cut = True
@@ -252,20 +232,16 @@
         self.assertEqual(started, ['starter feed'])
 
     async def test_agent_dies_while_it_runs(self):
-        """Both tries are told 'may have run'.
-
-        The agent dies with the call at its target; nobody is left who could
-        prove anything.
-        """
+        """Guards against 'not run' if the agent dies with a running call."""
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, second, caller, agents):
             limits = {'X_Deadline_Ms': '4000'}
-            trying = asyncio.ensure_future(order(caller, first, **limits))
+            request = asyncio.ensure_future(order(caller, first, **limits))
             await target.begun.wait()
             agents[0].listener.close()
             again = await order(caller, second, **limits)
-            lost = await trying
+            lost = await request
         self.assertEqual(lost.outcome, Outcome.MAY_HAVE_RUN)
         self.assertEqual(again.outcome, Outcome.MAY_HAVE_RUN)
         self.assertEqual(target.started, ['starter feed'])
@@ -274,11 +250,11 @@
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, second, caller, _):
-            trying = asyncio.ensure_future(order(caller, first))
+            request = asyncio.ensure_future(order(caller, first))
             await target.begun.wait()
-            trying.cancel()
+            request.cancel()
             again = asyncio.ensure_future(order(caller, second))
-            while 'lookup' not in second.shard_links.asked:
+            while 'lookup' not in second.shard_links.requests:
                 await asyncio.sleep(0)
             target.free.set()
             answered = await again
@@ -286,11 +262,11 @@
         self.assertEqual(target.started, ['starter feed'])
 
 
-def losing(agent, lost):
-    """Make an agent's gate that loses the first call of all with its link."""
+def drop_first_call(agent, lost):
+    """Return a ``serve`` that closes the link at the first call of all."""
     serve = agent.gate.serve
 
-    async def lose(call, opening):
+    async def drop(call, opening):
         if lost:
             await serve(call, opening)
             return
@@ -298,41 +274,33 @@
         for held in agent.listener.links:
             held.close('broken on the way')
 
-    return lose
+    return drop
 
 
 class LostLinkCase(unittest.IsolatedAsyncioTestCase):
     async def test_link_breaks_while_it_runs(self):
-        """The caller gets its answer although the link broke.
-
-        The connection to the agent drops after the hand-over.  The call runs
-        on; the entry asks the agent over a new connection.
-        """
+        """Guards against a lost response if the link breaks during a call."""
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, _, caller, agents):
-            trying = asyncio.ensure_future(order(caller, first))
+            request = asyncio.ensure_future(order(caller, first))
             await target.begun.wait()
             for held in agents[0].listener.links:
                 held.close('broken on the way')
-            while 'lookup' not in first.shard_links.asked:
+            while 'lookup' not in first.shard_links.requests:
                 await asyncio.sleep(0)
             target.free.set()
-            answered = await trying
+            answered = await request
         self.assertEqual((answered.status, answered.code), (201, ''))
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_link_breaks_before_the_agent_read_the_call(self):
-        """The caller gets its answer from another target.
-
-        The connection drops right after the bytes left, and the agent never
-        had them.  It says so under seal, and the order goes elsewhere.
-        """
+        """Guards against 'may have run' for a call that its agent seals."""
         targets = (Orders(), Orders())
         async with two_entries(*targets) as (first, _, caller, agents):
             lost = []
             for agent in agents:
-                agent.gate.serve = losing(agent, lost)
+                agent.gate.serve = drop_first_call(agent, lost)
             answered = await order(caller, first)
         self.assertEqual(len(lost), 1)
         self.assertEqual((answered.status, answered.code), (201, ''))
@@ -345,34 +313,26 @@
         return caller.plain(entry.address, 'POST', '/stock', 'starter feed')
 
     async def test_link_breaks_while_it_runs(self):
-        """The caller of a keyless order gets its answer all the same.
-
-        The connection drops after the hand-over; the entry asks the agent
-        over a new one instead of telling the caller that it may have run.
-        """
+        """Guards against a lost response of a call without a key."""
         target = Orders()
         target.free.clear()
         async with two_entries(target) as (first, _, caller, agents):
-            trying = asyncio.ensure_future(self.send(caller, first))
+            request = asyncio.ensure_future(self.send(caller, first))
             await target.begun.wait()
             for held in agents[0].listener.links:
                 held.close('broken on the way')
             target.free.set()
-            answered = await trying
+            answered = await request
         self.assertEqual((answered.status, answered.code), (201, ''))
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_link_breaks_before_the_agent_read_the_call(self):
-        """The order runs once, at another target.
-
-        The first agent never had the call and seals it, so its late arrival
-        there could start nothing.
-        """
+        """Guards against a lost or doubled call without a key."""
         targets = (Orders(), Orders())
         async with two_entries(*targets) as (first, _, caller, agents):
             lost = []
             for agent in agents:
-                agent.gate.serve = losing(agent, lost)
+                agent.gate.serve = drop_first_call(agent, lost)
             answered = await self.send(caller, first)
         self.assertEqual(len(lost), 1)
         self.assertEqual((answered.status, answered.code), (201, ''))
@@ -403,7 +363,7 @@
         self.assertEqual(len(targets[1].started), 4)
 
     async def test_refused_order_may_be_sent_again(self):
-        """The caller of a refused order sends it again and it runs once."""
+        """Guards against a claim that is not released after a refusal."""
         target = Orders()
         async with two_entries(target) as (first, second, caller, agents):
             agents[0].gate._leaving = True
@@ -416,11 +376,7 @@
         self.assertEqual(target.started, ['starter feed'])
 
     async def test_shard_without_quorum(self):
-        """The caller is told 'may have run' and nothing is handed over.
-
-        The claim can't be recorded.  Handed over all the same, a second try
-        would find no claim and run the order again.
-        """
+        """Guards against a handover without a recorded claim."""
         target = Orders()
         async with two_entries(target) as (first, _, caller, _):
             for shard in first.shards.values():
@@ -435,7 +391,7 @@
             key = {'Idempotency_Key': 'order-7'}
             await caller.plain(first.address, 'GET', '/stock', **key)
             await caller.plain(first.address, 'POST', '/stock', 'feed')
-            self.assertEqual(first.shard_links.asked, [])
+            self.assertEqual(first.shard_links.requests, [])
         self.assertEqual(len(target.started), 2)
 
 
@@ -445,7 +401,7 @@
         target.status = 409
         async with two_entries(target) as (first, second, caller, _):
             answers = [await order(caller, first)]
-            await settled(first, State.COMPLETE)
+            await wait_for_state(first, State.COMPLETE)
             answers.append(await order(caller, second))
         self.assertEqual({answer.status for answer in answers}, {409})
         self.assertEqual(len(target.started), 1)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Prove what a second try gets when the first one died at any point."""
+"""Test takeovers of a key's claim after its holder has died."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class Agents(takeover.Prober):
-    """Be the agents of a service, as probes reach them."""
+    """The claim gates of a service's agents, without a network."""
 
     def __init__(self):
         self.gates = {name: gates.ClaimGate(name, 1) for name in 'ab'}
@@ -28,7 +28,7 @@
 
 
 class Scene:
-    """Put two entries before the same shards and agents."""
+    """Two entries with the same shards and agents."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
@@ -47,20 +47,20 @@
         until_ms = int(self.loop.time() * 1000) + 5000
         return messages.Handover(target, 'a:1', 1, until_ms)
 
-    async def hold(self):
-        """Claim the key as the first try does."""
+    async def claim_key(self):
+        """Claim the key through the first entry."""
         claimant = self.claimant()
         reply = await self.first.claim(claimant, self.handover())
         assert reply.granted
         return claimant, reply
 
-    def opening(self, claimant, held):
+    def opening(self, claimant, grant):
         return messages.OpenCall(
-            claim=claimant.name, fence=held.fence, handover=held.handover
+            claim=claimant.name, fence=grant.fence, handover=grant.handover
         )
 
     async def resolve(self, seconds=10):
-        """Come as the second try of the same key."""
+        """Send the key again through the second entry."""
         claimant = self.claimant()
         reply = await self.second.claim(claimant, self.handover('b'))
         until = self.loop.time() + seconds
@@ -73,80 +73,64 @@
 class DeathCase(unittest.TestCase):
     @shards.virtual_time
     async def test_died_before_hand_over(self):
-        """The second try runs the order.
-
-        The holder dies after its claim and before the hand-over.  The agent
-        that the claim names has not seen the call and seals it, so it can't
-        start later either.
-        """
+        """Guards against a late start of a call that was taken over."""
         scene = Scene()
-        claimant, held = await scene.hold()
-        settled = await scene.resolve()
-        self.assertTrue(settled.granted)
-        self.assertGreater(settled.fence, held.fence)
+        claimant, grant = await scene.claim_key()
+        resolved = await scene.resolve()
+        self.assertTrue(resolved.granted)
+        self.assertGreater(resolved.fence, grant.fence)
         with self.assertRaises(claim_errors.ClaimFenced):
-            scene.agents.gates['a'].admit(scene.opening(claimant, held))
-        moved = await scene.first.move(claimant, held, scene.handover('b'))
+            scene.agents.gates['a'].admit(scene.opening(claimant, grant))
+        moved = await scene.first.move(claimant, grant, scene.handover('b'))
         self.assertFalse(moved.granted)
 
     @shards.virtual_time
     async def test_died_while_it_runs(self):
-        """The second try waits and gets the first one's answer.
-
-        The holder dies after the hand-over.  The agent runs the call to its
-        end and keeps the answer, which the second try records and gives.
-        """
+        """Guards against a second run of a call that its agent still runs."""
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(claimant, held))
+        gate.admit(scene.opening(claimant, grant))
 
-        async def end():
+        async def finish():
             await asyncio.sleep(3)
-            gate.finish(scene.opening(claimant, held), ANSWER)
-
-        ending = asyncio.ensure_future(end())
-        settled = await scene.resolve()
-        await ending
-        self.assertFalse(settled.granted)
-        self.assertEqual((settled.status, settled.body), (201, b'booked'))
-        self.assertEqual(settled.headers, list(ANSWER.headers))
+            gate.finish(scene.opening(claimant, grant), ANSWER)
+
+        finishing = asyncio.ensure_future(finish())
+        resolved = await scene.resolve()
+        await finishing
+        self.assertFalse(resolved.granted)
+        self.assertEqual((resolved.status, resolved.body), (201, b'booked'))
+        self.assertEqual(resolved.headers, list(ANSWER.headers))
         self.assertEqual(scene.state(), State.COMPLETE)
 
     @shards.virtual_time
     async def test_died_before_it_recorded_the_answer(self):
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(claimant, held))
-        gate.finish(scene.opening(claimant, held), ANSWER)
-        settled = await scene.resolve()
-        self.assertEqual((settled.granted, settled.body), (False, b'booked'))
+        gate.admit(scene.opening(claimant, grant))
+        gate.finish(scene.opening(claimant, grant), ANSWER)
+        resolved = await scene.resolve()
+        self.assertEqual((resolved.granted, resolved.body), (False, b'booked'))
 
     @shards.virtual_time
     async def test_died_and_the_answer_was_not_kept(self):
-        """The second try is told 'may have run' and nothing runs again.
-
-        The target broke in its answer, or the answer was too large to keep.
-        """
+        """Guards against a second run if the agent kept no response."""
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(claimant, held))
-        gate.finish(scene.opening(claimant, held), None)
+        gate.admit(scene.opening(claimant, grant))
+        gate.finish(scene.opening(claimant, grant), None)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
         self.assertIn(scene.state(), {State.GRANTED, State.UNKNOWN})
 
     @shards.virtual_time
-    async def test_died_and_the_agent_too(self):
-        """The second try is told 'may have run'.
-
-        Entry and agent die together.  The agent's next start knows nothing
-        of the time before, so there is no proof.
-        """
+    async def test_died_together_with_the_agent(self):
+        """Guards against a proof from an agent that has restarted."""
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         scene.agents.gates['a'] = gates.ClaimGate('a', 2)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
@@ -154,37 +138,29 @@
     @shards.virtual_time
     async def test_died_and_the_agent_is_cut_off(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         scene.agents.unreachable = True
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
 
     @shards.virtual_time
     async def test_died_between_two_targets(self):
-        """The second try asks the agent of the last recorded hand-over.
-
-        The holder was refused by ``a``, recorded its move to ``b``, handed
-        over and died.  ``a`` would prove truthfully that nothing ran there.
-        """
+        """Guards against a probe of any agent but the last handover's."""
         scene = Scene()
-        claimant, held = await scene.hold()
-        moved = await scene.first.move(claimant, held, scene.handover('b'))
+        claimant, grant = await scene.claim_key()
+        moved = await scene.first.move(claimant, grant, scene.handover('b'))
         self.assertTrue(moved.granted)
         gate = scene.agents.gates['b']
         gate.admit(scene.opening(claimant, moved))
         gate.finish(scene.opening(claimant, moved), ANSWER)
-        settled = await scene.resolve()
-        self.assertEqual((settled.granted, settled.body), (False, b'booked'))
+        resolved = await scene.resolve()
+        self.assertEqual((resolved.granted, resolved.body), (False, b'booked'))
 
     @shards.virtual_time
     async def test_died_after_a_grant_without_a_hand_over(self):
-        """A third try runs the order after the second one died too.
-
-        A claim that was taken over names no agent until its holder records
-        one, so nothing can have been handed over.
-        """
+        """Guards against an unresolvable grant that has no handover yet."""
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         self.assertTrue((await scene.resolve()).granted)
         third = await scene.resolve()
         self.assertTrue(third.granted)
@@ -195,33 +171,33 @@
     @shards.virtual_time
     async def test_waits_for_a_live_holder(self):
         scene = Scene()
-        claimant, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(claimant, held))
+        claimant, grant = await scene.claim_key()
+        scene.agents.gates['a'].admit(scene.opening(claimant, grant))
 
-        async def end():
+        async def finish():
             await asyncio.sleep(0.5)
-            finish = claim_client.Outcome(State.COMPLETE, 200, (), b'ok')
-            await scene.first.finish(claimant, held, finish)
+            outcome = claim_client.Outcome(State.COMPLETE, 200, (), b'ok')
+            await scene.first.finish(claimant, grant, outcome)
 
-        ending = asyncio.ensure_future(end())
-        settled = await scene.resolve()
-        await ending
-        self.assertEqual((settled.status, settled.body), (200, b'ok'))
+        finishing = asyncio.ensure_future(finish())
+        resolved = await scene.resolve()
+        await finishing
+        self.assertEqual((resolved.status, resolved.body), (200, b'ok'))
 
     @shards.virtual_time
-    async def test_is_told_that_it_still_runs(self):
+    async def test_still_running_call_is_reported(self):
         scene = Scene()
-        claimant, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(claimant, held))
+        claimant, grant = await scene.claim_key()
+        scene.agents.gates['a'].admit(scene.opening(claimant, grant))
         with self.assertRaises(claim_errors.ClaimStillRunning):
             await scene.resolve(seconds=5)
 
     @shards.virtual_time
     async def test_answer_too_large_to_keep(self):
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         await scene.first.finish(
-            claimant, held, claim_client.Outcome(State.COMPLETE)
+            claimant, grant, claim_client.Outcome(State.COMPLETE)
         )
         with self.assertRaises(claim_errors.ClaimAnswerNotKept):
             await scene.resolve()
@@ -229,32 +205,28 @@
     @shards.virtual_time
     async def test_unknown_outcome_is_not_run_again(self):
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         scene.agents.unreachable = True
         await scene.first.finish(
-            claimant, held, claim_client.Outcome(State.UNKNOWN)
+            claimant, grant, claim_client.Outcome(State.UNKNOWN)
         )
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
             await scene.resolve()
 
     @shards.virtual_time
-    async def test_unknown_outcome_is_asked_once_more(self):
-        """The second try runs the order after its agent came back.
-
-        The holder could not reach the agent and recorded 'unknown'.  The
-        agent was only cut off: it never saw the call and seals it.
-        """
+    async def test_unknown_outcome_is_probed_again(self):
+        """Guards against a final 'unknown' while the agent can still seal."""
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         await scene.first.finish(
-            claimant, held, claim_client.Outcome(State.UNKNOWN)
+            claimant, grant, claim_client.Outcome(State.UNKNOWN)
         )
         self.assertTrue((await scene.resolve()).granted)
 
     @shards.virtual_time
     async def test_two_second_tries_get_one_grant(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         tries = await asyncio.gather(
             scene.resolve(seconds=3),
             scene.resolve(seconds=3),
@@ -269,33 +241,29 @@
     @shards.virtual_time
     async def test_key_of_another_request(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         with self.assertRaises(claim_errors.ClaimKeyReused):
             await scene.second.claim(scene.claimant(digest=b'other'), None)
 
 
 class ClientCase(unittest.TestCase):
     @shards.virtual_time
-    async def test_lost_answers_are_asked_for_again(self):
+    async def test_lost_replies_are_retried(self):
         scene = Scene()
-        scene.links.lose_answers = 3
-        _, held = await scene.hold()
-        self.assertEqual(held.fence, 1)
-        self.assertEqual(set(scene.links.asked), {'claim'})
-        self.assertEqual(len(scene.links.asked), 4)
+        scene.links.lost_replies = 3
+        _, grant = await scene.claim_key()
+        self.assertEqual(grant.fence, 1)
+        self.assertEqual(set(scene.links.requests), {'claim'})
+        self.assertEqual(len(scene.links.requests), 4)
 
     @shards.virtual_time
     async def test_no_quorum_is_may_have_run(self):
-        """The caller isn't told 'not run' while nobody knows the key.
-
-        This may be its second try: the first one may have run through
-        another entry, and a caller told 'not run' would order anew.
-        """
+        """Guards against 'not run' without a quorum for the key's shard."""
         scene = Scene()
         for shard in scene.shards.values():
             shard.group.failure = failures.NotLeader()
         with self.assertRaises(claim_errors.ClaimsUnavailable):
-            await scene.hold()
+            await scene.claim_key()
         ran = claim_errors.ClaimsUnavailable.ran
         self.assertEqual(ran, messages.Ran.MAY_HAVE_RUN)
         self.assertLessEqual(
@@ -335,29 +303,29 @@
         self.assertEqual({reply.code for reply in refused}, {'TT4508'})
 
 
-class CollectCase(unittest.TestCase):
+class RecordOutcomeCase(unittest.TestCase):
     @shards.virtual_time
-    async def test_answer_is_recorded_for_a_caller_that_left(self):
+    async def test_response_is_recorded_after_a_disconnect(self):
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(claimant, held))
+        gate.admit(scene.opening(claimant, grant))
         until = scene.loop.time() + 60
-        collecting = asyncio.ensure_future(
-            scene.resolver.record_outcome(claimant, held, until)
+        recording = asyncio.ensure_future(
+            scene.resolver.record_outcome(claimant, grant, until)
         )
         await asyncio.sleep(5)
         self.assertEqual(scene.state(), State.GRANTED)
-        gate.finish(scene.opening(claimant, held), ANSWER)
-        await collecting
+        gate.finish(scene.opening(claimant, grant), ANSWER)
+        await recording
         self.assertEqual(scene.state(), State.COMPLETE)
 
     @shards.virtual_time
     async def test_unknown_is_recorded_without_any_proof(self):
         scene = Scene()
-        claimant, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         scene.agents.unreachable = True
         await scene.resolver.record_outcome(
-            claimant, held, scene.loop.time() + 60
+            claimant, grant, scene.loop.time() + 60
         )
         self.assertEqual(scene.state(), State.UNKNOWN)
