--- a/tests/test_call_path.py
+++ b/tests/test_call_path.py
@@ -1,4 +1,4 @@
-"""Prove what callers are told when the way to the target fails."""
+"""Test what callers get when the path to the target fails."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class Booking:
-    """Be a plain target that counts what it started."""
+    """A plain target that records the calls it started."""
 
     def __init__(self, answer=None):
         self.started = []
@@ -27,8 +27,8 @@
         return app
 
     async def _load(self, request):
-        figures = {'running': 0, 'queued': 0, 'batch_slots': 8}
-        return web.json_response(figures)
+        report = {'running': 0, 'queued': 0, 'batch_slots': 8}
+        return web.json_response(report)
 
     async def _book(self, request):
         self.started.append(await request.text())
@@ -48,8 +48,8 @@
     await asyncio.Event().wait()
 
 
-class WholePathCase(unittest.IsolatedAsyncioTestCase):
-    async def test_stream_comes_back_whole(self):
+class SuccessCase(unittest.IsolatedAsyncioTestCase):
+    async def test_stream_is_complete(self):
         async with stage.running([engine('a')]) as (entry, caller):
             answer = await caller.chat(entry.address, CHAT)
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
@@ -77,14 +77,9 @@
         self.assertEqual((unknown.status, unknown.code), (401, 'TT7001'))
 
 
-class OrderLostCase(unittest.IsolatedAsyncioTestCase):
+class LostCallCase(unittest.IsolatedAsyncioTestCase):
     async def test_lost_after_hand_over_is_not_repeated(self):
-        """The caller of a keyless order is told that it may have run.
-
-        The target takes the order and cuts the connection before it answers.
-        A second target stands ready, but the order is not sent again: nobody
-        can know whether the first one booked it.
-        """
+        """Guards against a retry of a call that may have run."""
         first = Booking(cut)
         second = Booking(cut)
         agents = [
@@ -102,11 +97,7 @@
         self.assertEqual(len(first.started) + len(second.started), 1)
 
     async def test_lookup_is_repeated_elsewhere(self):
-        """The caller of a lookup gets its answer though a target broke.
-
-        One target cuts each connection; the lookup may be repeated, so the
-        entry asks the other target within its retry budget.
-        """
+        """Guards against a failed idempotent call if a target breaks."""
         broken = Booking(cut)
         sound = Booking()
         agents = [
@@ -122,13 +113,8 @@
         self.assertEqual(outcomes, {load.Outcome.COMPLETE})
         self.assertTrue(broken.started)
 
-    async def test_uncertain_attempt_makes_the_whole_uncertain(self):
-        """The caller is not told 'not run' after an attempt that was lost.
-
-        The first attempt of a lookup is lost after the hand-over, the second
-        one is refused as not run by a target that leaves.  Only the last
-        refusal looks certain; the answer must speak for both.
-        """
+    async def test_lost_attempt_makes_the_call_may_have_run(self):
+        """Guards against 'not run' from a refusal after a lost attempt."""
         broken = Booking(cut)
         agents = [stage.Agent('a', broken.application())]
         async with stage.running(agents) as (entry, caller):
@@ -143,16 +129,12 @@
         self.assertEqual(answer.outcome, load.Outcome.MAY_HAVE_RUN)
 
     async def test_deadline_after_hand_over_may_have_run(self):
-        """The caller whose deadline passes in the target is told the truth.
-
-        The order was handed over and never answered.  Told 'not run', the
-        caller would send it again.
-        """
+        """Guards against 'not run' if the deadline ends a running call."""
 
-        async def silent(request):
+        async def never_respond(request):
             await asyncio.Event().wait()
 
-        booking = Booking(silent)
+        booking = Booking(never_respond)
         agents = [stage.Agent('a', booking.application())]
         async with stage.running(agents) as (entry, caller):
             answer = await caller.plain(
@@ -168,11 +150,7 @@
 
 class LeavingCase(unittest.IsolatedAsyncioTestCase):
     async def test_leaving_target_gets_no_new_call(self):
-        """The caller notices nothing while a target leaves.
-
-        The gate refuses at once, before any entry has heard of it; the entry
-        takes 'not run' and sends the order to the other target.
-        """
+        """Guards against failed calls while a target drains."""
         leaving = Booking()
         staying = Booking()
         agents = [
@@ -196,27 +174,23 @@
         async with stage.running([engine('a')]) as (entry, caller):
             agent = entry.fleet.connection('draft', 'a')
             self.assertTrue(agent.is_linked)
-            asking = asyncio.ensure_future(
+            request = asyncio.ensure_future(
                 caller.chat(entry.address, CHAT),
             )
             while not agent.view.load.own_calls:
                 await asyncio.sleep(0)
             agent.current_link.notify(stage.messages.Request())
-            answer = await asking
+            answer = await request
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
 
 
 class BrokenStreamCase(unittest.IsolatedAsyncioTestCase):
     async def test_stream_resumes_on_another_target(self):
-        """The caller of a broken stream gets every token once.
-
-        The agent that relays the stream vanishes in the middle; the entry
-        asks the other engine to go on after the last whole event.
-        """
+        """Guards against lost or repeated tokens after a lost agent."""
         agents = [engine('a'), engine('b')]
         long = load.Chat(prompt='go on', tokens=400)
         async with stage.running(agents) as (entry, caller):
-            asking = asyncio.ensure_future(caller.chat(entry.address, long))
+            request = asyncio.ensure_future(caller.chat(entry.address, long))
             busy = [agent for agent in agents if agent.gate.open_calls]
             while not busy:
                 await asyncio.sleep(0)
@@ -224,19 +198,14 @@
             for _ in range(200):
                 await asyncio.sleep(0)
             busy[0].listener.close()
-            answer = await asking
+            answer = await request
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
         self.assertEqual(answer.text, load.expected_text(long))
 
     async def test_break_without_resume_is_visible(self):
-        """The caller of a stream that can't go on sees it broken.
-
-        The only target closes its connection cleanly in the middle of an
-        event stream.  A short answer that looks whole would be taken for
-        all of it; the caller sees an error event and a cut connection.
-        """
+        """Guards against a truncated stream that looks complete."""
 
-        async def half(request):
+        async def send_half(request):
             response = web.StreamResponse(
                 headers={'Content-Type': 'text/event-stream'},
             )
@@ -246,7 +215,7 @@
             await response.write_eof()
             return response
 
-        target = Booking(half)
+        target = Booking(send_half)
         agent = stage.Agent(
             'a',
             target.application(),
--- a/tests/test_callers_limits.py
+++ b/tests/test_callers_limits.py
@@ -1,4 +1,4 @@
-"""Prove that one caller's bad manners cost the others nothing."""
+"""Test that slow or invalid callers don't affect others."""
 
 import asyncio
 import contextlib
@@ -18,33 +18,25 @@
     return reader, writer
 
 
-async def closed(reader):
+async def wait_closed(reader):
     with contextlib.suppress(OSError):
         await reader.read()
 
 
 class SlowCallerCase(unittest.IsolatedAsyncioTestCase):
     async def test_headers_a_byte_at_a_time(self):
-        """A caller that never finishes its headers is cut off.
-
-        It sends half a request and goes silent.  After the time for headers
-        its connection is closed, while another caller is served.
-        """
+        """Guards against connections that never complete their headers."""
         agents = [test_call_path.engine('a')]
         limits = {'slow_body_seconds': 0.3}
         async with stage.running(agents, **limits) as (entry, caller):
             reader, writer = await send(entry.address, b'GET / HTTP/1.1\r\nX')
             answer = await caller.chat(entry.address, test_call_path.CHAT)
-            await closed(reader)
+            await wait_closed(reader)
             writer.close()
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
 
     async def test_body_that_stops(self):
-        """A caller whose body stops in the middle gets a coded answer.
-
-        Nothing was handed over: the entry reads a body whole before it asks
-        for a place.
-        """
+        """Guards against a handover before the body is complete."""
         agents = [test_call_path.engine('a')]
         limits = {'slow_body_seconds': 0.3}
         raw = (
@@ -53,10 +45,10 @@
         )
         async with stage.running(agents, **limits) as (entry, _caller):
             reader, writer = await send(entry.address, raw)
-            told = await reader.readuntil(b'}}')
+            response = await reader.readuntil(b'}}')
             writer.close()
-        self.assertIn(b'TT7004', told)
-        self.assertIn(b'not_run', told)
+        self.assertIn(b'TT7004', response)
+        self.assertIn(b'not_run', response)
 
     async def test_too_many_connections(self):
         agents = [test_call_path.engine('a')]
@@ -65,7 +57,7 @@
             first = await send(address, HEALTH)
             await first[0].readuntil(b'alive')
             second = await send(address, HEALTH)
-            await closed(second[0])
+            await wait_closed(second[0])
             first[1].close()
             second[1].close()
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -1,4 +1,4 @@
-"""Prove that an organisation's cap holds, with and without control."""
+"""Test an organisation's rate limit with and without control."""
 
 import unittest
 
@@ -12,36 +12,36 @@
 
 
 class FakePeers:
-    """Answer as the leader would, or be cut off."""
+    """Reply as the leader of control, or time out."""
 
     def __init__(self):
         self.rate = 40
-        self.cut = False
-        self.asked = []
+        self.unreachable = False
+        self.requests = []
 
     async def request(self, address, request, timeout_seconds):
-        if self.cut:
+        if self.unreachable:
             raise errors.RequestTimeout
-        self.asked.append(request.portions)
+        self.requests.append(request.portions)
         leased = [messages.Portion(organisation='o', rate=self.rate)]
         reply = messages.PortionsReply(leased, lease_ms=5000, entries=2)
         return messages.Reply(portions=reply)
 
 
-class CapsCase(unittest.TestCase):
+class RateLeaserCase(unittest.TestCase):
     def setUp(self):
         self.loop = async_solipsism.EventLoop()
         self.links = FakePeers()
-        self.held = buckets.Portions()
+        self.portions = buckets.Portions()
         known = directory.Directory()
         known.apply(
             [stage.document('organisation', 'o', {'requests_per_second': 100})],
         )
-        self.keeper = rate_leases.RateLeaser(
+        self.leaser = rate_leases.RateLeaser(
             'e',
             'z',
             known,
-            self.held,
+            self.portions,
             self.links,
             ('a', 'b'),
         )
@@ -49,47 +49,42 @@
     def tearDown(self):
         self.loop.close()
 
-    async def passed(self, seconds):
-        """Count the calls that pass of a hundred a second."""
+    async def count_admitted(self, seconds):
+        """Return how many of a hundred calls a second are admitted."""
         passed = 0
         for _ in range(int(seconds * 100)):
             await rate_leases.asyncio.sleep(0.01)
-            portion = self.held.find('o')
+            portion = self.portions.find('o')
             passed += not portion.take(1, self.loop.time())
         return passed
 
     def test_leased_portion_then_safe_share(self):
-        """An organisation gets its portion, and little once control is gone.
-
-        Control leases this entry 40 of 100 calls a second.  Then the entry
-        is cut off; when the lease has ended it falls to its safe share, so
-        that entries cut off together stay under the cap.
-        """
-
-        async def lived():
-            self.keeper.update_limits()
-            running = self.loop.create_task(self.keeper.run())
-            await self.passed(3)
-            leased = await self.passed(5)
-            self.links.cut = True
-            await self.passed(7)
-            lapsed = await self.passed(5)
+        """Guards against the leased rate in use after the lease has ended."""
+
+        async def run():
+            self.leaser.update_limits()
+            running = self.loop.create_task(self.leaser.run())
+            await self.count_admitted(3)
+            leased = await self.count_admitted(5)
+            self.links.unreachable = True
+            await self.count_admitted(7)
+            lapsed = await self.count_admitted(5)
             running.cancel()
             return leased, lapsed
 
-        leased, lapsed = self.loop.run_until_complete(lived())
+        leased, lapsed = self.loop.run_until_complete(run())
         self.assertEqual(round(leased / 5), 40)
-        # 100 a second, a tenth kept back for lapsed entries, two entries.
+        # A tenth of 100 a second is reserved for two entries without leases.
         self.assertEqual(round(lapsed / 5), 5)
-        self.assertTrue(self.links.asked)
+        self.assertTrue(self.links.requests)
 
-    def test_cap_taken_away(self):
-        async def lived():
-            self.keeper.update_limits()
-            self.keeper._directory.apply(
+    def test_limit_removed(self):
+        async def run():
+            self.leaser.update_limits()
+            self.leaser._directory.apply(
                 [stage.document('organisation', 'o', {})],
             )
-            self.keeper.update_limits()
+            self.leaser.update_limits()
 
-        self.loop.run_until_complete(lived())
-        self.assertIsNone(self.held.find('o'))
+        self.loop.run_until_complete(run())
+        self.assertIsNone(self.portions.find('o'))
--- a/tests/test_retry_parts.py
+++ b/tests/test_retry_parts.py
@@ -1,4 +1,4 @@
-"""Prove that second tries stay within their bound when all entries start."""
+"""Test that retries stay within their budget when all entries start."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Entry:
-    """Be an entry that learns of the others."""
+    """An entry's retry budget and the number of entries it knows."""
 
     def __init__(self, known):
         self.known = known
         self.site = settings.Site(seeds=(), link_port=1)
-        self.part = budgets.Budgets(self.site, self._count, self._now)
+        self.budget = budgets.Budgets(self.site, self._count, self._now)
 
-    def press(self):
-        """Take a call that is refused; tell whether it is tried again."""
-        self.part.earn(SERVICE)
-        return self.part.spend(SERVICE)
+    def refuse_call(self):
+        """Handle a refused call; return whether it is retried."""
+        self.budget.earn(SERVICE)
+        return self.budget.spend(SERVICE)
 
     def _count(self):
         return self.known
@@ -33,41 +33,37 @@
 
 
 class StartCase(unittest.TestCase):
-    def test_nobody_is_known(self):
-        """All entries start at once while every target refuses calls.
-
-        None knows of another one yet.  Each takes the whole reserve for its
-        own, and targets that start get a second try for nearly every call.
-        """
+    def test_no_other_entry_is_known(self):
+        """Guards against a full retry reserve at each entry after a start."""
         entries = [Entry(0) for _ in range(ENTRIES)]
-        spent = _press(entries)
+        spent = _run_refused_calls(entries)
         share = entries[0].site.retry_share
         self.assertLessEqual(spent, ENTRIES * CALLS_EACH * share)
         self.assertGreater(spent, 0)
 
-    def test_some_are_known(self):
-        """Each entry knows those that asked for the news before it."""
+    def test_some_entries_are_known(self):
+        """Guards against excess retries while entries discover each other."""
         entries = [Entry(1 + number) for number in range(ENTRIES)]
-        spent = _press(entries)
+        spent = _run_refused_calls(entries)
         site = entries[0].site
         earned = ENTRIES * CALLS_EACH * site.retry_share
         self.assertLessEqual(spent, earned + 2.2 * site.retry_reserve)
 
-    def test_part_follows_the_entries(self):
-        """What a lone entry has saved is cut when others become known."""
+    def test_reserve_shrinks_with_more_entries(self):
+        """Guards against a reserve that keeps its size with more entries."""
         entry = Entry(1)
         for _ in range(1000):
-            entry.part.earn(SERVICE)
+            entry.budget.earn(SERVICE)
         entry.known = ENTRIES
-        spent = sum(entry.part.spend(SERVICE) for _ in range(100))
+        spent = sum(entry.budget.spend(SERVICE) for _ in range(100))
         self.assertLessEqual(spent, entry.site.retry_reserve / ENTRIES)
 
 
-def _press(entries):
-    """Let each entry take its calls, and learn of the others after a while."""
+def _run_refused_calls(entries):
+    """Run the calls of all entries, which discover each other meanwhile."""
     spent = 0
     for number in range(CALLS_EACH):
         for entry in entries:
             entry.known = max(entry.known, min(ENTRIES, number))
-            spent += entry.press()
+            spent += entry.refuse_call()
     return spent
