--- a/tamarackthread/entry/calls.py
+++ b/tamarackthread/entry/calls.py
@@ -133,8 +133,8 @@
 
     def _claim_of(self, call: Call) -> call_claim.CallClaim:
         if not call.is_keyed:
-            return self._claims.start_unkeyed(call.facts.deadline)
-        return self._claims.start(
+            return self._claims.create_unkeyed(call.facts.deadline)
+        return self._claims.create(
             keyed_claim.Request(
                 facts=call.facts,
                 rules=call.profile.claims,
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -40,8 +40,8 @@
         self._context = pools.PoolContext(zone, config, self._portions, rng)
         self._peers: peers.Peers | None = None
         self._pools: dict[str, pools.Pool] = {}
-        self._by_target: dict[str, pools.Pool] = {}
-        self._closing: set[asyncio.Task[None]] = set()
+        self._pools_by_target: dict[str, pools.Pool] = {}
+        self._drain_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def portions(self) -> buckets.Portions:
@@ -64,7 +64,7 @@
         """Apply a load report."""
         if request.report is None:
             return
-        pool = self._by_target.get(request.report.target)
+        pool = self._pools_by_target.get(request.report.target)
         if pool is not None:
             pool.apply_report(request.report)
 
@@ -85,7 +85,7 @@
 
     def update(self) -> None:
         """Apply the directory's targets, entries and profiles."""
-        for name in tuple(self._by_target):
+        for name in tuple(self._pools_by_target):
             if self._has_moved(name):
                 self._disconnect(name)
         self._update_ranks()
@@ -96,14 +96,14 @@
 
     def close(self) -> None:
         """Disconnect from all targets."""
-        for name in tuple(self._by_target):
+        for name in tuple(self._pools_by_target):
             self._disconnect(name)
 
     def _has_moved(self, name: str) -> bool:
         details = self._directory.targets.get(name)
         if details is None:
             return True
-        pool = self._by_target[name]
+        pool = self._pools_by_target[name]
         current = pool.connections[name].details
         if details.service != pool.service:
             return True
@@ -152,20 +152,20 @@
             connection.details = details
             return
         connection = pool.add(name, details)
-        self._by_target[name] = pool
+        self._pools_by_target[name] = pool
         loop = asyncio.get_running_loop()
         connection.connect_task = loop.create_task(
             self._keep_connected(pool, connection)
         )
 
     def _disconnect(self, name: str) -> None:
-        pool = self._by_target.pop(name)
+        pool = self._pools_by_target.pop(name)
         current = pool.connections[name].current_link
         pool.remove(name)
         if current is not None and not current.is_closed:
-            closing = asyncio.get_running_loop().create_task(_drain(current))
-            self._closing.add(closing)
-            closing.add_done_callback(self._closing.discard)
+            draining = asyncio.get_running_loop().create_task(_drain(current))
+            self._drain_tasks.add(draining)
+            draining.add_done_callback(self._drain_tasks.discard)
 
     async def _keep_connected(
         self, pool: pools.Pool, connection: pools.TargetConnection
--- a/tamarackthread/entry/keyed_claim.py
+++ b/tamarackthread/entry/keyed_claim.py
@@ -233,7 +233,7 @@
         """Return the resolver of claims with an unknown outcome."""
         return self._resolver
 
-    def start(self, request: Request) -> KeyedClaim:
+    def create(self, request: Request) -> KeyedClaim:
         """Create the claim of a keyed call."""
         rules = request.rules
         claimant = claim_client.Claimant(
@@ -250,7 +250,7 @@
         )
         return KeyedClaim(self, claimant, rules)
 
-    def start_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedClaim:
+    def create_unkeyed(self, deadline: float) -> unkeyed_claim.UnkeyedClaim:
         """Create the claim of a call without a key."""
         return unkeyed_claim.UnkeyedClaim(self._resolver.prober, deadline)
 
--- a/tests/claim_simulation.py
+++ b/tests/claim_simulation.py
@@ -160,7 +160,7 @@
             path='/order',
             body=key.encode(),
         )
-        claim = self.keyed.start(request)
+        claim = self.keyed.create(request)
         claim.wrap_sink(sink)
         try:
             await self._run_attempts(claim, key, sink)
