--- a/tamarackthread/policy/subset_ranking.py
+++ b/tamarackthread/policy/subset_ranking.py
@@ -1,8 +1,5 @@
-"""Follow an entry's subset of targets while entries come and go.
-
-Working a subset out anew scores every pair of an entry and a target, which at
-hundreds of entries and thousands of targets would hold the event loop for
-seconds.  Here a change of one entry costs one score for each target.
+"""Maintain an entry's subset of targets incrementally: scoring all pairs of
+entries and targets on each change would block the event loop for seconds.
 """
 
 from __future__ import annotations
@@ -16,14 +13,14 @@
 
 
 @attrs.define(slots=True)
-class _Ranked:
-    place: subsets.Endpoint
+class _RankedTarget:
+    endpoint: subsets.Endpoint
     score: float
     rank: int
 
 
 class RankedTargets:
-    """Know for each target how many entries it prefers to this one."""
+    """Track for each target how many entries score higher than this one."""
 
     def __init__(
         self,
@@ -36,85 +33,82 @@
             settings or subsets.SubsetSettings()
         ).same_zone_weight
         self._entries: dict[str, subsets.Endpoint] = {}
-        self._targets: dict[str, _Ranked] = {}
+        self._targets: dict[str, _RankedTarget] = {}
 
     @property
-    def entries(self) -> int:
-        """Count the entries, this one included."""
+    def entry_count(self) -> int:
+        """Return the number of entries, including this one."""
         return len(self._entries) + 1
 
     def set_entries(
         self,
         entries: collections.abc.Mapping[str, subsets.Endpoint],
     ) -> None:
-        """Follow the list of entries; scores only those that differ."""
-        wanted = dict(entries)
-        wanted.pop(self._own.name, None)
+        """Update the entries; scores only those that changed."""
+        updated = dict(entries)
+        updated.pop(self._own.name, None)
         for name, known in tuple(self._entries.items()):
-            if wanted.get(name) != known:
+            if updated.get(name) != known:
                 self._entries.pop(name)
-                self._shift(known, -1)
-        for name, place in wanted.items():
+                self._adjust_ranks(known, -1)
+        for name, endpoint in updated.items():
             if name not in self._entries:
-                self._entries[name] = place
-                self._shift(place, 1)
+                self._entries[name] = endpoint
+                self._adjust_ranks(endpoint, 1)
 
     def set_targets(
         self,
         targets: collections.abc.Mapping[str, subsets.Endpoint],
     ) -> None:
-        """Follow the list of targets; scores only those that differ."""
+        """Update the targets; scores only those that changed."""
         for name, known in tuple(self._targets.items()):
-            if targets.get(name) != known.place:
+            if targets.get(name) != known.endpoint:
                 self._targets.pop(name)
-        for name, place in targets.items():
+        for name, endpoint in targets.items():
             if name not in self._targets:
-                self._targets[name] = self._ranked(place)
+                self._targets[name] = self._rank_target(endpoint)
 
     def choose(
         self,
         size: int,
         usable: collections.abc.Callable[[str], bool],
     ) -> set[str]:
-        """Choose about ``size`` targets, more when few of them are usable.
-
-        Each target is in the subset of equally many entries.  An entry's
-        own number differs from its mean by chance, and chance must not
-        leave it with too few, so it's widened with the targets that rank it
-        best.  Those that are unusable stay in, so that they are found again.
-        """
+        """Return about ``size`` targets, so that targets have equal shares."""
+        # Adds the best-ranked other targets until enough are usable; unusable
+        # ones stay in, so that their recovery is noticed.
         total = len(self._targets)
         if total <= size:
             return set(self._targets)
-        share = math.ceil(size * self.entries / total)
+        rank_limit = math.ceil(size * self.entry_count / total)
         chosen = set()
-        spare = []
-        useful = 0
-        for name, ranked in self._targets.items():
-            if ranked.rank >= share:
-                spare.append((ranked.rank, name))
+        remaining = []
+        usable_count = 0
+        for name, target in self._targets.items():
+            if target.rank >= rank_limit:
+                remaining.append((target.rank, name))
                 continue
             chosen.add(name)
-            useful += usable(name)
-        spare.sort()
-        for _, name in spare:
-            if useful >= size:
+            usable_count += usable(name)
+        remaining.sort()
+        for _, name in remaining:
+            if usable_count >= size:
                 break
             chosen.add(name)
-            useful += usable(name)
+            usable_count += usable(name)
         return chosen
 
-    def _ranked(self, place: subsets.Endpoint) -> _Ranked:
-        own = self._score(self._own, place)
+    def _rank_target(self, endpoint: subsets.Endpoint) -> _RankedTarget:
+        own_score = self._score(self._own, endpoint)
         rank = sum(
-            self._score(other, place) > own for other in self._entries.values()
+            self._score(other, endpoint) > own_score
+            for other in self._entries.values()
         )
-        return _Ranked(place, own, rank)
+        return _RankedTarget(endpoint, own_score, rank)
 
-    def _shift(self, entry: subsets.Endpoint, by: int) -> None:
-        for ranked in self._targets.values():
-            if self._score(entry, ranked.place) > ranked.score:
-                ranked.rank += by
+    def _adjust_ranks(self, entry: subsets.Endpoint, delta: int) -> None:
+        for target in self._targets.values():
+            if self._score(entry, target.endpoint) > target.score:
+                target.rank += delta
 
     def _score(
         self, entry: subsets.Endpoint, target: subsets.Endpoint
--- a/tamarackthread/policy/subsets.py
+++ b/tamarackthread/policy/subsets.py
@@ -1,9 +1,5 @@
-"""Score the pairs of an entry and a target.
-
-Every entry works its subset of targets out for itself, from the same two
-lists.  The choice is by rendezvous hashing from the target's side: each
-target picks its entries, so that each target has its share of entries, and a
-target or entry that comes or goes moves only its own pairs.
+"""Score entries for targets by weighted rendezvous hashing, so that each target
+has its share of entries and a change moves only the changed one's pairs.
 """
 
 from __future__ import annotations
@@ -24,19 +20,19 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class SubsetSettings:
-    """Hold how pairs are scored.
-
-    ``same_zone_weight`` is how much likelier a pair within one zone is; a pull
-    without bound would leave a zone without entries unserved.
-    """
+    """Hold the weights of scores."""
 
+    # Factor on the likelihood of pairs within a zone; finite, so that zones
+    # without entries are served from others.
     same_zone_weight: float = 4.0
 
 
 def score(entry: Endpoint, target: Endpoint, same_zone_weight: float) -> float:
-    """Draw how much a target wants an entry, the same in every process."""
+    """Return a target's score for an entry, the same in every process."""
     digest = xxhash.xxh64_intdigest(f'{entry.name}\n{target.name}'.encode())
-    drawn = (digest + 1) / (_HASH_RANGE + 1)
+    uniform = (digest + 1) / (_HASH_RANGE + 1)
     return (
-        drawn ** (1 / same_zone_weight) if entry.zone == target.zone else drawn
+        uniform ** (1 / same_zone_weight)
+        if entry.zone == target.zone
+        else uniform
     )
