--- a/tamarackthread/policy/routing.py
+++ b/tamarackthread/policy/routing.py
@@ -1,9 +1,4 @@
-"""Choose a target for a call.
-
-The profile of a service names one of these policies.  ``RoundRobin`` and
-``LeastReportedLoad`` are what the older balancer does; they stay for sites
-that move over step by step, and for comparison.
-"""
+"""Choose a target for a call by the routing policy of the service's profile."""
 
 from __future__ import annotations
 
@@ -18,16 +13,13 @@
 
 @attrs.define(slots=True, eq=False)
 class TargetView:
-    """One entry's view of one target.
-
-    ``share`` is what the ejection leaves of the target's usual traffic, from
-    0 to 1.
-    """
+    """One entry's view of one target."""
 
     name: str
     zone: str
     load: target_load.TargetLoad = attrs.field(factory=target_load.TargetLoad)
     prefixes: affinity.PrefixView = attrs.field(factory=affinity.PrefixView)
+    # Share of its usual traffic after ejection, from 0 to 1.
     share: float = 1.0
 
 
@@ -44,29 +36,24 @@
         candidates: Candidates,
         now: float,
     ) -> TargetView | None:
-        """Return the target for the call, or ``None`` when none takes it."""
+        """Return a target for the call, or ``None`` if none accepts it."""
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class RoutingSettings:
-    """Hold the bounds of ``ExpectedFirstToken``.
-
-    ``affinity_load_factor`` bounds the occupancy that prefix affinity may cause, as a
-    factor of the candidates' mean.  ``cross_zone_seconds`` is the price of leaving
-    the own zone: a round trip to another zone.
-    """
+    """Hold the limits of ``ExpectedFirstToken``."""
 
+    # Occupancy limit for prefix affinity, as a factor of the candidates' mean.
     affinity_load_factor: float = 1.25
+    # Round trip to another zone.
     cross_zone_seconds: float = 0.003
+    # Random choices that are compared.
     samples: int = 2
 
 
 class ExpectedFirstToken(RoutingPolicy):
-    """Take the target that is expected to give the first token soonest.
-
-    It compares two sampled targets and the one with the longest cached
-    prefix.  Comparing all would send every entry to the same target until the
-    next report tells them of each other.
+    """Choose the earliest expected first token out of sampled targets and the
+    longest cached prefix; sampling avoids herding on the least loaded target.
     """
 
     def __init__(
@@ -86,57 +73,59 @@
         candidates: Candidates,
         now: float,
     ) -> TargetView | None:
-        """Return the target, from the own zone while it has room."""
-        pool = self._pool(call, candidates, now)
+        """Return a target, from this entry's zone while that has free slots."""
+        pool = self._preferred(call, candidates, now)
         if not pool:
             return None
         options = self._sample(pool)
-        favourite = self._favourite(call, pool, now)
-        if favourite is not None:
-            options.append(favourite)
-        return min(options, key=lambda view: self._price(call, view, now))
+        best_cached = self._best_cached(call, pool, now)
+        if best_cached is not None:
+            options.append(best_cached)
+        return min(
+            options, key=lambda view: self._expected_seconds(call, view, now)
+        )
 
-    def _pool(
+    def _preferred(
         self,
         call: calls.CallFacts,
         candidates: Candidates,
         now: float,
     ) -> list[TargetView]:
         usable = usable_targets(call, candidates)
-        roomy = [view for view in usable if view.load.has_room(now)]
-        near = [view for view in roomy if view.zone == self._zone]
-        return near or roomy or usable
+        with_room = [view for view in usable if view.load.has_room(now)]
+        same_zone = [view for view in with_room if view.zone == self._zone]
+        return same_zone or with_room or usable
 
     def _sample(self, pool: list[TargetView]) -> list[TargetView]:
         options: list[TargetView] = []
-        rest = pool
+        remaining = pool
         for _ in range(min(self._settings.samples, len(pool))):
-            weights = [view.share for view in rest]
-            picked = self._random.choices(rest, weights)[0]
-            options.append(picked)
-            rest = [view for view in rest if view is not picked]
+            weights = [view.share for view in remaining]
+            sampled = self._random.choices(remaining, weights)[0]
+            options.append(sampled)
+            remaining = [view for view in remaining if view is not sampled]
         return options
 
-    def _favourite(
+    def _best_cached(
         self,
         call: calls.CallFacts,
         pool: list[TargetView],
         now: float,
     ) -> TargetView | None:
-        best = None
-        most: float = 0
-        bound = 1 + self._settings.affinity_load_factor * mean_occupancy(
-            pool, now
+        longest = None
+        longest_tokens: float = 0
+        max_occupancy = (
+            1 + self._settings.affinity_load_factor * mean_occupancy(pool, now)
         )
         for view in pool:
-            if view.share < 1 or view.load.occupancy(now) > bound:
+            if view.share < 1 or view.load.occupancy(now) > max_occupancy:
                 continue
             cached = view.prefixes.cached_tokens(call.prefixes)
-            if cached > most:
-                best, most = view, cached
-        return best
+            if cached > longest_tokens:
+                longest, longest_tokens = view, cached
+        return longest
 
-    def _price(
+    def _expected_seconds(
         self,
         call: calls.CallFacts,
         view: TargetView,
@@ -144,18 +133,18 @@
     ) -> float:
         cached = view.prefixes.cached_tokens(call.prefixes)
         uncached = max(0, call.prompt_tokens - cached)
-        price = view.load.expected_first_token(uncached, now, call.priority)
+        seconds = view.load.expected_first_token(uncached, now, call.priority)
         if view.zone != self._zone:
-            price += self._settings.cross_zone_seconds
-        return price
+            seconds += self._settings.cross_zone_seconds
+        return seconds
 
 
 class RoundRobin(RoutingPolicy):
-    """Take the targets in turn."""
+    """Choose the targets in turn."""
 
     def __init__(self) -> None:
-        """Start with the first target."""
-        self._turn = 0
+        """Start the rotation."""
+        self._next = 0
 
     def choose(
         self,
@@ -163,16 +152,16 @@
         candidates: Candidates,
         now: float,
     ) -> TargetView | None:
-        """Return the next target that takes calls."""
+        """Return the next target that accepts calls."""
         usable = usable_targets(call, candidates)
         if not usable:
             return None
-        self._turn += 1
-        return usable[self._turn % len(usable)]
+        self._next += 1
+        return usable[self._next % len(usable)]
 
 
 class LeastReportedLoad(RoutingPolicy):
-    """Take the target whose last report shows the fewest calls."""
+    """Choose the target with the fewest calls in its last report."""
 
     def __init__(self, generator: random.Random) -> None:
         """Break ties at random."""
@@ -196,7 +185,7 @@
     call: calls.CallFacts,
     candidates: Candidates,
 ) -> list[TargetView]:
-    """List the candidates that take calls and weren't tried already."""
+    """List the candidates that accept calls and were not tried yet."""
     usable = []
     for view in candidates:
         if view.name in call.excluded or view.share <= 0:
@@ -207,13 +196,13 @@
 
 
 def mean_occupancy(views: Candidates, now: float) -> float:
-    """Average the estimated number of calls over some targets."""
+    """Return the mean estimated number of calls per target."""
     if not views:
         return 0
     return sum(view.load.occupancy(now) for view in views) / len(views)
 
 
 def reported_calls(view: TargetView) -> int:
-    """Count the running and queued calls of the last report."""
+    """Return the running and queued calls of the last report."""
     last = view.load.last_report
     return (last.running or 0) + (last.queued or 0)
