--- a/tamarackthread/policy/ejection.py
+++ b/tamarackthread/policy/ejection.py
@@ -1,8 +1,5 @@
-"""Keep calls away from targets that are slow against their peers.
-
-The ranks of a group run in lock-step, so one stalled rank slows the whole
-group while it still answers every health check.  Its step time against the
-median of its peers shows it.
+"""Eject targets with outlying step times or consecutive failures; a stalled rank
+slows its whole group while all health checks pass.
 """
 
 from __future__ import annotations
@@ -14,23 +11,24 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class EjectionSettings:
-    """Hold when a target is ejected and how it returns.
-
-    A step of ``slow_factor`` times the median for ``slow_seconds`` ejects.
-    At most ``max_ejected_share`` of the targets, but one of three or more, are out
-    at a time.  A healthy one gets ``initial_share`` of its calls at first and
-    all of them after ``slow_start_seconds``.  Each new ejection soon after the
-    last doubles the time out, from ``base_ejection_seconds`` to ``max_ejection_seconds``.
-    """
+    """Hold the conditions of an ejection and of the slow start after it."""
 
+    # Step time that ejects, as a factor of the peers' median.
     slow_factor: float = 1.8
+    # Time for which steps must be slow.
     slow_seconds: float = 0.3
+    # Weight of the newest step in the moving average.
     smoothing: float = 0.5
+    # Always allows one ejected target out of three or more.
     max_ejected_share: float = 0.25
+    # Time of the first ejection; doubles with each one that follows soon.
     base_ejection_seconds: float = 1.0
     max_ejection_seconds: float = 10.0
+    # Share of its usual calls that a target gets after its return.
     initial_share: float = 0.1
+    # Time until it gets all of them.
     slow_start_seconds: float = 3.0
+    # Consecutive failures that eject.
     failures: int = 5
 
 
@@ -38,17 +36,17 @@
 class _Health:
     step_ms: float = 0
     slow_since: float | None = None
-    out_until: float | None = None
-    back_since: float | None = None
+    ejected_until: float | None = None
+    returned_at: float | None = None
     ejection_seconds: float = 0
     failures: int = 0
 
 
 class Ejection:
-    """Decide how much of its usual traffic each target of a service gets."""
+    """Decide which share of its usual calls each target of a service gets."""
 
     def __init__(self, settings: EjectionSettings | None = None) -> None:
-        """Start with every target in."""
+        """Start without ejected targets."""
         self._settings = settings or EjectionSettings()
         self._targets: dict[str, _Health] = {}
 
@@ -59,23 +57,21 @@
         running: int,
         now: float,
     ) -> None:
-        """Take in a step time and the number of calls that it was for.
-
-        An idle target reports its last step again and again.  An ejected one
-        is idle, so counting that would keep it out for good.
-        """
+        """Record a step time and the number of running calls."""
+        # An idle target repeats its last step time; counting that would keep
+        # an ejected one out for ever.
         health = self._targets.setdefault(target, _Health())
-        self._let_back(health, now)
-        if not running or step_ms <= 0 or health.out_until is not None:
+        self._update(health, now)
+        if not running or step_ms <= 0 or health.ejected_until is not None:
             return
         if not health.step_ms:
             health.step_ms = step_ms
-        mix = self._settings.smoothing
-        health.step_ms += (step_ms - health.step_ms) * mix
-        self._judge(target, health, now)
+        smoothing = self._settings.smoothing
+        health.step_ms += (step_ms - health.step_ms) * smoothing
+        self._check_step(target, health, now)
 
     def record_result(self, target: str, is_good: bool, now: float) -> None:
-        """Count an answer; only a row of bad ones ejects, never a single."""
+        """Record a call's result; consecutive failures eject the target."""
         health = self._targets.setdefault(target, _Health())
         if is_good:
             health.failures = 0
@@ -86,29 +82,29 @@
             self._eject(health, now)
 
     def forget(self, target: str) -> None:
-        """Drop a target that is gone."""
+        """Drop a removed target."""
         self._targets.pop(target, None)
 
     def share(self, target: str, now: float) -> float:
-        """Return the part, from 0 to 1, of its usual calls to send there."""
+        """Return the share, from 0 to 1, of its usual calls for a target."""
         health = self._targets.get(target)
         if health is None:
             return 1
-        self._let_back(health, now)
-        if health.out_until is not None:
+        self._update(health, now)
+        if health.ejected_until is not None:
             return 0
-        if health.back_since is None:
+        if health.returned_at is None:
             return 1
         settings = self._settings
-        passed = (now - health.back_since) / settings.slow_start_seconds
+        elapsed = (now - health.returned_at) / settings.slow_start_seconds
         first = settings.initial_share
-        return min(1, first + (1 - first) * passed)
+        return min(1, first + (1 - first) * elapsed)
 
     def ejected(self, now: float) -> list[str]:
-        """List the targets that get no calls now."""
+        """List the ejected targets."""
         return [name for name in self._targets if not self.share(name, now)]
 
-    def _judge(self, target: str, health: _Health, now: float) -> None:
+    def _check_step(self, target: str, health: _Health, now: float) -> None:
         if not self._is_slow(target, health):
             health.slow_since = None
             return
@@ -119,47 +115,45 @@
 
     def _is_slow(self, target: str, health: _Health) -> bool:
         peers = []
-        for name, other in self._targets.items():
-            if name != target and other.step_ms:
+        for other_name, other in self._targets.items():
+            if other_name != target and other.step_ms:
                 peers.append(other.step_ms)
         if len(peers) < 2:
             return False
-        limit = statistics.median(peers) * self._settings.slow_factor
-        return health.step_ms > limit
+        threshold = statistics.median(peers) * self._settings.slow_factor
+        return health.step_ms > threshold
 
     def _eject(self, health: _Health, now: float) -> None:
-        """Take a target out, unless too many are out already.
-
-        Without the bound, a slow moment of the whole service would eject one
-        target after the other and leave the last to take everything.
-        """
+        """Eject a target, unless that would overload the remaining ones."""
         settings = self._settings
-        if health.out_until is not None or not self._may_eject(now):
+        if health.ejected_until is not None or not self._may_eject(now):
             return
-        doubled = min(
+        backoff = min(
             settings.max_ejection_seconds, 2 * health.ejection_seconds
         )
-        health.ejection_seconds = max(settings.base_ejection_seconds, doubled)
-        health.out_until = now + health.ejection_seconds
-        health.back_since = None
+        health.ejection_seconds = max(settings.base_ejection_seconds, backoff)
+        health.ejected_until = now + health.ejection_seconds
+        health.returned_at = None
 
     def _may_eject(self, now: float) -> bool:
-        total = len(self._targets)
-        most = int(total * self._settings.max_ejected_share)
-        if total >= 3:
-            most = max(1, most)
-        return len(self.ejected(now)) < most
+        target_count = len(self._targets)
+        max_ejected = int(target_count * self._settings.max_ejected_share)
+        if target_count >= 3:
+            max_ejected = max(1, max_ejected)
+        return len(self.ejected(now)) < max_ejected
 
-    def _let_back(self, health: _Health, now: float) -> None:
+    def _update(self, health: _Health, now: float) -> None:
         settings = self._settings
-        if health.out_until is not None and now >= health.out_until:
-            health.back_since = health.out_until
-            health.out_until = None
+        if health.ejected_until is not None and now >= health.ejected_until:
+            health.returned_at = health.ejected_until
+            health.ejected_until = None
             health.slow_since = None
             health.step_ms = 0
-        if health.back_since is None:
+        if health.returned_at is None:
             return
-        calm = settings.slow_start_seconds + 2 * health.ejection_seconds
-        if now - health.back_since > calm:
-            health.back_since = None
+        stable_seconds = (
+            settings.slow_start_seconds + 2 * health.ejection_seconds
+        )
+        if now - health.returned_at > stable_seconds:
+            health.returned_at = None
             health.ejection_seconds = 0
