--- a/tamarackthread/policy/calls.py
+++ b/tamarackthread/policy/calls.py
@@ -1,8 +1,4 @@
-"""Describe a call as far as the decisions need to know it.
-
-The facts hold no headers or body, so that a policy can be tested with a
-handful of numbers.
-"""
+"""Describe a call as policies see it, without headers or body."""
 
 from __future__ import annotations
 
@@ -12,7 +8,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order calls by urgency; a lower number goes first."""
+    """Order calls by urgency; a lower number is more urgent."""
 
     URGENT = 0
     NORMAL = 1
@@ -21,33 +17,31 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class CallFacts:
-    """What is known about one call before it is routed.
-
-    ``deadline`` is in the loop's seconds.  ``answer_tokens`` is the expected
-    length of the answer, 0 when nobody knows; ``prefixes`` are the chained
-    block hashes from ``affinity``, ``prefix_block_tokens`` tokens each.
-    ``excluded`` names targets that were tried already, and ``is_resumed`` marks
-    a started call that lost its target.  ``resume_offset`` is the number of stream
-    events that the caller already has.
-    """
+    """What is known about one call before it is routed."""
 
     organisation: str
+    # In seconds of the event loop's clock.
     deadline: float
     priority: Priority = Priority.NORMAL
     prompt_tokens: int = 0
+    # Expected length of the answer, 0 if unknown.
     answer_tokens: int = 0
+    # Chained block hashes from ``affinity``.
     prefixes: tuple[int, ...] = ()
     idempotent: bool = False
+    # Names of targets that were tried already.
     excluded: frozenset[str] = frozenset()
+    # Whether the call has lost or left a target after it was started.
     is_resumed: bool = False
+    # Number of stream events that the caller already has.
     resume_offset: int = 0
 
     @property
     def bypasses_queue(self) -> bool:
-        """Tell whether the call passes the fair queue."""
+        """Tell whether the call bypasses the fair queue."""
         return self.is_resumed or self.priority == Priority.URGENT
 
     @property
     def cost(self) -> float:
-        """Weigh the call for fair shares, in units of one plain call."""
+        """Return the call's weight in fair queueing; 1 is an empty call."""
         return 1 + (self.prompt_tokens + 4 * self.answer_tokens) / 1000
--- a/tamarackthread/policy/ejection.py
+++ b/tamarackthread/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Eject targets with outlying step times or consecutive failures; a stalled rank
+"""Eject targets with outlying step times or repeated failures; a stalled rank
 slows its whole group while all health checks pass.
 """
 
--- a/tamarackthread/policy/outcomes.py
+++ b/tamarackthread/policy/outcomes.py
@@ -1,7 +1,5 @@
-"""Say what is known about a call's execution after a failure.
-
-The rule is one sentence: a call is 'not run' only if its bytes never left or
-the agent itself said so.  The name of the error doesn't matter.
+"""Classify what is known about a call's execution after a failure: it is 'not
+run' only if it was never sent or its agent reported so.
 """
 
 from __future__ import annotations
@@ -14,7 +12,7 @@
 
 
 class CallStage(enum.IntEnum):
-    """Order the points of a call's way, as its entry sees it."""
+    """Order the stages of a call at its entry."""
 
     QUEUED = 0
     CLAIMED = 1
@@ -27,7 +25,7 @@
 
 
 class Cause(enum.Enum):
-    """Name what ended the call."""
+    """Name the cause of a call's end."""
 
     REFUSED_HERE = 'refused here'
     AGENT_REPORTED = 'agent said'
@@ -41,20 +39,18 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Ending:
-    """How a call ended at its entry.
-
-    ``reported`` is what the agent's ``CallEnd`` says, or ``None`` without one.
-    ``is_whole`` tells whether all events that it counts have arrived.
-    """
+    """How a call ended at its entry."""
 
     stage: CallStage
     cause: Cause
+    # From the agent's ``CallEnd``, if one has arrived.
     reported: messages.Ran | None = None
+    # Whether all events that the ``CallEnd`` counts have arrived.
     is_whole: bool = False
 
 
 def classify(ending: Ending) -> messages.Ran:
-    """Return what the caller may be told for certain."""
+    """Return what is certain about the call's execution."""
     if ending.stage < CallStage.BYTES_SENT:
         return messages.Ran.NOT_RUN
     if ending.cause != Cause.AGENT_REPORTED or ending.reported is None:
@@ -67,18 +63,15 @@
 
 
 def may_repeat(ran: messages.Ran, idempotent: bool) -> bool:
-    """Tell whether running the call again can do no harm."""
+    """Tell whether the call is safe to run again."""
     if ran == messages.Ran.NOT_RUN:
         return True
     return idempotent and ran == messages.Ran.MAY_HAVE_RUN
 
 
 def _checked_refusal(stage: CallStage) -> messages.Ran:
-    """Believe 'not run' only while no part of an answer was seen.
-
-    A frame of another call, or an agent's fault, could claim it after the
-    target has begun to answer; a retry would then run the call twice.
-    """
+    """Accept 'not run' only before any part of an answer has arrived."""
+    # Later it can only be an error, and a retry would run the call twice.
     if stage >= CallStage.HEAD_RECEIVED:
         return messages.Ran.MAY_HAVE_RUN
     return messages.Ran.NOT_RUN
--- a/tamarackthread/policy/preemption.py
+++ b/tamarackthread/policy/preemption.py
@@ -1,4 +1,4 @@
-"""Decide which running call gives way to an urgent one."""
+"""Choose the running call that an urgent one preempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class RunningCall:
-    """A running call as far as pre-emption needs to know it."""
+    """The facts of a running call that preemption needs."""
 
     key: int
     target: str
@@ -22,7 +22,7 @@
 
 
 class PreemptionPolicy(abc.ABC):
-    """Choose the running call that gives way."""
+    """Choose the running call to preempt."""
 
     @abc.abstractmethod
     def choose(
@@ -31,21 +31,20 @@
         running: collections.abc.Iterable[RunningCall],
         now: float,
     ) -> RunningCall | None:
-        """Return the call to pre-empt, or ``None`` to let all go on."""
+        """Return the call to preempt, or ``None`` for no preemption."""
 
 
 class LowestPriorityFirst(PreemptionPolicy):
-    """Pre-empt the least urgent call, and of those the newest.
-
-    The newest has the least work to lose or to resume.
+    """Preempt the newest call of the lowest priority, which has the least work
+    to lose or to resume.
     """
 
     def __init__(
         self,
-        least: calls.Priority = calls.Priority.BACKGROUND,
+        most_urgent: calls.Priority = calls.Priority.BACKGROUND,
     ) -> None:
-        """Spare all calls more urgent than ``least``."""
-        self._least = least
+        """Preempt no call that is more urgent than ``most_urgent``."""
+        self._most_urgent = most_urgent
 
     def choose(
         self,
@@ -53,20 +52,22 @@
         running: collections.abc.Iterable[RunningCall],
         now: float,
     ) -> RunningCall | None:
-        """Return the newest call of the lowest priority."""
-        found = None
+        """Return the newest call of the lowest priority, if preemptible."""
+        chosen = None
         for candidate in running:
-            if candidate.priority < self._least:
+            if candidate.priority < self._most_urgent:
                 continue
             if candidate.target in urgent.excluded:
                 continue
-            if found is None or _rank(candidate) > _rank(found):
-                found = candidate
-        return found
+            if chosen is None or _preemption_key(candidate) > _preemption_key(
+                chosen
+            ):
+                chosen = candidate
+        return chosen
 
 
 class NoPreemption(PreemptionPolicy):
-    """Let every running call go on."""
+    """Preempt no running call."""
 
     def choose(
         self,
@@ -77,5 +78,5 @@
         """Return ``None``."""
 
 
-def _rank(candidate: RunningCall) -> tuple[int, float]:
+def _preemption_key(candidate: RunningCall) -> tuple[int, float]:
     return candidate.priority, candidate.started_at
--- a/tamarackthread/policy/refusals.py
+++ b/tamarackthread/policy/refusals.py
@@ -1,6 +1,5 @@
-"""Define the coded refusals of the request path.
-
-All of them say ``NOT_RUN``: they are decided before a call is handed over.
+"""Define the errors of calls that are refused before they reach a target, all
+with ``NOT_RUN``.
 """
 
 from __future__ import annotations
@@ -9,7 +8,7 @@
 
 
 class AdmissionRefused(errors.CodedError):
-    """Service has no room for this call before its deadline."""
+    """Service has no capacity for this call before its deadline."""
 
     code = 'TT4001'
     status = 503
@@ -23,35 +22,35 @@
 
 
 class QueueFull(errors.CodedError):
-    """Queue in front of the service is full."""
+    """Queue of the service is full."""
 
     code = 'TT4003'
     status = 503
 
 
 class NoTarget(errors.CodedError):
-    """Service has no target that takes calls."""
+    """Service has no target that accepts calls."""
 
     code = 'TT4004'
     status = 503
 
 
 class DeadlineTooClose(errors.CodedError):
-    """Deadline leaves less time than an answer takes."""
+    """Deadline is earlier than the expected end of the answer."""
 
     code = 'TT4005'
     status = 503
 
 
 class EntryOverloaded(errors.CodedError):
-    """Entry has more to do than it can answer in time."""
+    """Entry is overloaded and sheds calls."""
 
     code = 'TT4006'
     status = 503
 
 
 class CallPreempted(errors.CodedError):
-    """Drafting work gave way to an urgent call before it was handed over."""
+    """Call was preempted by an urgent call."""
 
     code = 'TT4007'
     status = 503
--- a/tamarackthread/policy/retries.py
+++ b/tamarackthread/policy/retries.py
@@ -1,7 +1,5 @@
-"""Decide whether and when a failed call is tried again.
-
-Retries multiply a failure into an overload.  So they are paid from a budget
-that grows with the traffic that went well.
+"""Decide whether and when to retry a failed call, within a retry budget that
+prevents retry storms.
 """
 
 from __future__ import annotations
@@ -17,22 +15,22 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class RetrySettings:
-    """Hold the bounds of retries, times in seconds.
-
-    ``ratio`` is how many retries each call pays for, and ``reserve`` how many
-    may be saved up; a quiet service gets ``min_rate`` a second besides.
-    """
+    """Hold the limits of retries; delays are in seconds."""
 
+    # Retries that each call earns.
     ratio: float = 0.1
+    # Retries that can be saved up.
     reserve: float = 20.0
+    # Retries earned per second, without any calls.
     min_rate: float = 1.0
+    # Attempts of a call, including the first one.
     attempts: int = 3
-    first_delay: float = 0.005
+    base_delay: float = 0.005
     max_delay: float = 0.2
 
 
 class RetryBudget:
-    """Count what is left for retries."""
+    """Token bucket of the retries that calls have earned."""
 
     def __init__(
         self,
@@ -40,38 +38,38 @@
         now: float,
         level: float | None = None,
     ) -> None:
-        """Start with ``level`` saved up, by default half of the reserve."""
+        """Start with ``level`` retries, by default half of the reserve."""
         self._settings = settings
         self._level: float = settings.reserve / 2 if level is None else level
-        self._filled_at = now
+        self._refilled_at = now
 
     @property
     def level(self) -> float:
-        """Return how many retries are paid for, as of the last call."""
+        """Return the number of available retries, as of the last update."""
         return self._level
 
     def set_reserve(self, reserve: float) -> None:
-        """Let no more than a reserve be saved up from now on."""
+        """Change the number of retries that can be saved up."""
         self._settings = attrs.evolve(self._settings, reserve=reserve)
         self._level = min(self._level, reserve)
 
     def earn(self, now: float) -> None:
-        """Count a first attempt, which pays for a share of a retry."""
-        self._fill(now, self._settings.ratio)
+        """Count a first attempt, which earns a share of a retry."""
+        self._refill(now, self._settings.ratio)
 
     def spend(self, now: float) -> bool:
-        """Pay for a retry; tell whether the budget allowed it."""
-        self._fill(now, 0)
+        """Take a retry from the budget; tell whether there was one."""
+        self._refill(now, 0)
         if self._level < 1:
             return False
         self._level -= 1
         return True
 
-    def _fill(self, now: float, more: float) -> None:
-        passed = max(0, now - self._filled_at)
-        self._filled_at = now
-        more += passed * self._settings.min_rate
-        self._level = min(self._settings.reserve, self._level + more)
+    def _refill(self, now: float, earned: float) -> None:
+        elapsed = max(0, now - self._refilled_at)
+        self._refilled_at = now
+        earned += elapsed * self._settings.min_rate
+        self._level = min(self._settings.reserve, self._level + earned)
 
 
 class RetryPolicy(abc.ABC):
@@ -85,14 +83,13 @@
         attempt: int,
         now: float,
     ) -> float | None:
-        """Return seconds until the next attempt, or ``None`` for none.
-
-        ``attempt`` counts from 1, the attempt that failed.
+        """Return the seconds until the next attempt, or ``None`` for no retry;
+        ``attempt`` is the number of the failed attempt, from 1.
         """
 
 
 class BudgetedRetry(RetryPolicy):
-    """Retry what may repeat, within the budget, the attempts and the deadline."""
+    """Retry calls that may repeat, within budget, attempts and deadline."""
 
     def __init__(
         self,
@@ -112,14 +109,14 @@
         attempt: int,
         now: float,
     ) -> float | None:
-        """Return a jittered, doubling delay while a retry makes sense."""
+        """Return a jittered exponential backoff, or ``None`` for no retry."""
         settings = self._settings
         if attempt >= settings.attempts:
             return None
         if not outcomes.may_repeat(ran, call.idempotent):
             return None
-        longest = settings.first_delay * 2 ** (attempt - 1)
-        pause = self._random.uniform(0, min(longest, settings.max_delay))
-        if now + pause >= call.deadline:
+        backoff = settings.base_delay * 2 ** (attempt - 1)
+        jittered = self._random.uniform(0, min(backoff, settings.max_delay))
+        if now + jittered >= call.deadline:
             return None
-        return pause if self._budget.spend(now) else None
+        return jittered if self._budget.spend(now) else None
