--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Prove that moves keep out of the way of urgent notices."""
+"""Test that loading weights does not delay urgent calls."""
 
 import unittest
 
@@ -21,16 +21,16 @@
 
 
 class TestMoveQueue(unittest.TestCase):
-    """Check the order, pauses and ends of moves."""
+    """Check the order, pauses and cancellation of moves."""
 
     def test_one_in_flight(self) -> None:
-        """A second piece is handed out only after the first."""
+        """A second piece is handed out only after the first is finished."""
         queue = moves.MoveQueue(MOVES, 2)
         self.assertIsNotNone(queue.start(urgent_active=False))
         self.assertIsNone(queue.start(urgent_active=False))
 
     def test_pause(self) -> None:
-        """Nothing is handed out while urgent work is near."""
+        """No piece is handed out while urgent calls are active."""
         queue = moves.MoveQueue(MOVES, 2)
         self.assertIsNone(queue.start(urgent_active=True))
 
@@ -51,12 +51,12 @@
         self.assertEqual(queue.start(urgent_active=True).move, lost)
 
     def test_resume(self) -> None:
-        """A queue made anew skips what the rank has loaded."""
+        """A new queue skips the moves that the rank has loaded."""
         queue = moves.MoveQueue(MOVES, 2, set(MOVES[:3]))
         self.assertEqual({piece.move for piece in _drain(queue)}, {MOVES[3]})
 
     def test_cancel(self) -> None:
-        """A cancelled queue hands out nothing and says so."""
+        """A cancelled queue raises and reports the cancellation."""
         queue = moves.MoveQueue(MOVES, 2)
         queue.cancel()
         with self.assertRaises(moves.MovesCancelled):
@@ -65,7 +65,7 @@
 
 
 class TestUrgentNotices(unittest.TestCase):
-    """Replay moves and notices on one time line."""
+    """Replay moves and urgent notices together."""
 
     def _replay(self, pauses: bool) -> notices.Waits:
         settings = notices.PathSettings()
@@ -79,11 +79,8 @@
         return replay.waits
 
     def test_none_waits(self) -> None:
-        """No notice waits for a move.
-
-        Moves run all the time.  Each notice is hinted while its claim is
-        recorded, or at the latest seen before it is handed over; the piece
-        in flight is dropped within a chunk, which is over by then.
+        """No notice waits for a move: the hint interrupts the piece in flight
+        before the notice arrives.
         """
         waits = self._replay(pauses=True)
         self.assertGreater(waits.notices, 500)
@@ -91,7 +88,7 @@
         self.assertEqual(waits.delayed, 0)
 
     def test_waits_are_counted(self) -> None:
-        """Without the pauses the same notices wait, and are counted."""
+        """Without pauses the same notices are delayed."""
         waits = self._replay(pauses=False)
         self.assertGreater(waits.delayed, 50)
         self.assertGreater(waits.longest, 0.001)
