--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Prove the choice of targets, subsets and ejections."""
+"""Test routing policies, subsets and ejection."""
 
 import collections
 import math
@@ -17,20 +17,20 @@
 
 
 class TestRouting(unittest.TestCase):
-    """Choose by expected time to first token."""
+    """Choose targets by expected time to first token."""
 
     def setUp(self):
         self.near = [policy_case.view(f'near-{rank}') for rank in range(2)]
         self.far = [policy_case.view('far', zone='west')]
         self.views = self.near + self.far
 
-    def choose(self, chosen_by=None, call=None, now=0.0):
-        return (chosen_by or policy()).choose(
+    def choose(self, routing_policy=None, call=None, now=0.0):
+        return (routing_policy or policy()).choose(
             call or policy_case.call(), self.views, now
         )
 
     def test_spills_before_it_queues(self):
-        """The own zone is full; a call there would wait for a slot."""
+        """Calls go to another zone when their own has no free slot."""
         self.assertEqual(self.choose().zone, 'east')
         for view in self.near:
             view.load.report(policy_case.report(1, running=4), 0.0)
@@ -49,10 +49,8 @@
         )
 
     def test_affinity_is_bounded(self):
-        """A popular prefix must not pile all its calls on one target.
-
-        The target runs three calls, its seven peers none.  It has room and
-        the prompt cached, so by time alone it would get every call.
+        """A popular prefix does not concentrate all of its calls on the target
+        that has it cached.
         """
         self.views = [policy_case.view(f't-{rank}') for rank in range(8)]
         hot = self.views[0]
@@ -61,15 +59,13 @@
         self.assertIs(self.choose(call=call), hot)
         for _ in range(3):
             hot.load.first_token(hot.load.sent(100, 0.0), 0.0)
-        chosen_by = policy()
-        chosen = [self.choose(chosen_by, call) for _ in range(40)]
+        routing_policy = policy()
+        chosen = [self.choose(routing_policy, call) for _ in range(40)]
         self.assertLess(chosen.count(hot), 20)
 
     def test_no_herd_on_old_report(self):
-        """Ten entries see the same old report with one idle target.
-
-        The least reported load sends all ten there, where they queue.  Two
-        sampled choices send it no more than about half of them.
+        """Entries with the same outdated report do not herd on the one target
+        that it shows idle, as they do by least reported load.
         """
         self.views = [policy_case.view(f't-{rank}') for rank in range(6)]
         for rank, view in enumerate(self.views):
@@ -81,14 +77,14 @@
         counts = collections.Counter()
         for seed in range(60):
             generator = random.Random(seed)
-            ours = routing.ExpectedFirstToken('east', generator)
-            counts[self.choose(ours).name] += 1
-            older = routing.LeastReportedLoad(generator)
-            self.assertEqual(self.choose(older).name, 't-0')
+            expected_first = routing.ExpectedFirstToken('east', generator)
+            counts[self.choose(expected_first).name] += 1
+            least_load = routing.LeastReportedLoad(generator)
+            self.assertEqual(self.choose(least_load).name, 't-0')
         self.assertLess(counts['t-0'], 36)
 
 
-def places(prefix, count):
+def endpoints(prefix, count):
     zones = ('east', 'west', 'north')
     return [
         subsets.Endpoint(f'{prefix}-{rank}', zones[rank % 3])
@@ -97,12 +93,12 @@
 
 
 class TestSubsets(unittest.TestCase):
-    """Give each entry its stable part of the targets."""
+    """Give each entry a stable subset of the targets."""
 
-    def names(self, entry, entries, targets, healthy=None, size=12):
+    def subset(self, entry, entries, targets, healthy=None, size=12):
         ranked = subset_ranking.RankedTargets(entry)
-        ranked.set_entries({place.name: place for place in entries})
-        ranked.set_targets({place.name: place for place in targets})
+        ranked.set_entries({endpoint.name: endpoint for endpoint in entries})
+        ranked.set_targets({endpoint.name: endpoint for endpoint in targets})
         return ranked.choose(
             size, lambda name: healthy is None or name in healthy
         )
@@ -110,13 +106,13 @@
     @hypothesis.given(strategies.integers(1, 12), strategies.integers(1, 20))
     @hypothesis.settings(max_examples=30, deadline=None)
     def test_every_target_has_entries(self, entry_count, target_count):
-        entries = places('entry', entry_count)
-        targets = places('target', target_count)
+        entries = endpoints('entry', entry_count)
+        targets = endpoints('target', target_count)
         counts = collections.Counter()
         for entry in entries:
-            names = self.names(entry, entries, targets, size=4)
-            counts.update(names)
-            self.assertGreaterEqual(len(names), min(4, target_count))
+            subset = self.subset(entry, entries, targets, size=4)
+            counts.update(subset)
+            self.assertGreaterEqual(len(subset), min(4, target_count))
         least = math.ceil(4 * entry_count / target_count)
         for target in targets:
             self.assertGreaterEqual(
@@ -124,47 +120,47 @@
             )
 
     def test_lost_entry_moves_only_its_pairs(self):
-        """One of 30 entries is lost; its targets need another each.
-
-        An entry that was widened may take another target in its place; no
-        more than that moves.
+        """Losing an entry moves only its own pairs and at most one more target
+        of each other entry.
         """
-        entries = places('entry', 30)
-        targets = places('target', 60)
-        lost = self.names(entries[0], entries, targets)
+        entries = endpoints('entry', 30)
+        targets = endpoints('target', 60)
+        lost = self.subset(entries[0], entries, targets)
         moved = 0
         for entry in entries[1:]:
-            old = self.names(entry, entries, targets)
-            new = self.names(entry, entries[1:], targets)
+            old = self.subset(entry, entries, targets)
+            new = self.subset(entry, entries[1:], targets)
             moved += len(new - old)
             self.assertLessEqual(len(old - new), 1)
         self.assertLessEqual(moved, 2 * len(lost))
 
-    def test_widened_when_thinned(self):
-        """Most of an entry's targets fail; it must not crowd on the rest."""
-        entries = places('entry', 30)
-        targets = places('target', 30)
-        own = self.names(entries[0], entries, targets)
+    def test_subset_grows_when_targets_fail(self):
+        """An entry whose targets fail gets others, instead of overloading the
+        remaining ones.
+        """
+        entries = endpoints('entry', 30)
+        targets = endpoints('target', 30)
+        own = self.subset(entries[0], entries, targets)
         healthy = {target.name for target in targets} - own
-        wider = self.names(entries[0], entries, targets, healthy)
-        self.assertLessEqual(own, wider)
-        self.assertGreaterEqual(len(wider & healthy), 12)
+        grown = self.subset(entries[0], entries, targets, healthy)
+        self.assertLessEqual(own, grown)
+        self.assertGreaterEqual(len(grown & healthy), 12)
 
     def test_own_zone_is_likelier(self):
-        entries = places('entry', 30)
-        targets = places('target', 60)
+        entries = endpoints('entry', 30)
+        targets = endpoints('target', 60)
         zones = {target.name: target.zone for target in targets}
         near = 0
         total = 0
         for entry in entries:
-            for name in self.names(entry, entries, targets):
+            for name in self.subset(entry, entries, targets):
                 near += zones[name] == entry.zone
                 total += 1
         self.assertGreater(near / total, 0.45)
 
 
 class TestEjection(unittest.TestCase):
-    """Keep calls away from slow groups, within bounds."""
+    """Eject slow targets, within limits."""
 
     def setUp(self):
         self.ejection = ejection.Ejection()
@@ -178,10 +174,8 @@
                 )
 
     def test_stalled_group_leaves_and_returns(self):
-        """One rank stalls, its whole group is slow, and later recovers.
-
-        Callers of the group would all be late.  It is out after the reports
-        of a few hundred milliseconds, and its calls come back bit by bit.
+        """A group with a stalled rank is ejected and returns by slow start when
+        it has recovered.
         """
         self.report({0}, 0, 1)
         self.assertEqual(self.ejection.ejected(0.9), ['g-0'])
@@ -191,28 +185,26 @@
         self.assertLess(shares[0], 0.3)
         self.assertEqual(shares[2], 1)
 
-    def test_idle_target_is_not_judged(self):
-        """An ejected group is idle and repeats its last, slow step.
-
-        Judged by that it would be ejected again for good, and the service
-        would lose a group to each stall it ever had.
+    def test_idle_target_is_ignored(self):
+        """An ejected, idle group that repeats its last slow step time is not
+        ejected for ever.
         """
         self.report({0}, 0, 1)
         for tenth in range(10, 60):
             self.ejection.observe_step('g-0', 40.0, 0, tenth / 10)
         self.assertGreater(self.ejection.share('g-0', 6.0), 0.5)
 
-    def test_stall_that_lasts_is_out_longer(self):
+    def test_repeated_ejections_back_off(self):
         self.report({0}, 0, 20)
         out = [self.ejection.share('g-0', now) == 0 for now in (19.9, 22)]
         self.assertEqual(out, [True, True])
 
-    def test_bounded_share(self):
-        """Half of the groups slow down; ejecting all would drown the rest."""
+    def test_ejected_share_is_bounded(self):
+        """Ejecting all slow groups would overload the remaining ones."""
         self.report({0, 1, 2}, 0, 3)
         self.assertLessEqual(len(self.ejection.ejected(2.9)), 2)
 
-    def test_one_bad_answer(self):
+    def test_only_consecutive_failures_eject(self):
         for rank in range(4):
             self.ejection.record_result(f'g-{rank}', is_good=True, now=0)
         self.ejection.record_result('g-0', is_good=False, now=0)
--- a/tests/test_subset_links.py
+++ b/tests/test_subset_links.py
@@ -1,4 +1,4 @@
-"""Prove that entries share out the targets and follow each other's changes."""
+"""Test that subsets divide targets evenly and follow membership changes."""
 
 import collections
 import unittest
@@ -8,7 +8,7 @@
 ZONES = ('a', 'b', 'c')
 
 
-def places(kind, count):
+def endpoints(kind, count):
     return {
         f'{kind}-{number}': subsets.Endpoint(
             f'{kind}-{number}',
@@ -27,19 +27,19 @@
 
 class SubsetCase(unittest.TestCase):
     def setUp(self):
-        self.entries = places('entry', 30)
-        self.targets = places('target', 120)
+        self.entries = endpoints('entry', 30)
+        self.targets = endpoints('target', 120)
 
     def test_each_target_has_its_share_of_entries(self):
-        counted = collections.Counter()
+        counts = collections.Counter()
         for entry in self.entries.values():
             chosen = subset_of(entry, self.entries, self.targets)
             self.assertGreaterEqual(len(chosen), 12)
-            counted.update(chosen)
-        self.assertEqual(set(counted), set(self.targets))
-        self.assertGreaterEqual(min(counted.values()), 3)
+            counts.update(chosen)
+        self.assertEqual(set(counts), set(self.targets))
+        self.assertGreaterEqual(min(counts.values()), 3)
 
-    def test_following_changes_gives_the_same_as_working_it_out_anew(self):
+    def test_incremental_updates_equal_a_full_computation(self):
         own = self.entries['entry-3']
         ranked = subset_ranking.RankedTargets(own)
         ranked.set_entries(self.entries)
@@ -50,14 +50,12 @@
         self.entries['entry-99'] = subsets.Endpoint('entry-99', 'b')
         ranked.set_entries(self.entries)
         ranked.set_targets(self.targets)
-        anew = subset_of(own, self.entries, self.targets)
-        self.assertEqual(ranked.choose(12, lambda name: True), anew)
+        recomputed = subset_of(own, self.entries, self.targets)
+        self.assertEqual(ranked.choose(12, lambda name: True), recomputed)
 
-    def test_lost_targets_are_made_up_for(self):
-        """An entry whose targets are lost finds others at once.
-
-        A zone's targets stop answering; the subset is widened by as many as
-        are lost, and the lost ones stay in it to be found again.
+    def test_lost_targets_are_replaced(self):
+        """Lost targets are replaced in the subset and stay in it, so that their
+        recovery is noticed.
         """
         own = self.entries['entry-3']
         before = subset_of(own, self.entries, self.targets)
@@ -67,7 +65,7 @@
         self.assertTrue(before <= after)
         self.assertGreaterEqual(len(after - lost), 12)
 
-    def test_small_service_is_taken_whole(self):
-        few = places('target', 12)
-        chosen = subset_of(self.entries['entry-0'], self.entries, few)
-        self.assertEqual(chosen, set(few))
+    def test_small_service_has_no_subsets(self):
+        few_targets = endpoints('target', 12)
+        chosen = subset_of(self.entries['entry-0'], self.entries, few_targets)
+        self.assertEqual(chosen, set(few_targets))
