--- a/tamarackthread/policy/expert_map.py
+++ b/tamarackthread/policy/expert_map.py
@@ -120,8 +120,8 @@
 
 
 def cold_start(shape: GroupShape) -> ExpertMap:
-    """Place experts in order, before any load is known; redundant replicas
-    are half the ranks away, so that the loss of one rank leaves the other.
+    """Place experts in order, before any load is known; redundant replicas are
+    half the ranks away, so that the loss of one rank leaves the other.
     """
     if shape.redundant < 0:
         raise ExpertMapInvalid(f'{shape} has too few slots')
--- a/tamarackthread/policy/group_planning.py
+++ b/tamarackthread/policy/group_planning.py
@@ -1,5 +1,5 @@
-"""Trade off a group map's skew against the time that its copies take, since
-a map that takes longer to copy than demand lasts is out of date once in force.
+"""Trade off a group map's skew against the time that its copies take, since a
+map that takes longer to copy than demand lasts is out of date once in force.
 """
 
 from __future__ import annotations
--- a/tamarackthread/policy/moves.py
+++ b/tamarackthread/policy/moves.py
@@ -1,5 +1,5 @@
-"""Queue weights to load in the background, in pieces that can be interrupted
-so that loading doesn't delay urgent calls.
+"""Queue weights to load in the background, in pieces that can be interrupted so
+that loading doesn't delay urgent calls.
 """
 
 from __future__ import annotations
--- a/tamarackthread/policy/placement.py
+++ b/tamarackthread/policy/placement.py
@@ -1,5 +1,5 @@
-"""Plan a group's next expert map from the current one and a load forecast;
-runs for tens of milliseconds or more, so event loops call it in a thread.
+"""Plan a group's next expert map from the current one and a load forecast; runs
+for tens of milliseconds or more, so event loops call it in a thread.
 """
 
 from __future__ import annotations
--- a/tamarackthread/policy/rebalancing.py
+++ b/tamarackthread/policy/rebalancing.py
@@ -1,5 +1,5 @@
-"""Rebalance a group's ranks greedily, for engines that load few new experts
-per map; ``policy.placement`` plans for engines that accept any map.
+"""Rebalance a group's ranks greedily, for engines that load few new experts per
+map; ``policy.placement`` plans for engines that accept any map.
 """
 
 from __future__ import annotations
--- a/tamarackthread/policy/target_load.py
+++ b/tamarackthread/policy/target_load.py
@@ -1,5 +1,5 @@
-"""Estimate a target's load: the own calls as they are now, plus those of
-other entries from the last report, weighted by its age.
+"""Estimate a target's load: the own calls as they are now, plus those of other
+entries from the last report, weighted by its age.
 """
 
 from __future__ import annotations
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Prove what is known after failures, and what may be tried again."""
+"""Test outcomes, retries, leased portions and load shedding."""
 
 import itertools
 import random
@@ -20,7 +20,7 @@
 COMPLETE = messages.Ran.COMPLETE
 
 
-def known(stage, cause, reported=None, is_whole=False):
+def classified(stage, cause, reported=None, is_whole=False):
     ending = outcomes.Ending(
         stage=stage, cause=cause, reported=reported, is_whole=is_whole
     )
@@ -28,13 +28,11 @@
 
 
 class TestOutcomes(unittest.TestCase):
-    """Tell callers no more than is known."""
+    """Classify no call with more certainty than is known."""
 
     def test_only_the_agent_grants_not_run(self):
-        """The link drops, a timeout fires or the caller leaves, anywhere.
-
-        Once bytes have left, nothing but the agent's own word makes it 'not
-        run', whatever the error is called: a retry would run it twice.
+        """A sent call is 'not run' only if its agent reports so, because a
+        retry after any other failure could run it twice.
         """
         pairs = itertools.product(outcomes.CallStage, outcomes.Cause)
         for stage, cause in pairs:
@@ -42,21 +40,21 @@
                 expected = MAY_HAVE_RUN
                 if stage < outcomes.CallStage.BYTES_SENT:
                     expected = NOT_RUN
-                self.assertEqual(known(stage, cause), expected)
+                self.assertEqual(classified(stage, cause), expected)
 
-    def test_agents_word(self):
+    def test_agent_report(self):
         stage = outcomes.CallStage
-        said = outcomes.Cause.AGENT_REPORTED
-        self.assertEqual(known(stage.BYTES_SENT, said, NOT_RUN), NOT_RUN)
+        agent = outcomes.Cause.AGENT_REPORTED
+        self.assertEqual(classified(stage.BYTES_SENT, agent, NOT_RUN), NOT_RUN)
         self.assertEqual(
-            known(stage.HEAD_RECEIVED, said, NOT_RUN), MAY_HAVE_RUN
+            classified(stage.HEAD_RECEIVED, agent, NOT_RUN), MAY_HAVE_RUN
         )
-        whole = known(stage.END_RECEIVED, said, COMPLETE, is_whole=True)
+        whole = classified(stage.END_RECEIVED, agent, COMPLETE, is_whole=True)
         self.assertEqual(whole, COMPLETE)
 
     def test_short_answer_is_not_complete(self):
-        """The end says complete, but events before it never arrived."""
-        ended = known(
+        """A call that ended as complete with missing events is not complete."""
+        ended = classified(
             outcomes.CallStage.END_RECEIVED,
             outcomes.Cause.AGENT_REPORTED,
             COMPLETE,
@@ -65,7 +63,7 @@
 
 
 class TestRetries(unittest.TestCase):
-    """Retry what may repeat, within bounds."""
+    """Retry calls that may repeat, within limits."""
 
     def policy(self, **settings):
         chosen = retries.RetrySettings(**settings)
@@ -89,10 +87,8 @@
         self.assertIsNone(policy.delay(call, NOT_RUN, 1, 5.0))
 
     def test_failures_do_not_multiply(self):
-        """Every call fails 'not run' for ten seconds.
-
-        Retried freely, three attempts a call would triple the load on what
-        is left.  The budget lets a tenth more through, and what was saved.
+        """The budget limits retries to a tenth of the calls, plus its reserve,
+        if every call fails.
         """
         budget, policy = self.policy()
         allowed = 0
@@ -108,19 +104,17 @@
     """Limit organisations by leased portions."""
 
     def test_lapsed_lease_falls_to_safe_share(self):
-        """An entry is cut off from control with a large portion.
-
-        Control gives that portion to others once the lease has ended; going
-        on with it would let the organisation exceed its cap.
+        """An entry cut off from control falls back to the safe rate once its
+        lease has expired, so that the organisation stays within its cap.
         """
         portion = buckets.Portion(safe_rate=1.0, now=0.0)
         portion.grant(10.0, asked_at=0.0, lease=3.0)
-        passed = {True: 0, False: 0}
+        granted = {True: 0, False: 0}
         for tenth in range(80):
             now = tenth / 10
-            passed[now < 3] += portion.take(1, now) == 0
-        self.assertGreater(passed[True], 25)
-        self.assertLessEqual(passed[False], 6)
+            granted[now < 3] += portion.take(1, now) == 0
+        self.assertGreater(granted[True], 25)
+        self.assertLessEqual(granted[False], 6)
 
     def test_lapse_never_raises_the_rate(self):
         portion = buckets.Portion(safe_rate=5.0, now=0.0)
@@ -138,10 +132,10 @@
 
 
 class TestOverload(unittest.TestCase):
-    """Refuse early while the loop runs late."""
+    """Shed calls while the event loop lags."""
 
     def test_lag_refuses_and_recovers(self):
-        """The loop is held up; heartbeats and refusals would be late too."""
+        """Calls are refused while the loop lags, and accepted after it."""
         meter = overload.LagMeter()
         guard = overload.OverloadGuard(meter)
         normal = policy_case.call()
--- a/tests/test_profiles_in_use.py
+++ b/tests/test_profiles_in_use.py
@@ -1,4 +1,4 @@
-"""Prove that an entry behaves by the profile that is in force."""
+"""Test that an entry applies the profile in force."""
 
 import asyncio
 import unittest
@@ -40,16 +40,14 @@
 
 class UrgentCase(unittest.IsolatedAsyncioTestCase):
     async def test_urgent_notice_does_not_queue_behind_a_draft(self):
-        """An urgent notice is answered while a long draft holds the slot.
-
-        The draft gives its place up, the notice runs, and the draft goes on
-        at its position: its caller gets every token once.
+        """An urgent call preempts a draft that holds the only slot, and the
+        draft resumes at its position.
         """
         draft = load.Chat(prompt='a long narrative', tokens=1500)
         notice = load.Chat(prompt='aurora now', tokens=5)
         agents = [test_call_path.engine('a', ONE_SLOT)]
         async with stage.running(agents) as (entry, caller):
-            drafting = asyncio.ensure_future(
+            draft_task = asyncio.ensure_future(
                 caller.chat(entry.address, draft, X_Priority='background'),
             )
             view = entry.fleet.contact('draft', 'a').view
@@ -67,9 +65,9 @@
                     ),
                 )
             answers = await asyncio.gather(*urgent)
-            self.assertFalse(drafting.done())
-            answer = await drafting
-        outcomes = {told.outcome for told in answers}
+            self.assertFalse(draft_task.done())
+            answer = await draft_task
+        outcomes = {urgent_answer.outcome for urgent_answer in answers}
         self.assertEqual(outcomes, {load.Outcome.COMPLETE})
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
         self.assertEqual(answer.text, load.expected_text(draft))
--- a/tests/test_target_load.py
+++ b/tests/test_target_load.py
@@ -35,8 +35,8 @@
         self.assertAlmostEqual(self.load.occupancy(2.0), 0)
 
     def test_late_and_doubled_reports(self):
-        """Repeated and overtaken reports are ignored; acting on them would send a
-        burst to a full target.
+        """Repeated and overtaken reports are ignored; acting on one would send
+        a burst to a full target.
         """
         self.assertTrue(
             self.load.report(policy_case.report(5, running=4), 1.0),
