--- a/tamarackthread/policy/migration.py
+++ b/tamarackthread/policy/migration.py
@@ -135,5 +135,5 @@
         # Expects a stall to last as long again as it has lasted already.
         min_left = call.answer_tokens * self._settings.min_left_share
         left_tokens = max(min_left, call.answer_tokens - progress.events)
-        silence = now - progress.last_at
-        return silence + left_tokens * max(step_seconds, progress.pace)
+        idle_seconds = now - progress.last_at
+        return idle_seconds + left_tokens * max(step_seconds, progress.pace)
--- a/tamarackthread/policy/outcomes.py
+++ b/tamarackthread/policy/outcomes.py
@@ -27,7 +27,7 @@
 class Cause(enum.Enum):
     """Name the cause of a call's end."""
 
-    REFUSED_HERE = 'refused here'
+    REFUSED_BY_ENTRY = 'refused here'
     AGENT_REPORTED = 'agent said'
     LINK_LOST = 'link lost'
     TIMEOUT = 'timeout'
@@ -46,7 +46,7 @@
     # From the agent's ``CallEnd``, if one has arrived.
     reported: messages.Ran | None = None
     # Whether all events that the ``CallEnd`` counts have arrived.
-    is_whole: bool = False
+    has_all_events: bool = False
 
 
 def classify(ending: Ending) -> messages.Ran:
@@ -57,7 +57,7 @@
         return messages.Ran.MAY_HAVE_RUN
     if ending.reported == messages.Ran.NOT_RUN:
         return _checked_refusal(ending.stage)
-    if ending.reported == messages.Ran.COMPLETE and ending.is_whole:
+    if ending.reported == messages.Ran.COMPLETE and ending.has_all_events:
         return messages.Ran.COMPLETE
     return messages.Ran.MAY_HAVE_RUN
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -20,9 +20,12 @@
 COMPLETE = messages.Ran.COMPLETE
 
 
-def classified(stage, cause, reported=None, is_whole=False):
+def classified(stage, cause, reported=None, has_all_events=False):
     ending = outcomes.Ending(
-        stage=stage, cause=cause, reported=reported, is_whole=is_whole
+        stage=stage,
+        cause=cause,
+        reported=reported,
+        has_all_events=has_all_events,
     )
     return outcomes.classify(ending)
 
@@ -49,7 +52,9 @@
         self.assertEqual(
             classified(stage.HEAD_RECEIVED, agent, NOT_RUN), MAY_HAVE_RUN
         )
-        whole = classified(stage.END_RECEIVED, agent, COMPLETE, is_whole=True)
+        whole = classified(
+            stage.END_RECEIVED, agent, COMPLETE, has_all_events=True
+        )
         self.assertEqual(whole, COMPLETE)
 
     def test_short_answer_is_not_complete(self):
