--- a/tamarackthread/entry/direct/starts.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from tamarackthread.entry.direct import records
+from tamarackthread.entry.direct import outlier_detection
 from tamarackthread.policy import backpressure, rate_limit, sent_calls
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import announcements
@@ -29,7 +29,7 @@
 
 
 @attrs.define(eq=False)
-class Start:
+class TargetInstance:
     """One start of a target.
 
     ``own`` counts this entry's calls there and ``others`` those that other
@@ -47,12 +47,14 @@
     pause: float = 0
     pace: float = 1
     group: str = ''
-    record: records.Record = attrs.field(factory=records.Record)
+    record: outlier_detection.OutcomeHistory = attrs.field(
+        factory=outlier_detection.OutcomeHistory
+    )
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
     asked: backpressure.Backpressure = backpressure.NONE
-    rest: backpressure.Rest = attrs.field(factory=backpressure.Rest)
+    rest: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
     leaving_at: float = 0
     _lifetimes: set[asyncio.Timeout] = attrs.field(factory=set)
 
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -7,21 +7,21 @@
 import random
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
+    admission_control,
+    call_log,
+    call_runner,
     dialect,
-    front,
-    learned,
-    ledger,
-    running,
-    sending,
-    sharing,
-    table,
+    feed_handler,
+    frontend,
+    load_exchange,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings as generated
-from tamarackthread.policy import cold, known_entries
+from tamarackthread.policy import cold_start, known_entries
 from tamarackthread.shared import log_events, peers, process
 from tamarackthread.shared.site import configuration, figures, following, places
 
@@ -53,7 +53,7 @@
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
-        shares = cold.Shares(
+        shares = cold_start.ColdStartLimits(
             fleet, self._site.cold_allowance, self._site.cold_slack
         )
         self._targets = targets.Targets(
@@ -63,19 +63,21 @@
             shares,
             fleet,
         )
-        self._ledger = ledger.Ledger()
+        self._ledger = call_log.CallLog()
         self._page = figures.Page()
-        tables = table.Holder()
-        admission = admitting.Admission(
+        tables = routing_table.CurrentTable()
+        admission = admission_control.AdmissionControl(
             self._targets, lambda: len(self._follower.entries)
         )
         self._follower = following.Follower(
             self._site,
             self._links,
-            learned.Learned(self._targets, reader, tables, admission, shares),
+            feed_handler.FeedHandler(
+                self._targets, reader, tables, admission, shares
+            ),
         )
-        suspected = crashing.Crashing()
-        self._sharing = sharing.Sharing(
+        suspected = poison_requests.PoisonRequests()
+        self._sharing = load_exchange.LoadExchange(
             self._targets,
             self._links,
             lambda: self._follower.followed,
@@ -83,14 +85,14 @@
             admission.share,
             suspected,
         )
-        self._sender = sending.Sender(spoken)
-        self._front = front.Front(
+        self._sender = target_client.TargetClient(spoken)
+        self._front = frontend.Frontend(
             spoken,
             tables,
-            running.Runner(
+            call_runner.CallRunner(
                 self._targets,
                 self._sender,
-                budgets.Budgets(
+                retry_budgets.RetryBudgets(
                     self._site,
                     lambda: len(self._follower.entries),
                     loop.time,
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -5,7 +5,7 @@
 
 from tamarackthread.control.site import book
 from tamarackthread.entry.direct import targets
-from tamarackthread.policy import cold, known_entries
+from tamarackthread.policy import cold_start, known_entries
 from tamarackthread.shared.site import announcements, zones
 from tests import policy_case
 
@@ -30,7 +30,7 @@
 
 
 def shares_of(own, seen, rates=None):
-    found = cold.Shares(
+    found = cold_start.ColdStartLimits(
         known_entries.KnownEntries(own, lambda: seen), ALLOWANCE, SLACK
     )
     found.learn({SERVICE: RATE} if rates is None else rates)
