--- a/tamarackthread/agent/loading.py
+++ b/tamarackthread/agent/loading.py
@@ -122,7 +122,7 @@
             queue.finish(piece)
 
     def _note(self, piece: moves.Piece, queue: moves.MoveQueue) -> None:
-        if queue.is_whole(piece):
+        if queue.completes_move(piece):
             self._loaded.add(piece.move)
 
     async def _first_of(
--- a/tamarackthread/policy/moves.py
+++ b/tamarackthread/policy/moves.py
@@ -161,7 +161,7 @@
             self._next_number = 0
             self._moves.popleft()
 
-    def is_whole(self, piece: Piece) -> bool:
+    def completes_move(self, piece: Piece) -> bool:
         """Tell whether a loaded piece completed its move."""
         is_last_piece = piece.number == self._pieces_each - 1
         is_pending = bool(self._moves) and self._moves[0] == piece.move
--- a/tamarackthread/policy/target_load.py
+++ b/tamarackthread/policy/target_load.py
@@ -26,7 +26,7 @@
     service_seconds: float = 1.0
     # Age at which a report has half its weight.
     half_life_seconds: float = 1.0
-    # Time without reports after which a lower sequence means that the agent restarted.
+    # Time without reports after which a lower sequence is a restarted agent's.
     restart_seconds: float = 3.0
     # Work that may queue at the target, to cover the round trip.
     queue_seconds: float = 0.03
