--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -88,7 +88,7 @@
         if self._pattern.pace != 1:
             self._group.slow(5, self._pattern.pace)
             for entry in self._entries:
-                entry.slow('owner', {'5': self._pattern.pace})
+                entry.set_paces('owner', {'5': self._pattern.pace})
         working = [
             asyncio.create_task(self._group.run()),
             asyncio.create_task(self._shift()),
@@ -113,7 +113,7 @@
         ):
             links = _Links(name, summed)
             shared = load_exchange.LoadExchange(
-                known, links, _hosts, names.copy, line.share
+                known, links, _hosts, names.copy, line.refill
             )
             tasks.append(asyncio.create_task(shared.run()))
         return tasks
@@ -160,7 +160,7 @@
         self._streams.append(stream)
         number = self._random.randrange(len(self._entries))
         known, line = self._entries[number], self._lines[number]
-        stream.on_pause = line.note_pause
+        stream.on_pause = line.note_gap
         try:
             await line.admit(self._asked(stream))
         except failures.NoRoomInTime:
@@ -171,11 +171,11 @@
             target = self._choose(known, tried)
             tried.append(target.name)
             if self._group.take(int(target.name), stream):
-                target.own += 1
+                target.own_calls += 1
                 await stream.done.wait()
-                target.own -= 1
-                line.answered(stream.last_at - stream.arrived)
-                line.left()
+                target.own_calls -= 1
+                line.record_answer(stream.last_at - stream.arrived)
+                line.release()
                 return
         self._refused += 1
 
@@ -190,14 +190,14 @@
             aim=self._site.first,
         )
         return calls.Call(
-            asked=calls.CallRequest(
+            request=calls.CallRequest(
                 call_id='', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
             route=route,
             service=SERVICE,
             organisation='',
-            arrived=stream.arrived,
+            arrived_at=stream.arrived,
             deadline=stream.arrived + route.timeout,
         )
 
@@ -218,7 +218,7 @@
         if self._variant.route == 'round_robin':
             self._turn += 1
             return free[self._turn % len(free)]
-        return min(free, key=lambda one: (one.own, self._random.random()))
+        return min(free, key=lambda one: (one.own_calls, self._random.random()))
 
     async def _shift(self) -> None:
         while True:
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -160,17 +160,17 @@
             start = self._entries[entry].choose('s', tried)
             if start is None:
                 break
-            start.begin(now)
+            start.begin_call(now)
             is_taken, asked = self._targets[start.name].take(entry, now)
             if self._is_heard:
-                start.hear(asked, now, is_taken=is_taken)
+                start.apply_backpressure(asked, now, is_taken=is_taken)
             if is_taken:
                 self.counts['answered'] += 1
                 end = now + SERVICE_SECONDS
                 self._under_way.append((end, entry, start))
                 return
-            start.own -= 1
-            start.record.note(is_good=False, now=now)
+            start.own_calls -= 1
+            start.outcomes.note(is_good=False, now=now)
             self.counts['refused by targets'] += 1
             tried.append(start.name)
         self.counts['refused'] += 1
@@ -179,8 +179,8 @@
         now = asyncio.get_running_loop().time()
         for end, _, start in self._under_way:
             if end <= now:
-                start.own -= 1
-                start.record.note(is_good=True, now=now)
+                start.own_calls -= 1
+                start.outcomes.note(is_good=True, now=now)
         self._under_way = [row for row in self._under_way if row[0] > now]
 
     def _exchange(self) -> None:
@@ -204,7 +204,7 @@
                 )
                 for target, summed in sums.items()
             }
-            entry.share(others, len(own))
+            entry.set_other_loads(others, len(own))
 
     def _summed(self, seconds: float, used: float) -> dict[str, typing.Any]:
         limited = [one for one in self._targets.values() if one.kind == 'limit']
@@ -233,7 +233,7 @@
         for target, load in loads.items():
             held = sums.get(target, outlier_detection.IDLE)
             sums[target] = outlier_detection.TargetLoad(
-                held.calls + load.calls, held.ends.plus(load.ends)
+                held.calls + load.calls, held.outcomes.plus(load.outcomes)
             )
     return sums
 
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -97,13 +97,13 @@
         finally:
             self._waiting.remove(waiting)
 
-    def answered(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Note that a call was answered so long after it had been sent."""
         if not self._answer_seconds:
             self._answer_seconds = seconds
         self._answer_seconds += NEWEST_SHARE * (seconds - self._answer_seconds)
 
-    def left(self) -> None:
+    def release(self) -> None:
         """Note that a call of this entry has left its rank."""
         if 0 < self._free() < math.inf:
             self._part += 1
@@ -114,19 +114,19 @@
         """Tell whether targets have only refused calls of late."""
         return self._opening.is_closed(asyncio.get_running_loop().time())
 
-    def heard(self) -> None:
+    def note_piece(self) -> None:
         """Note that a target has sent a piece of an answer."""
         self._opening.heard(asyncio.get_running_loop().time())
 
-    def refused(self, target: str) -> None:
+    def note_refusal(self, target: str) -> None:
         """Note that a target has refused a call unrun."""
         self._opening.refused(target, asyncio.get_running_loop().time())
 
-    def note_pause(self, seconds: float) -> None:
+    def note_gap(self, seconds: float) -> None:
         """Take the time between two pieces of an answer."""
         self._bound.note(seconds, asyncio.get_running_loop().time())
 
-    def share(self) -> None:
+    def refill(self) -> None:
         """Take this entry's part of what is free, after an exchange.
 
         Who has no call that waits leaves its part unused, so that each takes
@@ -218,45 +218,45 @@
         if line is not None:
             await line.admit(call)
 
-    def answered(self, call: calls.Call, seconds: float) -> None:
+    def record_answer(self, call: calls.Call, seconds: float) -> None:
         """Note that a call was answered so long after it had been sent."""
         line = self._lines.get(call.service)
         if line is not None:
-            line.answered(seconds)
+            line.record_answer(seconds)
 
-    def left(self, call: calls.Call) -> None:
+    def release(self, call: calls.Call) -> None:
         """Note that a call has left its target."""
         line = self._lines.get(call.service)
         if line is not None:
-            line.left()
+            line.release()
 
-    def heard(self, call: calls.Call) -> None:
+    def note_piece(self, call: calls.Call) -> None:
         """Note that a target has sent a piece of an answer."""
         line = self._lines.get(call.service)
         if line is not None:
-            line.heard()
+            line.note_piece()
 
-    def refused(self, call: calls.Call, target: str) -> None:
+    def note_refusal(self, call: calls.Call, target: str) -> None:
         """Note that a target has refused a call unrun."""
         line = self._lines.get(call.service)
         if line is not None:
-            line.refused(target)
+            line.note_refusal(target)
 
     def is_closed(self, call: calls.Call) -> bool:
         """Tell whether the targets of a call make no passes now."""
         line = self._lines.get(call.service)
         return line is not None and line.is_closed
 
-    def note_pause(self, call: calls.Call, seconds: float) -> None:
+    def note_gap(self, call: calls.Call, seconds: float) -> None:
         """Take the time between two pieces of a call's answer."""
         line = self._lines.get(call.service)
         if line is not None:
-            line.note_pause(seconds)
+            line.note_gap(seconds)
 
-    def share(self) -> None:
+    def refill(self) -> None:
         """Share what is free, after an exchange with the other entries."""
         for line in self._lines.values():
-            line.share()
+            line.refill()
 
 
 def _urgency(call: calls.Call, first_at: float) -> tuple[bool, int, float]:
@@ -264,5 +264,5 @@
 
     Where not all can be in time, going by age alone makes all of them late.
     """
-    aim_at = call.arrived + call.route.aim
+    aim_at = call.arrived_at + call.route.aim
     return first_at > aim_at, call.priority, aim_at
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -39,7 +39,7 @@
     ) -> None:
         """Note a whole answer; it is logged if it was late, or by sample."""
         now = asyncio.get_running_loop().time()
-        took = now - call.arrived
+        took = now - call.arrived_at
         figures.CALLS.labels(call.service, 'answered').inc()
         figures.CALL_SECONDS.labels(call.service).observe(took)
         self._counts['answered'] += 1
@@ -60,10 +60,10 @@
             version=version,
             is_late=is_late,
             target=pieces.target,
-            first_ms=_milliseconds(max(0, pieces.first_at - call.arrived)),
-            pause_ms=_milliseconds(pieces.pause),
+            first_ms=_milliseconds(max(0, pieces.first_at - call.arrived_at)),
+            pause_ms=_milliseconds(pieces.longest_pause),
             since_pause_ms=_milliseconds(
-                now - pieces.paused_until if pieces.pause else 0
+                now - pieces.longest_pause_end if pieces.longest_pause else 0
             ),
         )
 
@@ -85,7 +85,7 @@
             'retry_after_ms': round(failure.retry_after * 1000),
         }
         if call is not None:
-            took = asyncio.get_running_loop().time() - call.arrived
+            took = asyncio.get_running_loop().time() - call.arrived_at
             fields['took_ms'] = round(took * 1000)
             fields['route'] = call.route.name
             fields['service'] = call.service
@@ -135,9 +135,9 @@
     """Tell whether an answer came too late, or a stream paused too long."""
     if not pieces.first_at:
         return 0 < call.route.aim < took
-    if 0 < call.route.aim < pieces.first_at - call.arrived:
+    if 0 < call.route.aim < pieces.first_at - call.arrived_at:
         return True
-    return 0 < call.route.gap < pieces.pause
+    return 0 < call.route.gap < pieces.longest_pause
 
 
 def _milliseconds(seconds: float) -> int:
--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -31,11 +31,11 @@
     refused: list[str] = attrs.field(factory=list)
     skipped: set[str] = attrs.field(factory=set)
     may_have_run: bool = False
-    trying: instances.TargetInstance | None = None
+    current_target: instances.TargetInstance | None = None
     is_unnumbered: bool = False
-    position: int = -1
+    last_event: int = -1
     failure: errors.CodedError | None = None
-    left: set[str] = attrs.field(factory=set)
+    failed_groups: set[str] = attrs.field(factory=set)
 
     @property
     def tried(self) -> set[str]:
@@ -48,7 +48,7 @@
         return ', '.join(self.sent)
 
 
-def tell(
+def log_failed_try(
     call: calls.Call,
     target: instances.TargetInstance,
     progress: CallProgress,
@@ -67,17 +67,17 @@
         target=target.name,
         service=call.service,
         code=failure.code,
-        after_ms=_milliseconds(now - call.arrived),
+        after_ms=_milliseconds(now - call.arrived_at),
         left_ms=_milliseconds(call.deadline - now),
-        own_calls=target.own,
-        other_calls=target.others,
-        state=target.said.state.name.lower(),
-        heard_ms_ago=_milliseconds(now - target.heard_at),
-        asked_rest_ms=_milliseconds(target.asked.rest),
-        is_leaving=target.asked.is_leaving,
-        paused_ms=_milliseconds(max(0, target.paused_until - now)),
+        own_calls=target.own_calls,
+        other_calls=target.other_calls,
+        state=target.announcement.state.name.lower(),
+        heard_ms_ago=_milliseconds(now - target.announced_at),
+        asked_rest_ms=_milliseconds(target.last_backpressure.rest),
+        is_leaving=target.last_backpressure.is_leaving,
+        paused_ms=_milliseconds(max(0, target.backoff_until - now)),
         may_have_run=progress.may_have_run,
-        last_event=progress.position,
+        last_event=progress.last_event,
     )
 
 
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -75,12 +75,14 @@
             async with asyncio.timeout_at(call.deadline):
                 await self._try_until_answered(call, progress, out)
         except TimeoutError as exc:
-            if progress.trying is not None:
-                self._note(progress.trying, is_good=False)
-                progress.sent.append(progress.trying.name)
+            if progress.current_target is not None:
+                self._note(progress.current_target, is_good=False)
+                progress.sent.append(progress.current_target.name)
                 progress.may_have_run = True
                 passed = failures.DeadlinePassed('no answer')
-                call_progress.tell(call, progress.trying, progress, passed)
+                call_progress.log_failed_try(
+                    call, progress.current_target, progress, passed
+                )
             if progress.may_have_run:
                 raise failures.DeadlinePassed(progress.names) from exc
             raise failures.DeadlineBeforeSend(
@@ -108,22 +110,22 @@
         """Try a target; tell whether the caller has its answer now."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        target.begin(began)
-        progress.trying = target
+        target.begin_call(began)
+        progress.current_target = target
         try:
             async with target.lifetime():
                 await self._try(call, target, progress, out)
         except errors.CodedError as exc:
-            self._crashing.failed(call, target, exc)
+            self._crashing.note_failure(call, target, exc)
             self._learn(call, target, progress, exc)
-            call_progress.tell(call, target, progress, exc)
+            call_progress.log_failed_try(call, target, progress, exc)
             return False
         finally:
-            target.own -= 1
-            self._admission.left(call)
-        target.answered()
-        self._crashing.answered(call)
-        self._admission.answered(call, loop.time() - began)
+            target.own_calls -= 1
+            self._admission.release(call)
+        target.reset_backoff()
+        self._crashing.note_answer(call)
+        self._admission.record_answer(call, loop.time() - began)
         return True
 
     async def _next_target(
@@ -139,8 +141,10 @@
         await self._admission.admit(call)
         tried = progress.tried
         left = call.deadline - asyncio.get_running_loop().time()
-        await self._known.arrival(call.service, tried, calls.patience(left))
-        target = self._known.choose(call.service, tried, progress.left)
+        await self._known.wait_for_target(
+            call.service, tried, calls.startup_wait(left)
+        )
+        target = self._known.choose(call.service, tried, progress.failed_groups)
         if target is None:
             raise self._end(call, progress)
         return target
@@ -174,9 +178,9 @@
         progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
-        position = call.asked.position
-        if progress.position >= 0:
-            position = str(progress.position)
+        position = call.request.last_event_id
+        if progress.last_event >= 0:
+            position = str(progress.last_event)
         async with self._sender.send(call, target, position) as answer:
             is_stream = call.route.kind is configuration.Kind.STREAM
             if is_stream and answer.head.status == 200:
@@ -214,22 +218,26 @@
         """Pass events on as they come, each at most once and in order."""
         splitter = sse.EventSplitter()
         now = asyncio.get_running_loop().time()
-        figures.FIRST_SECONDS.labels(call.service).observe(now - call.arrived)
+        figures.FIRST_SECONDS.labels(call.service).observe(
+            now - call.arrived_at
+        )
         if not out.has_started:
             await out.start(answer.head)
         out.tempo.target = (
-            '' if progress.trying is None else progress.trying.name
+            ''
+            if progress.current_target is None
+            else progress.current_target.name
         )
         async for piece in answer.pieces():
             ready = []
             for event in splitter.feed(piece):
-                if 0 <= event.number <= progress.position:
+                if 0 <= event.number <= progress.last_event:
                     continue
-                progress.position = max(progress.position, event.number)
+                progress.last_event = max(progress.last_event, event.number)
                 progress.is_unnumbered |= event.number < 0
                 ready.append(event.payload)
             if ready:
-                self._admission.heard(call)
+                self._admission.note_piece(call)
                 self._note_pause(call, out.tempo, len(ready))
                 await out.write(b''.join(ready))
         if splitter.rest:
@@ -245,7 +253,7 @@
         if not tempo.last_at:
             return
         pause = asyncio.get_running_loop().time() - tempo.last_at
-        self._admission.note_pause(call, pause / pieces)
+        self._admission.note_gap(call, pause / pieces)
 
     def _learn(
         self,
@@ -255,23 +263,23 @@
         failure: errors.CodedError,
     ) -> None:
         progress.failure = failure
-        progress.trying = None
+        progress.current_target = None
         now = asyncio.get_running_loop().time()
         if isinstance(failure, target_client.NotSent):
-            target.failed(now)
+            target.back_off(now)
             progress.skipped.add(target.name)
             return
         if isinstance(failure, target_client.Elsewhere):
             # The target that was meant never saw it, so it is no try at one.
-            self._known.gone(target)
+            self._known.mark_gone(target)
             progress.skipped.add(target.name)
             return
         if isinstance(failure, (target_client.Refused, target_client.Lost)):
             # All ranks of a group refuse or lose what they have when one is lost.
-            progress.left.add(target.group)
+            progress.failed_groups.add(target.group)
             self._note(target, is_good=False)
         if isinstance(failure, target_client.Refused):
-            self._admission.refused(call, target.name)
+            self._admission.note_refusal(call, target.name)
             progress.refused.append(target.name)
             return
         progress.sent.append(target.name)
@@ -280,7 +288,7 @@
     def _note(self, target: instances.TargetInstance, *, is_good: bool) -> None:
         """Note how a call has ended at a target."""
         now = asyncio.get_running_loop().time()
-        target.record.note(is_good=is_good, now=now)
+        target.outcomes.note(is_good=is_good, now=now)
 
     def _end(
         self,
--- a/tamarackthread/entry/direct/calls.py
+++ b/tamarackthread/entry/direct/calls.py
@@ -9,8 +9,8 @@
 # A call that comes to an entry which has just started waits for what is missing,
 # for at most this part of its caller's time: it is there within a second, and a
 # caller that is refused has used up a try.
-WAIT_SHARE = 0.3
-MOST_WAIT_SECONDS = 1.5
+MAX_WAIT_SHARE = 0.3
+MAX_WAIT_SECONDS = 1.5
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -29,8 +29,8 @@
     path: str
     headers: Headers
     key: str = ''
-    left: float | None = None
-    position: str = ''
+    time_left: float | None = None
+    last_event_id: str = ''
 
 
 @attrs.frozen(kw_only=True)
@@ -42,21 +42,21 @@
     ``priority`` goes first: the organisation's, where it has one, else the route's.
     """
 
-    asked: CallRequest
+    request: CallRequest
     body: bytes
     route: configuration.Route
     service: str
     organisation: str
-    arrived: float
+    arrived_at: float
     deadline: float
     priority: int = 0
 
 
-def patience(left: float | None) -> float:
+def startup_wait(time_left: float | None) -> float:
     """Return how long a call waits for what a start brings, in seconds.
 
     ``left`` is how long its caller will wait, ``None`` if it did not say.
     """
-    if left is None:
-        return MOST_WAIT_SECONDS
-    return min(MOST_WAIT_SECONDS, WAIT_SHARE * left)
+    if time_left is None:
+        return MAX_WAIT_SECONDS
+    return min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * time_left)
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -20,8 +20,14 @@
     """
     if all(target.limit.rate is None for target in known):
         return None
-    own = sum(target.own + target.record.own(now).calls for target in known)
-    others = sum(target.others + target.record.others.calls for target in known)
+    own = sum(
+        target.own_calls + target.outcomes.own_counts(now).calls
+        for target in known
+    )
+    others = sum(
+        target.other_calls + target.outcomes.other_counts.calls
+        for target in known
+    )
     if not own + others:
         return rate_limit.Demand(share=1 / entries, entries=entries)
     return rate_limit.Demand(share=own / (own + others), entries=entries)
--- a/tamarackthread/entry/direct/dialect.py
+++ b/tamarackthread/entry/direct/dialect.py
@@ -22,25 +22,25 @@
     """
 
     NOT_RUN = 'not_run'
-    ELSEWHERE = 'elsewhere'
+    MISDIRECTED = 'elsewhere'
     ANSWER = 'answer'
-    STRAY = 'stray'
+    MISMATCHED = 'stray'
 
 
 class Dialect(abc.ABC):
     """Read and write the headers that callers and targets use."""
 
     @abc.abstractmethod
-    def read(self, request: web.BaseRequest) -> calls.CallRequest:
+    def read_request(self, request: web.BaseRequest) -> calls.CallRequest:
         """Read a request's head; raise a coded error if it makes no sense."""
 
     @abc.abstractmethod
-    def outgoing(
+    def request_headers(
         self,
         call: calls.Call,
         target: str,
-        left: float,
-        position: str,
+        time_left: float,
+        last_event_id: str,
     ) -> calls.Headers:
         """Write the head for a target that has ``left`` seconds.
 
@@ -53,7 +53,7 @@
         """
 
     @abc.abstractmethod
-    def judge(
+    def classify(
         self,
         call: calls.Call,
         status: int,
@@ -62,7 +62,7 @@
         """Tell what a target's head says of the call."""
 
     @abc.abstractmethod
-    def asked(
+    def read_backpressure(
         self,
         status: int,
         headers: multidict.CIMultiDictProxy[str],
@@ -70,12 +70,12 @@
         """Read what a target's head asks of this entry."""
 
     @abc.abstractmethod
-    def answer(
+    def response_headers(
         self,
         headers: multidict.CIMultiDictProxy[str],
     ) -> list[tuple[str, str]]:
         """Pick the headers of a target's answer that the caller gets."""
 
     @abc.abstractmethod
-    def refusal(self, call_id: str) -> list[tuple[str, str]]:
+    def refusal_headers(self, call_id: str) -> list[tuple[str, str]]:
         """Write the headers of an answer that is the entry's own."""
--- a/tamarackthread/entry/direct/discovery.py
+++ b/tamarackthread/entry/direct/discovery.py
@@ -50,7 +50,7 @@
         until = min(began + seconds, self._warm_at)
         while loop.time() < until:
             found = choose()
-            if found is not None and found.own < WARM_CALLS:
+            if found is not None and found.own_calls < WARM_CALLS:
                 return
             if found is not None:
                 until = min(until, began + CALM_SECONDS)
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -55,7 +55,7 @@
                 restored.add(row.name)
         warm_at = asyncio.get_running_loop().time() + RESTORED_SECONDS
         for target in known:
-            if target.said.zone in restored:
+            if target.announcement.zone in restored:
                 target.cold_until = warm_at
         if self._zones.changes > before:
             target_log.tell_zones(self._zones)
@@ -85,7 +85,7 @@
             return False
         if self._shares is None or not target.is_cold(now):
             return True
-        most = self._shares.calls(target.said.service, target.name)
+        most = self._shares.calls(target.announcement.service, target.name)
         lately = target.sent.lately(now, cold.SPAN_SECONDS)
         return most is None or lately < most
 
@@ -111,7 +111,7 @@
         self, target: instances.TargetInstance, now: float
     ) -> bool:
         """Tell whether a target that leaves may get a call nobody else takes."""
-        if target.said.is_leaving or not target.leaving_at:
+        if target.announcement.is_leaving or not target.leaving_at:
             return False
         if self._is_evacuated(target):
             return False
@@ -125,7 +125,9 @@
     ) -> bool:
         if target.limit.rate is None:
             return True
-        demand = self._demands.get(target.said.service, rate_limit.ALONE)
+        demand = self._demands.get(
+            target.announcement.service, rate_limit.ALONE
+        )
         part = rate_limit.Part(demand, 1, 0)
         if self._fleet is not None:
             part = rate_limit.Part(
@@ -136,4 +138,4 @@
         return target.limit.may_take(target.sent, part, now)
 
     def _is_evacuated(self, target: instances.TargetInstance) -> bool:
-        return self._zones.is_evacuated(target.said.zone)
+        return self._zones.is_evacuated(target.announcement.zone)
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -57,9 +57,9 @@
         """Obey what operators asked for zones."""
         self._known.learn_zones(rows)
 
-    def learn_target(self, said: announcements.Announcement) -> None:
+    def learn_target(self, announcement: announcements.Announcement) -> None:
         """Take an announcement."""
-        self._known.take(said)
+        self._known.take(announcement)
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
         """Take which targets make a group."""
@@ -67,7 +67,7 @@
 
     def learn_paces(self, source: str, paces: dict[str, float]) -> None:
         """Take the slow targets that a control host knows of."""
-        self._known.slow(source, paces)
+        self._known.set_paces(source, paces)
 
     def learn_document(self, held: document.Document) -> None:
         """Put a configuration in force if it can be read."""
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -79,7 +79,7 @@
         """Serve the platform's question and return the address in use."""
         return await self._serve(self._answer_readiness, address)
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """Say not ready and ask callers to reconnect; go on serving."""
         self._is_leaving = True
 
@@ -175,7 +175,7 @@
         out: sink.HttpSink,
     ) -> None:
         try:
-            asked = self._dialect.read(request)
+            asked = self._dialect.read_request(request)
         except errors.CodedError as exc:
             await self._tell('', None, out, exc)
             return
@@ -211,20 +211,20 @@
         arrived = asyncio.get_running_loop().time()
         if self._is_refusing:
             raise failures.EntryStops(retry_after=STOPPING_RETRY_SECONDS)
-        held = await self._tables.wait(calls.patience(asked.left))
+        held = await self._tables.wait(calls.startup_wait(asked.time_left))
         path = asked.path.partition('?')[0]
         found = held.find(asked.host, path, asked.key)
         body = await _body_of(request, held.held.limits.body_bytes)
         left = found.route.timeout
-        if asked.left is not None:
-            left = min(left, asked.left)
+        if asked.time_left is not None:
+            left = min(left, asked.time_left)
         return calls.Call(
-            asked=asked,
+            request=asked,
             body=body,
             route=found.route,
             service=routing_table.pick_service(found.route, self._random),
             organisation=found.organisation,
-            arrived=arrived,
+            arrived_at=arrived,
             deadline=arrived + left,
             priority=found.priority,
         )
@@ -240,7 +240,7 @@
         if out.has_started:
             out.break_off()
             return
-        headers = self._dialect.refusal(call_id)
+        headers = self._dialect.refusal_headers(call_id)
         headers.append(('Content-Type', 'application/json'))
         if failure.retry_after > 0:
             headers.append(('Retry-After', f'{failure.retry_after:.2f}'))
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -15,10 +15,10 @@
 
 # Time out of the choice after a connection could not be made, doubled up to
 # the most: a restart takes about a second, a cut some seconds.
-FIRST_PAUSE_SECONDS = 0.3
-MOST_PAUSE_SECONDS = 4.0
+INITIAL_BACKOFF_SECONDS = 0.3
+MAX_BACKOFF_SECONDS = 4.0
 # Used where neither announcement nor answer tells how many run at once.
-ASSUMED_SLOTS = 6
+DEFAULT_SLOTS = 6
 
 
 class StartOver(errors.CodedError):
@@ -39,34 +39,34 @@
     ``leaving_at`` when an answer first said that it leaves, 0 if none has.
     """
 
-    said: announcements.Announcement
-    heard_at: float
-    own: int = 0
-    others: int = 0
-    paused_until: float = 0
-    pause: float = 0
+    announcement: announcements.Announcement
+    announced_at: float
+    own_calls: int = 0
+    other_calls: int = 0
+    backoff_until: float = 0
+    backoff: float = 0
     pace: float = 1
     group: str = ''
-    record: outlier_detection.OutcomeHistory = attrs.field(
+    outcomes: outlier_detection.OutcomeHistory = attrs.field(
         factory=outlier_detection.OutcomeHistory
     )
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
-    asked: backpressure.Backpressure = backpressure.NONE
+    last_backpressure: backpressure.Backpressure = backpressure.NONE
     rest: backpressure.Rest = attrs.field(factory=backpressure.Rest)
     leaving_at: float = 0
-    _lifetimes: set[asyncio.Timeout] = attrs.field(factory=set)
+    _scopes: set[asyncio.Timeout] = attrs.field(factory=set)
 
     @property
     def name(self) -> str:
         """Return the target's name."""
-        return self.said.target
+        return self.announcement.target
 
     @property
     def slots(self) -> int:
         """Return how many calls the target runs at once."""
-        return self.said.slots or ASSUMED_SLOTS
+        return self.announcement.slots or DEFAULT_SLOTS
 
     @property
     def load(self) -> float:
@@ -75,7 +75,7 @@
         Ranks advance together, so a slow one holds up all calls of its group
         by what it has to do itself: at twice the time it gets half the calls.
         """
-        return (self.own + self.others + 1) * self.pace / self.slots
+        return (self.own_calls + self.other_calls + 1) * self.pace / self.slots
 
     @property
     def is_leaving(self) -> bool:
@@ -84,59 +84,61 @@
         Its answers bind this entry also where its announcements do not come:
         an entry that is cut off from control hears of no farewell.
         """
-        return self.said.is_leaving or self.leaving_at > 0
+        return self.announcement.is_leaving or self.leaving_at > 0
 
     def is_ready(self, now: float) -> bool:
         """Tell whether the target is surely up."""
-        is_up = self.said.state == announcements.State.READY
-        return is_up and self.paused_until <= now
+        is_up = self.announcement.state == announcements.State.READY
+        return is_up and self.backoff_until <= now
 
     def is_cold(self, now: float) -> bool:
         """Tell whether the target takes only so many calls a second."""
-        return now < max(self.cold_until, self.heard_at + self.said.cold)
+        return now < max(
+            self.cold_until, self.announced_at + self.announcement.cold
+        )
 
-    def begin(self, now: float) -> None:
+    def begin_call(self, now: float) -> None:
         """Count a call that goes there."""
-        self.own += 1
+        self.own_calls += 1
         self.sent.note(now)
         self.rest.sent(now)
 
-    def hear(
+    def apply_backpressure(
         self,
-        asked: backpressure.Backpressure,
+        requested: backpressure.Backpressure,
         now: float,
         *,
         is_taken: bool,
     ) -> None:
         """Take what an answer asks for; ``is_taken`` unless it is a refusal."""
-        self.asked = asked
-        self.limit.hear(asked.rate, now)
-        if asked.is_leaving:
+        self.last_backpressure = requested
+        self.limit.hear(requested.rate, now)
+        if requested.is_leaving:
             self.leaving_at = self.leaving_at or now
-        if asked.rest:
-            self.rest.ask(asked.rest, now)
+        if requested.rest:
+            self.rest.ask(requested.rest, now)
         elif is_taken:
             self.rest.taken(now)
 
-    def asking(self, now: float) -> list[str]:
+    def active_backpressure(self, now: float) -> list[str]:
         """Name what the target's answers ask for now, for people."""
         found = {
             'rest': self.rest.left(now) > 0,
             'limit': self.limit.rate is not None,
             'no calls': self.leaving_at > 0,
         }
-        return [name for name, is_asked in found.items() if is_asked]
+        return [name for name, is_active in found.items() if is_active]
 
-    def failed(self, now: float) -> None:
+    def back_off(self, now: float) -> None:
         """Keep calls away for a while after one could not be delivered."""
-        doubled = min(MOST_PAUSE_SECONDS, 2 * self.pause)
-        self.pause = max(FIRST_PAUSE_SECONDS, doubled)
-        self.paused_until = now + self.pause
+        doubled = min(MAX_BACKOFF_SECONDS, 2 * self.backoff)
+        self.backoff = max(INITIAL_BACKOFF_SECONDS, doubled)
+        self.backoff_until = now + self.backoff
 
-    def answered(self) -> None:
+    def reset_backoff(self) -> None:
         """Note that the target has answered."""
-        self.pause = 0
-        self.paused_until = 0
+        self.backoff = 0
+        self.backoff_until = 0
 
     @contextlib.asynccontextmanager
     async def lifetime(self) -> collections.abc.AsyncIterator[None]:
@@ -148,7 +150,7 @@
         makes.  The later start's word is proof that the earlier one is gone.
         """
         scope = asyncio.timeout(None)
-        self._lifetimes.add(scope)
+        self._scopes.add(scope)
         try:
             async with scope:
                 yield
@@ -157,10 +159,10 @@
                 raise StartOver(self.name) from exc
             raise
         finally:
-            self._lifetimes.discard(scope)
+            self._scopes.discard(scope)
 
-    def end(self) -> None:
+    def cancel_calls(self) -> None:
         """End all that needs this start: a later one has announced itself."""
         now = asyncio.get_running_loop().time()
-        for scope in self._lifetimes:
+        for scope in self._scopes:
             scope.reschedule(now)
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -93,7 +93,7 @@
 
     async def _ask(self, host: str) -> None:
         own = self._known.own_loads()
-        suspects = self._suspected.own()
+        suspects = self._suspected.own_rows()
         serial = self._suspected.serial
         asked = messages.SiteLoadRequest(
             epoch=self._epoch,
@@ -102,8 +102,8 @@
                 messages.SiteCalls(
                     id=target,
                     calls=load.calls,
-                    answered=load.ends.answered,
-                    failed=load.ends.failed,
+                    answered=load.outcomes.answered,
+                    failed=load.outcomes.failed,
                 )
                 for target, load in own.items()
             ],
@@ -131,15 +131,17 @@
         self._epoch = reply.epoch
         self._serial = reply.serial
         self._heard_serial = reply.suspects_serial or 0
-        self._suspected.share(reply.suspects or ())
+        self._suspected.set_shared_rows(reply.suspects or ())
         for row in reply.changed:
-            ends = outlier_detection.OutcomeCounts(
+            outcomes = outlier_detection.OutcomeCounts(
                 row.answered or 0, row.failed or 0
             )
-            self._sums[row.id] = outlier_detection.TargetLoad(row.calls, ends)
+            self._sums[row.id] = outlier_detection.TargetLoad(
+                row.calls, outcomes
+            )
             if self._sums[row.id] == outlier_detection.IDLE:
                 self._sums.pop(row.id)
-        self._known.share(
+        self._known.set_other_loads(
             {
                 target: load.minus(own.get(target, outlier_detection.IDLE))
                 for target, load in self._sums.items()
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -43,14 +43,14 @@
         figures.CALLS_SUSPECTED.labels('refused').inc()
         self._tell(call, 'refused')
         raise failures.CallCrashes(
-            call.asked.path, retry_after=RETRY_AFTER_SECONDS
+            call.request.path, retry_after=RETRY_AFTER_SECONDS
         )
 
     def may_repeat(self, call: calls.Call) -> bool:
         """Tell whether this entry may try a call once more by itself."""
         return self._verdict(call) is suspects.Verdict.FREE
 
-    def failed(
+    def note_failure(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
@@ -64,28 +64,28 @@
         if not isinstance(failure, target_client.Unanswered):
             return
         now = asyncio.get_running_loop().time()
-        start = f'{target.name}/{target.said.born}'
-        self._known.lost(mark_of(call), start, now)
+        start = f'{target.name}/{target.announcement.born}'
+        self._known.lost(fingerprint(call), start, now)
         figures.CALLS_SUSPECTED.labels('lost').inc()
         self._tell(call, 'lost')
 
-    def answered(self, call: calls.Call) -> None:
+    def note_answer(self, call: calls.Call) -> None:
         """Note that a target has answered a call."""
         if self._known:
             now = asyncio.get_running_loop().time()
-            self._known.answered(mark_of(call), now)
+            self._known.answered(fingerprint(call), now)
 
     @property
     def serial(self) -> int:
         """Return a number that grows with each change of ``own``."""
         return self._known.serial
 
-    def own(self) -> list[messages.SiteSuspect]:
+    def own_rows(self) -> list[messages.SiteSuspect]:
         """List what other entries have to know."""
         now = asyncio.get_running_loop().time()
         return [suspects.to_message(row) for row in self._known.own(now)]
 
-    def share(
+    def set_shared_rows(
         self,
         rows: collections.abc.Iterable[messages.SiteSuspect],
     ) -> None:
@@ -97,10 +97,10 @@
         if not self._known:
             return suspects.Verdict.FREE
         now = asyncio.get_running_loop().time()
-        return self._known.verdict(mark_of(call), now)
+        return self._known.verdict(fingerprint(call), now)
 
     def _tell(self, call: calls.Call, verdict: str) -> None:
-        mark = mark_of(call)
+        mark = fingerprint(call)
         now = asyncio.get_running_loop().time()
         losses = self._known.losses(mark, now)
         log_events.tell(
@@ -113,17 +113,17 @@
             losses,
             level=logging.WARNING,
             mark=mark.hex(),
-            path=call.asked.path,
+            path=call.request.path,
             organisation=call.organisation,
             verdict=verdict,
             losses=losses,
         )
 
 
-def mark_of(call: calls.Call) -> bytes:
+def fingerprint(call: calls.Call) -> bytes:
     """Return what is the same of calls that are the same."""
     digest = hashlib.blake2b(digest_size=MARK_BYTES)
-    head = (call.asked.method, call.asked.host, call.asked.path)
+    head = (call.request.method, call.request.host, call.request.path)
     for part in (*head, call.organisation):
         digest.update(part.encode())
         digest.update(b'\0')
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -82,7 +82,7 @@
             self._links,
             lambda: self._follower.followed,
             lambda: self._follower.entries,
-            admission.share,
+            admission.refill,
             suspected,
         )
         self._sender = target_client.TargetClient(spoken)
@@ -156,7 +156,7 @@
             self._front.open_calls,
             open_calls=self._front.open_calls,
         )
-        self._front.leave()
+        self._front.begin_drain()
         await asyncio.sleep(self._own.health_grace_seconds)
         self._front.refuse_new()
         try:
--- a/tamarackthread/entry/direct/selection.py
+++ b/tamarackthread/entry/direct/selection.py
@@ -30,7 +30,7 @@
         self._zone = zone
         self._random = generator
 
-    def best(
+    def select(
         self, usable: _Starts, now: float
     ) -> instances.TargetInstance | None:
         """Choose among targets that have not said that they leave.
@@ -41,9 +41,9 @@
         """
         ready = [target for target in usable if target.is_ready(now)]
         if ready:
-            sound = [one for one in ready if not one.record.is_out(now)]
+            sound = [one for one in ready if not one.outcomes.is_ejected(now)]
             return min(self._compared(_swift(sound or ready)), key=self._rank)
-        return min(usable, key=_paused_until, default=None)
+        return min(usable, key=_backoff_until, default=None)
 
     def _compared(self, usable: _Starts) -> _Starts:
         """Draw the targets of which the least loaded gets the call.
@@ -53,7 +53,7 @@
         """
         if len(usable) <= COMPARED:
             return usable
-        near = [one for one in usable if one.said.zone == self._zone]
+        near = [one for one in usable if one.announcement.zone == self._zone]
         count = min(NEAR_COMPARED, len(near))
         drawn = self._random.sample(near, count)
         return [*drawn, *self._random.sample(usable, COMPARED - count)]
@@ -61,7 +61,7 @@
     def _rank(
         self, target: instances.TargetInstance
     ) -> tuple[float, bool, float]:
-        is_far = target.said.zone != self._zone
+        is_far = target.announcement.zone != self._zone
         return target.load, is_far, self._random.random()
 
 
@@ -75,5 +75,5 @@
     return found if len(found) >= SWIFT_SHARE * len(ready) else ready
 
 
-def _paused_until(target: instances.TargetInstance) -> float:
-    return target.paused_until
+def _backoff_until(target: instances.TargetInstance) -> float:
+    return target.backoff_until
--- a/tamarackthread/entry/direct/stream_timing.py
+++ b/tamarackthread/entry/direct/stream_timing.py
@@ -17,14 +17,14 @@
     target: str = ''
     first_at: float = 0
     last_at: float = 0
-    pause: float = 0
-    paused_until: float = 0
+    longest_pause: float = 0
+    longest_pause_end: float = 0
 
     def note(self, now: float) -> None:
         """Note that a piece has left."""
         if not self.first_at:
             self.first_at = now
-        elif now - self.last_at > self.pause:
-            self.pause = now - self.last_at
-            self.paused_until = now
+        elif now - self.last_at > self.longest_pause:
+            self.longest_pause = now - self.last_at
+            self.longest_pause_end = now
         self.last_at = now
--- a/tamarackthread/entry/direct/target_client.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -172,13 +172,14 @@
         body has ended closes the connection, at which a target stops.
         """
         now = asyncio.get_running_loop().time()
-        headers = self._dialect.outgoing(
+        headers = self._dialect.request_headers(
             call, target.name, call.deadline - now, position
         )
         requesting = self._pool(call).request(
-            call.asked.method,
+            call.request.method,
             yarl.URL(
-                f'http://{target.said.address}{call.asked.path}', encoded=True
+                f'http://{target.announcement.address}{call.request.path}',
+                encoded=True,
             ),
             headers=_without_hops(headers),
             data=call.body or None,
@@ -206,16 +207,16 @@
         target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
     ) -> TargetResponse:
-        said = self._dialect.judge(call, response.status, response.headers)
-        self._hear(target, response, said)
-        if said is dialect.ResponseKind.NOT_RUN:
+        kind = self._dialect.classify(call, response.status, response.headers)
+        self._hear(target, response, kind)
+        if kind is dialect.ResponseKind.NOT_RUN:
             raise Refused(f'status {response.status}')
-        if said is dialect.ResponseKind.ELSEWHERE:
+        if kind is dialect.ResponseKind.MISDIRECTED:
             raise Elsewhere(f'status {response.status}')
-        if said is dialect.ResponseKind.STRAY:
+        if kind is dialect.ResponseKind.MISMATCHED:
             raise Lost(f'status {response.status} is no answer to this call')
         head = ResponseHead(
-            response.status, self._dialect.answer(response.headers)
+            response.status, self._dialect.response_headers(response.headers)
         )
         return TargetResponse(head, response)
 
@@ -223,21 +224,23 @@
         self,
         target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
-        said: dialect.ResponseKind,
+        kind: dialect.ResponseKind,
     ) -> None:
         """Give a target what its answer asks for, whatever else it says.
 
         What another target answers at its address is not its word.
         """
-        if said is dialect.ResponseKind.ELSEWHERE:
+        if kind is dialect.ResponseKind.MISDIRECTED:
             return
         now = asyncio.get_running_loop().time()
-        asked = self._dialect.asked(response.status, response.headers)
-        before = target.asking(now)
-        target.hear(
-            asked, now, is_taken=said is not dialect.ResponseKind.NOT_RUN
+        asked = self._dialect.read_backpressure(
+            response.status, response.headers
         )
-        if target.asking(now) != before:
+        before = target.active_backpressure(now)
+        target.apply_backpressure(
+            asked, now, is_taken=kind is not dialect.ResponseKind.NOT_RUN
+        )
+        if target.active_backpressure(now) != before:
             target_log.tell_asking(target, now)
 
 
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -23,8 +23,8 @@
     thousands on a large site, in which other lines are lost.
     """
     by_service: dict[str, list[str]] = collections.defaultdict(list)
-    for said in untold:
-        by_service[said.service].append(said.target)
+    for announcement in untold:
+        by_service[announcement.service].append(announcement.target)
     for service, names in by_service.items():
         log_events.tell(
             _log,
@@ -54,16 +54,16 @@
 
 def tell_asking(target: instances.TargetInstance, now: float) -> None:
     """Log what a target's answers ask for, as it begins or ends."""
-    asking = target.asking(now)
+    asking = target.active_backpressure(now)
     log_events.tell(
         _log,
         log_events.Event.TARGET,
         'entry: target %s of %s asks for: %s',
         target.name,
-        target.said.service,
+        target.announcement.service,
         ', '.join(asking) or 'nothing more',
         target=target.name,
-        service=target.said.service,
+        service=target.announcement.service,
         state='asking',
         rest_ms=round(target.rest.left(now) * 1000),
         rate=target.limit.rate,
@@ -99,18 +99,18 @@
     )
 
 
-def tell(said: announcements.Announcement) -> None:
+def tell(announcement: announcements.Announcement) -> None:
     """Log the state of a target."""
     log_events.tell(
         _log,
         log_events.Event.TARGET,
         'entry: target %s of %s at %s is %s',
-        said.target,
-        said.service,
-        said.address,
-        said.state.name.lower(),
-        target=said.target,
-        service=said.service,
-        state=said.state.name.lower(),
-        sequence=said.sequence,
+        announcement.target,
+        announcement.service,
+        announcement.address,
+        announcement.state.name.lower(),
+        target=announcement.target,
+        service=announcement.service,
+        state=announcement.state.name.lower(),
+        sequence=announcement.sequence,
     )
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -46,7 +46,7 @@
         The entries of ``fleet`` share what targets in need take.
         Must be called from within a running loop.
         """
-        self._chooser = selection.TargetSelector(zone, generator)
+        self._selector = selection.TargetSelector(zone, generator)
         self._standing = eligibility.Eligibility(shares, fleet)
         self._unheard = beat_seconds * BEATS_UNHEARD
         self._arrivals = discovery.InitialDiscovery(beat_seconds)
@@ -60,25 +60,27 @@
             dict
         )
 
-    def take(self, said: announcements.Announcement) -> None:
+    def take(self, announcement: announcements.Announcement) -> None:
         """Take an announcement unless a later one is held."""
         now = asyncio.get_running_loop().time()
-        held = self._by_name.get(said.target)
+        held = self._by_name.get(announcement.target)
         if held is None:
-            self._add(said, now)
+            self._add(announcement, now)
             return
-        if not said.follows(held.said):
+        if not announcement.follows(held.announcement):
             return
-        if said.is_later_start(held.said):
-            self._begin_anew(held, said, now)
+        if announcement.is_later_start(held.announcement):
+            self._begin_anew(held, announcement, now)
             return
-        said = said.after(held.said)
-        if said.state != held.said.state:
-            target_log.tell(attrs.evolve(held.said, state=said.state))
-        held.heard_at = now
-        if said.state == State.GONE:
-            said = attrs.evolve(held.said, state=State.GONE)
-        held.said = said
+        announcement = announcement.after(held.announcement)
+        if announcement.state != held.announcement.state:
+            target_log.tell(
+                attrs.evolve(held.announcement, state=announcement.state)
+            )
+        held.announced_at = now
+        if announcement.state == State.GONE:
+            announcement = attrs.evolve(held.announcement, state=State.GONE)
+        held.announcement = announcement
 
     @property
     def zone_changes(self) -> int:
@@ -93,10 +95,10 @@
         """Take which targets make a group, as an owner of a term tells."""
         self._standing.learn_groups(term, rows, self._by_name.values())
 
-    def slow(self, source: str, paces: dict[str, float]) -> None:
+    def set_paces(self, source: str, paces: dict[str, float]) -> None:
         """Take the slow targets that one control host knows of.
 
-        Only the owner of a group knows them; what a former owner has said
+        Only the owner of a group knows them; what a former owner has announcement
         ends within seconds, and until then the slower word counts.
         """
         self._paces[source] = paces
@@ -109,10 +111,15 @@
         now = asyncio.get_running_loop().time()
         found: dict[str, outlier_detection.TargetLoad] = {}
         for name, target in self._by_name.items():
-            ends = target.record.own(now)
-            if not target.own and ends is outlier_detection.NO_ENDS:
+            outcomes = target.outcomes.own_counts(now)
+            if (
+                not target.own_calls
+                and outcomes is outlier_detection.NO_OUTCOMES
+            ):
                 continue
-            found[name] = outlier_detection.TargetLoad(target.own, ends)
+            found[name] = outlier_detection.TargetLoad(
+                target.own_calls, outcomes
+            )
         return found
 
     @property
@@ -120,7 +127,7 @@
         """Tell whether the calls of other entries are known."""
         return self._knows_others
 
-    def share(
+    def set_other_loads(
         self,
         others: collections.abc.Mapping[str, outlier_detection.TargetLoad],
         entries: int = 1,
@@ -133,8 +140,8 @@
         now = asyncio.get_running_loop().time()
         for name, target in self._by_name.items():
             load = others.get(name, outlier_detection.IDLE)
-            target.others = load.calls
-            target.record.others = load.ends
+            target.other_calls = load.calls
+            target.outcomes.other_counts = load.outcomes
         self._judge()
         for service in self._by_service:
             known = self.of_service(service)
@@ -142,7 +149,7 @@
 
     def forget_others(self) -> None:
         """Go by this entry's own calls until others are told of again."""
-        self.share({})
+        self.set_other_loads({})
         self._knows_others = False
 
     def crowd(
@@ -162,10 +169,10 @@
             for target in found
             if target.is_ready(now) and self._standing.has_room(target, now)
         ]
-        own = sum(target.own for target in found)
+        own = sum(target.own_calls for target in found)
         others = own * max(0, entries - 1)
         if self._knows_others:
-            others = sum(target.others for target in found)
+            others = sum(target.other_calls for target in found)
         return crowding.Crowd(
             calls=own + others,
             ranks=len(ready),
@@ -178,10 +185,12 @@
         """Return a start of a target."""
         return self._by_name.get(name)
 
-    def gone(self, target: instances.TargetInstance) -> None:
+    def mark_gone(self, target: instances.TargetInstance) -> None:
         """Note that another start of a target answers at the address."""
-        target.said = attrs.evolve(target.said, state=State.GONE)
-        target_log.tell(target.said)
+        target.announcement = attrs.evolve(
+            target.announcement, state=State.GONE
+        )
+        target_log.tell(target.announcement)
 
     def of_service(self, service: str) -> list[instances.TargetInstance]:
         """List the targets of a service, usable or not."""
@@ -211,7 +220,7 @@
             for target in usable
             if target.group not in left and self._standing.is_open(target)
         ]
-        return self._chooser.best(
+        return self._selector.select(
             sound or usable or self._leaving(service, tried, now), now
         )
 
@@ -251,7 +260,7 @@
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep()
 
-    async def arrival(
+    async def wait_for_target(
         self,
         service: str,
         tried: collections.abc.Collection[str],
@@ -266,14 +275,19 @@
         self._untold = []
         now = asyncio.get_running_loop().time()
         for name, target in tuple(self._by_name.items()):
-            quiet = now - target.heard_at
-            if target.said.is_leaving and quiet > self._unheard * 4:
+            quiet = now - target.announced_at
+            if target.announcement.is_leaving and quiet > self._unheard * 4:
                 self._forget(name)
                 continue
-            if target.said.state != State.READY or quiet < self._unheard:
+            if (
+                target.announcement.state != State.READY
+                or quiet < self._unheard
+            ):
                 continue
-            target.said = attrs.evolve(target.said, state=State.SILENT)
-            target_log.tell(target.said)
+            target.announcement = attrs.evolve(
+                target.announcement, state=State.SILENT
+            )
+            target_log.tell(target.announcement)
         self._count()
 
     def _judge(self) -> None:
@@ -283,8 +297,10 @@
             ready = [
                 one for one in self.of_service(service) if one.is_ready(now)
             ]
-            by_record = {id(one.record): one for one in ready}
-            found = outlier_detection.judge([one.record for one in ready], now)
+            by_record = {id(one.outcomes): one for one in ready}
+            found = outlier_detection.eject_outliers(
+                [one.outcomes for one in ready], now
+            )
             if found:
                 target_log.tell_failing(
                     service, [by_record[id(record)].name for record in found]
@@ -296,28 +312,30 @@
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
             for target in self.of_service(service):
-                state = target.said.state.name.lower()
+                state = target.announcement.state.name.lower()
                 figures.TARGETS.labels(service, state).inc()
-                for asked in target.asking(now):
+                for asked in target.active_backpressure(now):
                     figures.TARGETS_ASKING.labels(service, asked).inc()
 
-    def _add(self, said: announcements.Announcement, now: float) -> None:
-        group = self._standing.group_of(said.target)
-        self._by_name[said.target] = instances.TargetInstance(
-            said, now, group=group
+    def _add(
+        self, announcement: announcements.Announcement, now: float
+    ) -> None:
+        group = self._standing.group_of(announcement.target)
+        self._by_name[announcement.target] = instances.TargetInstance(
+            announcement, now, group=group
         )
-        if said.service:
-            self._by_service[said.service][said.target] = None
+        if announcement.service:
+            self._by_service[announcement.service][announcement.target] = None
             self._arrivals.note()
-        if said.state == State.READY:
-            self._untold.append(said)
+        if announcement.state == State.READY:
+            self._untold.append(announcement)
         else:
-            target_log.tell(said)
+            target_log.tell(announcement)
 
     def _begin_anew(
         self,
         ended: instances.TargetInstance,
-        said: announcements.Announcement,
+        announcement: announcements.Announcement,
         now: float,
     ) -> None:
         """Put a later start in the place of one that has ended.
@@ -325,11 +343,11 @@
         Calls that the earlier one had may have run and are lost with it; what
         was held of it, its load, its pauses and its pace, ends with it too.
         """
-        ended.said = attrs.evolve(ended.said, state=State.GONE)
-        ended.end()
-        self._forget(said.target)
-        self._add(said, now)
+        ended.announcement = attrs.evolve(ended.announcement, state=State.GONE)
+        ended.cancel_calls()
+        self._forget(announcement.target)
+        self._add(announcement, now)
 
     def _forget(self, name: str) -> None:
         gone = self._by_name.pop(name)
-        self._by_service[gone.said.service].pop(name, None)
+        self._by_service[gone.announcement.service].pop(name, None)
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -43,7 +43,7 @@
 class PlatformDialect(dialect.Dialect):
     """Speak with callers and targets as the platform does."""
 
-    def read(self, request: web.BaseRequest) -> calls.CallRequest:
+    def read_request(self, request: web.BaseRequest) -> calls.CallRequest:
         """Read a request's head; raise ``CallInvalid`` if it lacks an id."""
         headers = request.headers
         call_id = headers.get(wire.CALL_ID, '')
@@ -57,32 +57,32 @@
             path=request.raw_path,
             headers=tuple(headers.items()),
             key=_key(headers.get(wire.CREDENTIAL, '')),
-            left=None if left_ms is None else left_ms / MILLISECONDS,
-            position=headers.get(wire.POSITION, ''),
+            time_left=None if left_ms is None else left_ms / MILLISECONDS,
+            last_event_id=headers.get(wire.POSITION, ''),
         )
 
-    def outgoing(
+    def request_headers(
         self,
         call: calls.Call,
         target: str,
-        left: float,
-        position: str,
+        time_left: float,
+        last_event_id: str,
     ) -> calls.Headers:
         """Write the head for a target, with what callers may not set."""
         headers = [
             (name, value)
-            for name, value in call.asked.headers
+            for name, value in call.request.headers
             if name.lower() not in _OWN_HEADERS
         ]
-        headers.append((wire.LEFT, str(max(1, int(left * MILLISECONDS)))))
+        headers.append((wire.LEFT, str(max(1, int(time_left * MILLISECONDS)))))
         headers.append((wire.EXPECTED_TARGET, target))
-        if position:
-            headers.append((wire.POSITION, position))
+        if last_event_id:
+            headers.append((wire.POSITION, last_event_id))
         if call.organisation:
             headers.append((wire.ORGANISATION, call.organisation))
         return tuple(headers)
 
-    def judge(
+    def classify(
         self,
         call: calls.Call,
         status: int,
@@ -92,19 +92,19 @@
         echoed = headers.get(wire.CALL_ID)
         # A second answer to an earlier call may lie on the connection and be read
         # as the answer to this one.  Only the echoed identity tells them apart.
-        if echoed is not None and echoed != call.asked.call_id:
-            return dialect.ResponseKind.STRAY
+        if echoed is not None and echoed != call.request.call_id:
+            return dialect.ResponseKind.MISMATCHED
         if status == wire.MISDIRECTED:
-            return dialect.ResponseKind.ELSEWHERE
+            return dialect.ResponseKind.MISDIRECTED
         if wire.REFUSAL in headers:
             return dialect.ResponseKind.NOT_RUN
         if wire.SIGNATURE not in headers or echoed is None:
-            return dialect.ResponseKind.STRAY
+            return dialect.ResponseKind.MISMATCHED
         if 'Content-Encoding' in headers:
-            return dialect.ResponseKind.STRAY
+            return dialect.ResponseKind.MISMATCHED
         return dialect.ResponseKind.ANSWER
 
-    def asked(
+    def read_backpressure(
         self,
         status: int,
         headers: multidict.CIMultiDictProxy[str],
@@ -117,7 +117,7 @@
             rate=backpressure.rate(headers.get(wire.LIMIT, '')),
         )
 
-    def answer(
+    def response_headers(
         self,
         headers: multidict.CIMultiDictProxy[str],
     ) -> list[tuple[str, str]]:
@@ -128,7 +128,7 @@
             if name.lower() not in _FOR_ENTRY
         ]
 
-    def refusal(self, call_id: str) -> list[tuple[str, str]]:
+    def refusal_headers(self, call_id: str) -> list[tuple[str, str]]:
         """Write the headers of the entry's own answer."""
         return [(wire.CALL_ID, call_id)] if call_id else []
 
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -53,14 +53,14 @@
         gap=GAP,
     )
     return calls.Call(
-        asked=calls.CallRequest(
+        request=calls.CallRequest(
             call_id=call_id, method='POST', host='h', path='/', headers=()
         ),
         body=b'',
         route=route,
         service=SERVICE,
         organisation='',
-        arrived=now,
+        arrived_at=now,
         deadline=now + timeout,
         priority=priority,
     )
@@ -185,7 +185,7 @@
                     slots=5,
                 )
             )
-        known.share({})
+        known.set_other_loads({})
         line = admission_control.AdmissionQueue(
             SERVICE, bound, known, lambda: entries
         )
@@ -200,27 +200,27 @@
 
     async def _without_a_call(self):
         known, line = self._line(FixedBound(4), entries=3)
-        known.share({'0': outlier_detection.TargetLoad(9)})
-        line.share()
+        known.set_other_loads({'0': outlier_detection.TargetLoad(9)})
+        line.refill()
         await line.admit(call_of())
-        known.get('1').own = 1
+        known.get('1').own_calls = 1
         second = asyncio.create_task(line.admit(call_of()))
         await asyncio.sleep(0.2)
-        line.share()
+        line.refill()
         self.assertFalse(second.done())
         second.cancel()
 
     async def _waits_for_an_end(self):
         known, line = self._line(FixedBound(1))
-        line.share()
+        line.refill()
         await line.admit(call_of())
-        known.get('0').own = 1
+        known.get('0').own_calls = 1
         second = asyncio.create_task(line.admit(call_of()))
         await asyncio.sleep(0.2)
-        line.share()
+        line.refill()
         self.assertFalse(second.done())
-        known.get('0').own = 0
-        line.left()
+        known.get('0').own_calls = 0
+        line.release()
         await second
 
     async def _in_time_first(self):
@@ -233,11 +233,11 @@
 
     async def _two_waiting(self, *two):
         known, line = self._line(FixedBound(1))
-        known.get('0').own = 1
+        known.get('0').own_calls = 1
         tasks = [asyncio.create_task(line.admit(one)) for one in two]
         await asyncio.sleep(0.2)
-        known.get('0').own = 0
-        line.left()
+        known.get('0').own_calls = 0
+        line.release()
         await asyncio.sleep(0.01)
         done = [task.done() for task in tasks]
         for task in tasks:
@@ -246,8 +246,8 @@
 
     async def _refused_at_once(self):
         known, line = self._line(FixedBound(1))
-        known.get('0').own = 1
-        line.answered(2.0)
+        known.get('0').own_calls = 1
+        line.record_answer(2.0)
         began = asyncio.get_running_loop().time()
         try:
             await line.admit(call_of(timeout=5.0))
@@ -260,7 +260,7 @@
 
     async def _caller_left(self):
         known, line = self._line(FixedBound(1))
-        known.get('0').own = 1
+        known.get('0').own_calls = 1
         tasks = [
             asyncio.create_task(line.admit(call_of(aim=aim)))
             for aim in (0.5, 0.6)
@@ -269,19 +269,19 @@
         tasks[0].cancel()
         await asyncio.sleep(0.01)
         self.assertEqual(1, len(line))
-        known.get('0').own = 0
-        line.left()
+        known.get('0').own_calls = 0
+        line.release()
         await tasks[1]
 
     async def _shared_by_entries(self):
         bound = FixedBound(11)
         known, line = self._line(bound, entries=3)
-        known.get('1').own = 1
-        known.share({'0': outlier_detection.TargetLoad(10)})
+        known.get('1').own_calls = 1
+        known.set_other_loads({'0': outlier_detection.TargetLoad(10)})
         tasks = [asyncio.create_task(line.admit(call_of())) for _ in range(6)]
         await asyncio.sleep(0.01)
-        known.share({'0': outlier_detection.TargetLoad(4)})
-        line.share()
+        known.set_other_loads({'0': outlier_detection.TargetLoad(4)})
+        line.refill()
         await asyncio.sleep(0.01)
         admitted = sum(task.done() for task in tasks)
         for task in tasks:
@@ -291,14 +291,14 @@
     async def _without_others(self):
         known, line = self._line(FixedBound(8), entries=4)
         known.forget_others()
-        known.get('0').own = 2
+        known.get('0').own_calls = 2
         waiting = asyncio.create_task(line.admit(call_of()))
         await asyncio.sleep(0.01)
-        line.share()
+        line.refill()
         await asyncio.sleep(0.01)
         self.assertFalse(waiting.done())
-        known.get('0').own = 1
-        line.left()
+        known.get('0').own_calls = 1
+        line.release()
         await waiting
 
 
@@ -316,7 +316,7 @@
             admission.learn(_configuration(gap))
         call = call_of()
         await admission.admit(call)
-        admission.left(call)
+        admission.release(call)
 
 
 class UnevenLoadCase(unittest.TestCase):
@@ -395,12 +395,12 @@
     async def _closed(self):
         for opens in (True, False):
             line = self._line()
-            line.refused('0')
+            line.note_refusal('0')
             self.assertFalse(line.is_closed)
-            line.refused('1')
+            line.note_refusal('1')
             self.assertTrue(line.is_closed)
             if opens:
-                line.heard()
+                line.note_piece()
             else:
                 await asyncio.sleep(2 * opening.APART_SECONDS)
             self.assertFalse(line.is_closed)
@@ -408,8 +408,8 @@
     async def _full(self):
         line = self._line()
         for target in range(20):
-            line.refused(str(target))
-            line.heard()
+            line.note_refusal(str(target))
+            line.note_piece()
             self.assertFalse(line.is_closed)
             await asyncio.sleep(0.1)
 
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -69,7 +69,9 @@
         await self.add(another)
         await self.add(direct.whole('yes'), zone='far')
         self.assertEqual(200, (await self.ask())[0])
-        self.assertEqual(backpressure.NONE, self.known.get('t1').asked)
+        self.assertEqual(
+            backpressure.NONE, self.known.get('t1').last_backpressure
+        )
 
 
 def naming(header, text):
@@ -110,7 +112,7 @@
         self.serve(configuration.Kind.IDEMPOTENT)
         await self.add(naming('Server-Leaving: 1', 'last'))
         await self.ask()
-        left = self.known.get('t1').said
+        left = self.known.get('t1').announcement
         later = attrs.evolve(left, born=left.born + 1)
         self.known.take(attrs.evolve(left, born=1, sequence=1))
         self.known.take(attrs.evolve(later, born=2))
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -209,7 +209,7 @@
             await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
-            self.assertEqual([], entry.crashing.own())
+            self.assertEqual([], entry.crashing.own_rows())
 
     async def _told_once(self):
         hosts = {'h0': Counting(1)}
@@ -233,7 +233,7 @@
     async def _answered(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
         call = test_admitting.call_of()
-        entries[-1].crashing.answered(call)
+        entries[-1].crashing.note_answer(call)
         await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
@@ -244,7 +244,7 @@
         lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
-            entry.crashing.failed(call, start_of(f't{number}'), lost)
+            entry.crashing.note_failure(call, start_of(f't{number}'), lost)
             await asyncio.sleep(1)
             await _exchange(entries)
         return entries
@@ -259,11 +259,13 @@
         call = test_admitting.call_of(call_id='one')
         again = test_admitting.call_of(call_id='two')
         self.assertEqual(
-            poison_requests.mark_of(call), poison_requests.mark_of(again)
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(again),
         )
         other = _with_body(again, b'another')
         self.assertNotEqual(
-            poison_requests.mark_of(call), poison_requests.mark_of(other)
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(other),
         )
 
 
@@ -281,17 +283,17 @@
         fake.close()
         # What was lost with it is known at once, so that the loss counts.
         with mock.patch.object(suspects, 'TOGETHER_SECONDS', 0):
-            rows = self.crashing.own()
+            rows = self.crashing.own_rows()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
-        self.crashing.share(rows)
+        self.crashing.set_shared_rows(rows)
         sound = await self.add(direct_case.whole('yes'))
         status, body, headers = await self.ask(body=b'bad')
         self.assertEqual(503, status)
         self.assertIn(b'TT7213', body)
         self.assertGreater(float(headers['Retry-After']), 1)
         self.assertEqual([], sound.heads)
-        self.known.get(fake.name).failed(asyncio.get_running_loop().time())
+        self.known.get(fake.name).back_off(asyncio.get_running_loop().time())
         status, _, _ = await self.ask(body=b'good')
         self.assertEqual(200, status)
 
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -143,9 +143,9 @@
         self.serve(direct_case.ONCE)
         for _ in range(4):
             await self.add(direct_case.whole('yes'))
-        self.known.slow('c', {'t2': 3.0})
+        self.known.set_paces('c', {'t2': 3.0})
         for name in ('t1', 't3', 't4'):
-            self.known.get(name).own = 5
+            self.known.get(name).own_calls = 5
         self.assertNotEqual('t2', self.known.choose('s', ()).name)
 
     async def test_many_slow_ranks_share(self):
@@ -153,8 +153,8 @@
         self.serve(direct_case.ONCE)
         for _ in range(4):
             await self.add(direct_case.whole('yes'))
-        self.known.slow('c', dict.fromkeys(('t1', 't2', 't3'), 2.0))
-        self.known.get('t4').own = 2
+        self.known.set_paces('c', dict.fromkeys(('t1', 't2', 't3'), 2.0))
+        self.known.get('t4').own_calls = 2
         self.assertNotEqual('t4', self.known.choose('s', ()).name)
 
 
@@ -348,7 +348,7 @@
         )
         writer.write(request.encode())
         await reader.readuntil(b'yes')
-        self.front.leave()
+        self.front.begin_drain()
         self.front.refuse_new()
         self.assertEqual(b'', await reader.read())
         writer.close()
@@ -357,7 +357,7 @@
         """A call that comes after the grace of a stop is told 'not run'."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.whole('yes'))
-        self.front.leave()
+        self.front.begin_drain()
         status, _, headers = await self.ask()
         self.assertEqual((200, 'close'), (status, headers['Connection']))
         self.front.refuse_new()
@@ -386,7 +386,7 @@
         )
         for _ in range(3):
             await self.add(direct_case.refusing)
-        self.admission.share()
+        self.admission.refill()
         status, body, headers = await self.ask()
         self.assertEqual(503, status)
         self.assertIn(b'TT7214', body)
@@ -405,15 +405,15 @@
         for _ in range(2):
             await self.add(direct_case.streaming(1, 2, is_whole=True))
         full = self.known.get('t1')
-        full.own = 100
+        full.own_calls = 100
         waiting = [
             asyncio.create_task(self.ask(key=key, left='1500'))
             for key in ('usual', 'urgent')
         ]
         while len(self.admission._lines['s']) < 2:
             await asyncio.sleep(0)
-        full.own = 0
-        self.admission._lines['s'].left()
+        full.own_calls = 0
+        self.admission._lines['s'].release()
         done, late = await asyncio.wait(
             waiting, return_when=asyncio.FIRST_COMPLETED
         )
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -326,8 +326,8 @@
         known.learn_zones([zones.Zone('east', True, 1)])
         for _ in range(20):
             found = known.choose(SERVICE, ())
-            self.assertEqual('west', found.said.zone)
-            found.own += 1
+            self.assertEqual('west', found.announcement.zone)
+            found.own_calls += 1
         self.assertEqual('w1', known.choose(SERVICE, ('w0',)).name)
         crowd = known.crowd(SERVICE, 1)
         self.assertEqual((2, 4), (crowd.ranks, crowd.places))
@@ -340,7 +340,7 @@
         known.learn_zones([zones.Zone('east', True, 3)])
         known.learn_zones([zones.Zone('east', False, 2)])
         self.assertEqual(3, known.zone_changes)
-        self.assertEqual('west', known.choose(SERVICE, ()).said.zone)
+        self.assertEqual('west', known.choose(SERVICE, ()).announcement.zone)
 
     def known(self):
         known = targets.Targets('east', 1.0, random.Random(5))
--- a/tests/test_failing_targets.py
+++ b/tests/test_failing_targets.py
@@ -35,48 +35,48 @@
     def test_one_of_three(self):
         """One target fails all of its calls, the others none."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([held[0]], outlier_detection.judge(held, 1.0))
-        self.assertEqual([True, False, False], _out(held, 1.1))
+        self.assertEqual([held[0]], outlier_detection.eject_outliers(held, 1.0))
+        self.assertEqual([True, False, False], _ejected(held, 1.1))
 
     def test_all_fail(self):
         """All targets fail alike: none is worse, and none is left out."""
         held = [_record(2, 4), _record(2, 4), _record(2, 5)]
-        self.assertEqual([], outlier_detection.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
 
     def test_usual_failures(self):
         """One call in seven fails at each target, as some kinds' do."""
         held = [_record(18, 3), _record(18, 3), _record(15, 5)]
-        self.assertEqual([], outlier_detection.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
 
     def test_at_most_a_part(self):
         """Two of three fail; the third alone would have no room for all."""
         held = [_record(0, 6), _record(1, 6), _record(6, 0)]
-        outlier_detection.judge(held, 1.0)
-        self.assertEqual(1, sum(_out(held, 1.1)))
+        outlier_detection.eject_outliers(held, 1.0)
+        self.assertEqual(1, sum(_ejected(held, 1.1)))
 
     def test_one_of_two(self):
         """One of two targets stays in: the other may be the next to fail."""
         held = [_record(0, 6), _record(6, 0)]
-        self.assertEqual([], outlier_detection.judge(held, 1.0))
+        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
 
     def test_fails_again(self):
         """A target that was let back fails its first call: out for longer."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        outlier_detection.judge(held, 1.0)
-        back = 1.0 + outlier_detection.OUT_SECONDS
-        self.assertFalse(held[0].is_out(back))
+        outlier_detection.eject_outliers(held, 1.0)
+        back = 1.0 + outlier_detection.EJECTION_SECONDS
+        self.assertFalse(held[0].is_ejected(back))
         held[0].note(is_good=False, now=back)
         for other in held[1:]:
             other.note(is_good=True, now=back)
-        outlier_detection.judge(held, back)
+        outlier_detection.eject_outliers(held, back)
         self.assertTrue(
-            held[0].is_out(back + 1.9 * outlier_detection.OUT_SECONDS)
+            held[0].is_ejected(back + 1.9 * outlier_detection.EJECTION_SECONDS)
         )
 
     def test_old_failures(self):
         """A target that failed long ago is as good as any."""
         held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([], outlier_detection.judge(held, 9.0))
+        self.assertEqual([], outlier_detection.eject_outliers(held, 9.0))
 
 
 class LoadCase(policy_case.PausedCase):
@@ -137,10 +137,10 @@
     target = known.choose(SERVICE, ())
     fails = FAILS_FROM <= loop.time() - began < FAILS_UNTIL
     is_good = not (fails and target.name == 't0')
-    target.own += 1
+    target.own_calls += 1
     await asyncio.sleep(WORK_SECONDS if is_good else ERROR_SECONDS)
-    target.own -= 1
-    target.record.note(is_good=is_good, now=loop.time())
+    target.own_calls -= 1
+    target.outcomes.note(is_good=is_good, now=loop.time())
     if not is_good:
         lost.append(target.name)
 
@@ -167,5 +167,5 @@
     return record
 
 
-def _out(held, now):
-    return [record.is_out(now) for record in held]
+def _ejected(held, now):
+    return [record.is_ejected(now) for record in held]
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -45,7 +45,7 @@
                     slots=SLOTS,
                 )
             )
-    known.share({})
+    known.set_other_loads({})
     if told:
         known.learn_groups(1, rows())
     return known
@@ -70,7 +70,7 @@
     async def _closed(self):
         known = known_targets()
         for target in known.of_service(SERVICE):
-            target.own = 0 if target.group == 'g0' else 2
+            target.own_calls = 0 if target.group == 'g0' else 2
         known.learn_groups(1, rows(closed=('g0',)))
         found = {known.choose(SERVICE, ()).group for _ in range(40)}
         self.assertEqual({'g1', 'g2'}, found)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -51,14 +51,14 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         call = calls.Call(
-            asked=calls.CallRequest(
+            request=calls.CallRequest(
                 call_id='c', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
             route=ROUTE,
             service='s',
             organisation='o',
-            arrived=began,
+            arrived_at=began,
             deadline=began + 8,
         )
         pieces = stream_timing.StreamTiming(target='t1')
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -15,8 +15,8 @@
 from tamarackthread.control.site import loads
 from tamarackthread.policy import backpressure, fleets, rate_limit, sent_calls
 from tamarackthread.shared.site import configuration
-from tests import policy_case, test_backpressure, test_shared_calls
 from tests import direct_case as direct
+from tests import policy_case, test_backpressure, test_shared_calls
 
 TARGET = 't'
 TICK = 0.05
@@ -148,8 +148,8 @@
         first, _, one = test_shared_calls.entry_of('e1', hosts)
         second, _, two = test_shared_calls.entry_of('e2', hosts)
         first.get('t0').limit.hear(4, 0)
-        first.get('t0').own = 3
-        second.get('t1').own = 1
+        first.get('t0').own_calls = 3
+        second.get('t1').own_calls = 1
         for shared in (one, two, one):
             await shared.exchange()
         wanted = rate_limit.Demand(share=0.75, entries=2)
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -86,63 +86,63 @@
         hosts = {'h1': loads.Loads(1)}
         first, _, one = entry_of('e1', hosts)
         second, _, two = entry_of('e2', hosts)
-        first.get('t0').own = 2
-        second.get('t0').own = 1
+        first.get('t0').own_calls = 2
+        second.get('t0').own_calls = 1
         for shared in (one, two, one):
             await shared.exchange()
-        self.assertEqual(1, first.get('t0').others)
-        self.assertEqual(2, second.get('t0').others)
-        first.get('t0').own = 0
+        self.assertEqual(1, first.get('t0').other_calls)
+        self.assertEqual(2, second.get('t0').other_calls)
+        first.get('t0').own_calls = 0
         await one.exchange()
         await two.exchange()
-        self.assertEqual(0, second.get('t0').others)
+        self.assertEqual(0, second.get('t0').other_calls)
 
     async def _lost_host(self):
         hosts = {'h1': loads.Loads(1), 'h2': loads.Loads(2)}
         first, first_links, one = entry_of('e1', hosts)
         second, second_links, two = entry_of('e2', hosts)
-        first.get('t0').own = 2
+        first.get('t0').own_calls = 2
         await one.exchange()
         for links in (first_links, second_links):
             links.cut.add('h1')
         self.assertTrue(await one.exchange())
         self.assertTrue(await two.exchange())
-        self.assertEqual(2, second.get('t0').others)
+        self.assertEqual(2, second.get('t0').other_calls)
 
     async def _killed_entry(self):
         hosts = {'h1': loads.Loads(1)}
         first, _, one = entry_of('e1', hosts)
         second, _, two = entry_of('e2', hosts)
-        first.get('t0').own = 2
+        first.get('t0').own_calls = 2
         await one.exchange()
         await two.exchange()
-        self.assertEqual(2, second.get('t0').others)
+        self.assertEqual(2, second.get('t0').other_calls)
         await asyncio.sleep(loads.SILENT_SECONDS + 0.1)
         await two.exchange()
-        self.assertEqual(0, second.get('t0').others)
+        self.assertEqual(0, second.get('t0').other_calls)
 
     async def _restarted_host(self):
         hosts = {'h1': loads.Loads(1)}
         first, _, one = entry_of('e1', hosts)
         second, _, two = entry_of('e2', hosts)
-        first.get('t0').own = 2
+        first.get('t0').own_calls = 2
         await one.exchange()
         await two.exchange()
         hosts['h1'] = loads.Loads(7)
         await two.exchange()
-        self.assertEqual(0, second.get('t0').others)
+        self.assertEqual(0, second.get('t0').other_calls)
         await one.exchange()
         await two.exchange()
-        self.assertEqual(2, second.get('t0').others)
+        self.assertEqual(2, second.get('t0').other_calls)
 
     async def _alone(self):
         hosts = {'h1': loads.Loads(1)}
         known, links, shared = entry_of('e1', hosts)
-        known.share({'t0': outlier_detection.TargetLoad(3)})
+        known.set_other_loads({'t0': outlier_detection.TargetLoad(3)})
         links.cut.add('h1')
         running = asyncio.create_task(shared.run())
         await asyncio.sleep(load_exchange.STALE_SECONDS + 0.5)
-        self.assertEqual(0, known.get('t0').others)
+        self.assertEqual(0, known.get('t0').other_calls)
         running.cancel()
 
 
@@ -158,7 +158,7 @@
 
     async def _no_herd(self):
         known, _, _ = entry_of('e1', {}, targets_known=120)
-        known.share(
+        known.set_other_loads(
             {
                 f't{number}': outlier_detection.TargetLoad(1)
                 for number in range(1, 120)
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -18,7 +18,7 @@
 from tamarackthread.platform import door
 from tamarackthread.shared import wire
 from tamarackthread.shared.site import announcements
-from tests import policy_case, direct_case
+from tests import direct_case, policy_case
 
 State = announcements.State
 BORN = 1_780_000_000_000
@@ -27,7 +27,9 @@
 SEEDS = range(300)
 
 
-def said(state=State.READY, sequence=1, born=BORN, target='t1', port=80):
+def announcement(
+    state=State.READY, sequence=1, born=BORN, target='t1', port=80
+):
     """Build an announcement of a start."""
     return announcements.Announcement(
         target=target,
@@ -46,37 +48,41 @@
         Its sequence begins anew, so that by sequence alone nothing that it
         says would count until it has beaten as often as before its crash.
         """
-        self.assertTrue(said(born=LATER).follows(said(sequence=41)))
+        self.assertTrue(
+            announcement(born=LATER).follows(announcement(sequence=41))
+        )
 
     def test_farewell_is_of_one_start(self):
         """A target leaves and starts again: the new start takes calls."""
         for farewell in (State.LEAVING, State.GONE):
-            held = said(farewell, sequence=41)
-            self.assertTrue(said(born=LATER).follows(held))
+            held = announcement(farewell, sequence=41)
+            self.assertTrue(announcement(born=LATER).follows(held))
 
     def test_earlier_start_never_counts(self):
         """Words of a crashed start come late, its farewell among them."""
-        held = said(born=LATER)
+        held = announcement(born=LATER)
         for state in (State.READY, State.LEAVING, State.GONE, State.SILENT):
-            self.assertFalse(said(state, sequence=99).follows(held))
+            self.assertFalse(announcement(state, sequence=99).follows(held))
 
     def test_word_without_a_start(self):
         """A process of an older release passes words on without their start.
 
         They are judged as of the start that is held, and do not hide it.
         """
-        held = said(sequence=5)
-        late = said(born=0, sequence=4)
+        held = announcement(sequence=5)
+        late = announcement(born=0, sequence=4)
         self.assertFalse(late.follows(held))
-        leaving = said(State.LEAVING, born=0, sequence=1)
+        leaving = announcement(State.LEAVING, born=0, sequence=1)
         self.assertTrue(leaving.follows(held))
         self.assertEqual(BORN, leaving.after(held).born)
-        self.assertTrue(said(sequence=1).follows(said(born=0, sequence=9)))
-        self.assertFalse(said(sequence=9).follows(leaving))
+        self.assertTrue(
+            announcement(sequence=1).follows(announcement(born=0, sequence=9))
+        )
+        self.assertFalse(announcement(sequence=9).follows(leaving))
 
     def test_passed_on(self):
         """The start is in the messages between our processes, and optional."""
-        row = announcements.to_message(said())
+        row = announcements.to_message(announcement())
         self.assertEqual(BORN, announcements.of_message(row).born)
         row.born_ms = None
         self.assertEqual(0, announcements.of_message(row).born)
@@ -100,7 +106,7 @@
 
     async def _late_farewell(self):
         held = book.Book(BEAT)
-        held.take(said(born=LATER))
+        held.take(announcement(born=LATER))
         held.farewell('t1', BORN)
         self.assertEqual(State.READY, held.after(0)[0].state)
         held.farewell('t1', LATER)
@@ -108,16 +114,16 @@
 
     async def _word_of_nobody(self):
         held = book.Book(BEAT)
-        held.take(said())
+        held.take(announcement())
         with self.assertRaises(book.StartMissing):
-            held.take(said(born=0, sequence=99))
-        self.assertEqual([said()], held.after(0))
+            held.take(announcement(born=0, sequence=99))
+        self.assertEqual([announcement()], held.after(0))
 
     async def _slow_no_more(self):
         held = book.Book(BEAT)
-        held.take(said())
+        held.take(announcement())
         held.note_pace('t1', 3.0)
-        held.take(said(born=LATER))
+        held.take(announcement(born=LATER))
         self.assertEqual({}, held.paces())
 
 
@@ -129,8 +135,8 @@
         until that speaks again, a beat later.
         """
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
-        known.learn_target(said(born=LATER, target='t2'))
-        known.learn_target(said(born=BORN, target='t1', sequence=9))
+        known.learn_target(announcement(born=LATER, target='t2'))
+        known.learn_target(announcement(born=BORN, target='t1', sequence=9))
         names = [member.target for member in known.members('s')]
         self.assertEqual(['t2'], names)
 
@@ -142,17 +148,17 @@
         for the old one would be refused: no map would be changed any more.
         """
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
-        known.learn_target(said(born=0, target='old'))
-        known.learn_target(said(born=0, target='new'))
-        known.learn_target(said(State.SILENT, born=0, target='old'))
+        known.learn_target(announcement(born=0, target='old'))
+        known.learn_target(announcement(born=0, target='new'))
+        known.learn_target(announcement(State.SILENT, born=0, target='old'))
         names = [member.target for member in known.members('s')]
         self.assertEqual(['new'], names)
 
     def test_both_silent(self):
         """Of two silent targets the later start is at the address."""
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
-        known.learn_target(said(State.SILENT, born=LATER, target='t2'))
-        known.learn_target(said(State.SILENT, born=BORN, target='t1'))
+        known.learn_target(announcement(State.SILENT, born=LATER, target='t2'))
+        known.learn_target(announcement(State.SILENT, born=BORN, target='t1'))
         names = [member.target for member in known.members('s')]
         self.assertEqual(['t2'], names)
 
@@ -199,7 +205,7 @@
         _deliver(rng.choice(hosts), last)
         for entry in entries:
             entry.ask()
-            held = entry.known.get('t1').said
+            held = entry.known.get('t1').announcement
             self.assertEqual(last.born, held.born)
             self.assertEqual(last.is_leaving, held.is_leaving)
 
@@ -236,13 +242,15 @@
     for start in range(rng.randint(2, 4)):
         born = BORN + start * 1000
         count = rng.randint(1, 5)
-        beats = [said(born=born, sequence=beat) for beat in range(count)]
+        beats = [
+            announcement(born=born, sequence=beat) for beat in range(count)
+        ]
         words.extend(beats)
         if rng.random() < 0.5:
-            words.append(said(State.LEAVING, sequence=9, born=born))
-            words.append(said(State.GONE, sequence=9, born=born))
+            words.append(announcement(State.LEAVING, sequence=9, born=born))
+            words.append(announcement(State.GONE, sequence=9, born=born))
     has_left = words[-1].state == State.GONE
-    last = words.pop() if has_left else said(born=born, sequence=10)
+    last = words.pop() if has_left else announcement(born=born, sequence=10)
     return words, last
 
 
@@ -280,15 +288,15 @@
         self.serve(direct_case.IDEMPOTENT)
         fake = await self.add(direct_case.whole('yes'))
         earlier = self.known.get(fake.name)
-        earlier.own = 5
-        earlier.failed(asyncio.get_running_loop().time())
+        earlier.own_calls = 5
+        earlier.back_off(asyncio.get_running_loop().time())
         await self._start_again(fake)
         later = self.known.get(fake.name)
-        self.assertEqual((0, 0), (later.own, later.paused_until))
+        self.assertEqual((0, 0), (later.own_calls, later.backoff_until))
         self.assertEqual((200, b'yes'), (await self.ask())[:2])
 
     async def _start_again(self, fake):
-        held = self.known.get(fake.name).said
+        held = self.known.get(fake.name).announcement
         for born in (BORN, LATER):
             self.known.take(
                 announcements.Announcement(
@@ -313,10 +321,10 @@
     async def _one_line(self):
         known = targets.Targets('z', BEAT, random.Random(1))
         for number in range(129):
-            known.take(said(target=f't{number}', port=number))
+            known.take(announcement(target=f't{number}', port=number))
         logged = self.enterContext(self.assertLogs('tamarackthread.entry'))
         known.sweep()
-        known.take(said(State.LEAVING, target='t5', port=5))
+        known.take(announcement(State.LEAVING, target='t5', port=5))
         lines = [row.fields for row in logged.records]
         self.assertEqual(129, len(lines[0]['targets']))
         self.assertEqual('t5', lines[1]['target'])
