--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -21,18 +21,18 @@
 
 # A call comes within one pass, its prompt is read in the next, at the end of which
 # its first piece comes; and there is the way to the rank and back.
-PASSES_TO_FIRST = 2.2
+PASSES_TO_FIRST_PIECE = 2.2
 # An answer's usual length counts the last ones, the newest by this much.
-NEWEST_SHARE = 0.1
+EWMA_WEIGHT = 0.1
 # A call that is refused since it can't be answered in time gets no better answer
 # for coming back at once.
 RETRY_AFTER_SECONDS = 0.5
 
-Entries = collections.abc.Callable[[], int]
+EntryCount = collections.abc.Callable[[], int]
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _Waiter:
     """A call that waits; ``granted`` ends its wait."""
 
     call: calls.Call
@@ -51,17 +51,17 @@
         self,
         service: str,
         bound: crowding.CallBound,
-        known: targets.Targets,
-        entries: Entries,
+        all_targets: targets.Targets,
+        entries: EntryCount,
     ) -> None:
-        """Bound the calls that ``known`` counts by ``bound``."""
+        """Bound the calls that ``all_targets`` counts by ``bound``."""
         self._service = service
         self._bound = bound
-        self._known = known
+        self._targets = all_targets
         self._entries = entries
-        self._opening = opening.Opening()
-        self._waiting: list[_Waiting] = []
-        self._part: float = 0
+        self._group_state = opening.Opening()
+        self._waiting: list[_Waiter] = []
+        self._quota: float = 0
         self._answer_seconds: float = 0
 
     @property
@@ -70,8 +70,8 @@
         return self._bound
 
     @bound.setter
-    def bound(self, fresh: crowding.CallBound) -> None:
-        self._bound = fresh
+    def bound(self, bound: crowding.CallBound) -> None:
+        self._bound = bound
 
     def __len__(self) -> int:
         """Count the calls that wait."""
@@ -82,45 +82,45 @@
 
         Raises ``NoRoomInTime`` as soon as an answer can't be whole in time.
         """
-        if not self._waiting and self._takes_place():
+        if not self._waiting and self._take_slot():
             return
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(call, loop.create_future())
-        self._waiting.append(waiting)
+        waiter = _Waiter(call, loop.create_future())
+        self._waiting.append(waiter)
         try:
             async with asyncio.timeout_at(call.deadline - self._answer_seconds):
-                await waiting.granted
+                await waiter.granted
         except TimeoutError as exc:
             raise failures.NoRoomInTime(
                 retry_after=RETRY_AFTER_SECONDS
             ) from exc
         finally:
-            self._waiting.remove(waiting)
+            self._waiting.remove(waiter)
 
     def record_answer(self, seconds: float) -> None:
         """Note that a call was answered so long after it had been sent."""
         if not self._answer_seconds:
             self._answer_seconds = seconds
-        self._answer_seconds += NEWEST_SHARE * (seconds - self._answer_seconds)
+        self._answer_seconds += EWMA_WEIGHT * (seconds - self._answer_seconds)
 
     def release(self) -> None:
         """Note that a call of this entry has left its rank."""
-        if 0 < self._free() < math.inf:
-            self._part += 1
+        if 0 < self._free_slots() < math.inf:
+            self._quota += 1
         self._grant()
 
     @property
     def is_closed(self) -> bool:
         """Tell whether targets have only refused calls of late."""
-        return self._opening.is_closed(asyncio.get_running_loop().time())
+        return self._group_state.is_closed(asyncio.get_running_loop().time())
 
     def note_piece(self) -> None:
         """Note that a target has sent a piece of an answer."""
-        self._opening.heard(asyncio.get_running_loop().time())
+        self._group_state.heard(asyncio.get_running_loop().time())
 
     def note_refusal(self, target: str) -> None:
         """Note that a target has refused a call unrun."""
-        self._opening.refused(target, asyncio.get_running_loop().time())
+        self._group_state.refused(target, asyncio.get_running_loop().time())
 
     def note_gap(self, seconds: float) -> None:
         """Take the time between two pieces of an answer."""
@@ -137,129 +137,131 @@
         case: else it could not learn that there is room.
         """
         crowd = self._crowd()
-        free = self._free_of(crowd)
-        self._part = 0 if crowd.own else 1
+        free = self._free_slots_of(crowd)
+        self._quota = 0 if crowd.own else 1
         if 0 < free < math.inf:
-            self._part = max(1, free / max(1, self._entries()))
+            self._quota = max(1, free / max(1, self._entries()))
         self._grant()
 
     def _crowd(self) -> crowding.Crowd:
-        return self._known.crowd(self._service, self._entries())
+        return self._targets.crowd(self._service, self._entries())
 
-    def _free(self) -> float:
+    def _free_slots(self) -> float:
         """Return how many calls more the ranks may have."""
-        return self._free_of(self._crowd())
+        return self._free_slots_of(self._crowd())
 
-    def _free_of(self, crowd: crowding.Crowd) -> float:
+    def _free_slots_of(self, crowd: crowding.Crowd) -> float:
         now = asyncio.get_running_loop().time()
         return self._bound.most(crowd, now) - crowd.calls
 
-    def _takes_place(self) -> bool:
-        if math.isinf(self._free()):
+    def _take_slot(self) -> bool:
+        if math.isinf(self._free_slots()):
             return True
-        if self._part < 1:
+        if self._quota < 1:
             return False
-        self._part -= 1
+        self._quota -= 1
         return True
 
     def _grant(self) -> None:
         """Let calls go as long as there is room, those in time first."""
         now = asyncio.get_running_loop().time()
-        lead = PASSES_TO_FIRST * self._bound.usual(now)
+        lead = PASSES_TO_FIRST_PIECE * self._bound.usual(now)
         rows = [row for row in self._waiting if not row.granted.done()]
-        rows.sort(key=lambda row: _urgency(row.call, now + lead))
+        rows.sort(key=lambda row: _admission_order(row.call, now + lead))
         for row in rows:
-            if not self._takes_place():
+            if not self._take_slot():
                 return
             row.granted.set_result(None)
 
 
 class AdmissionControl:
-    """Hold a line for each service whose targets advance together."""
+    """Hold a queue for each service whose targets advance together."""
 
     def __init__(
         self,
-        known: targets.Targets,
-        entries: Entries,
+        all_targets: targets.Targets,
+        entries: EntryCount,
     ) -> None:
         """Begin without a service."""
-        self._known = known
+        self._targets = all_targets
         self._entries = entries
-        self._lines: dict[str, AdmissionQueue] = {}
-        self._held: dict[str, tuple[configuration.Passes, float]] = {}
+        self._queues: dict[str, AdmissionQueue] = {}
+        self._settings: dict[str, tuple[configuration.Passes, float]] = {}
 
-    def learn(self, held: configuration.Configuration) -> None:
+    def learn(self, config: configuration.Configuration) -> None:
         """Take what a configuration tells of services and their callers."""
-        for service in held.services:
+        for service in config.services:
             if service.passes is None:
                 continue
-            found = (service.passes, held.gap_of(service.name))
-            if not found[1] or self._held.get(service.name) == found:
+            settings = (service.passes, config.gap_of(service.name))
+            if not settings[1] or self._settings.get(service.name) == settings:
                 continue
-            self._held[service.name] = found
-            self._bind(
+            self._settings[service.name] = settings
+            self._set_bound(
                 service.name,
-                crowding.Proportional(found[1], service.passes.empty),
+                crowding.Proportional(settings[1], service.passes.empty),
             )
 
-    def _bind(self, service: str, bound: crowding.CallBound) -> None:
-        """Bound the calls of a service; those that wait stay in their line."""
-        line = self._lines.get(service)
-        if line is not None:
-            line.bound = bound
+    def _set_bound(self, service: str, bound: crowding.CallBound) -> None:
+        """Bound the calls of a service; those that wait stay in their queue."""
+        queue = self._queues.get(service)
+        if queue is not None:
+            queue.bound = bound
             return
-        self._lines[service] = AdmissionQueue(
-            service, bound, self._known, self._entries
+        self._queues[service] = AdmissionQueue(
+            service, bound, self._targets, self._entries
         )
 
     async def admit(self, call: calls.Call) -> None:
         """Wait until the targets of a call have room for it."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            await line.admit(call)
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            await queue.admit(call)
 
     def record_answer(self, call: calls.Call, seconds: float) -> None:
         """Note that a call was answered so long after it had been sent."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.record_answer(seconds)
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.record_answer(seconds)
 
     def release(self, call: calls.Call) -> None:
         """Note that a call has left its target."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.release()
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.release()
 
     def note_piece(self, call: calls.Call) -> None:
         """Note that a target has sent a piece of an answer."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.note_piece()
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_piece()
 
     def note_refusal(self, call: calls.Call, target: str) -> None:
         """Note that a target has refused a call unrun."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.note_refusal(target)
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_refusal(target)
 
     def is_closed(self, call: calls.Call) -> bool:
         """Tell whether the targets of a call make no passes now."""
-        line = self._lines.get(call.service)
-        return line is not None and line.is_closed
+        queue = self._queues.get(call.service)
+        return queue is not None and queue.is_closed
 
     def note_gap(self, call: calls.Call, seconds: float) -> None:
         """Take the time between two pieces of a call's answer."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.note_gap(seconds)
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_gap(seconds)
 
     def refill(self) -> None:
         """Share what is free, after an exchange with the other entries."""
-        for line in self._lines.values():
-            line.refill()
+        for queue in self._queues.values():
+            queue.refill()
 
 
-def _urgency(call: calls.Call, first_at: float) -> tuple[bool, int, float]:
+def _admission_order(
+    call: calls.Call, first_at: float
+) -> tuple[bool, int, float]:
     """Rank calls: those that can be in time, the urgent, the oldest first.
 
     Where not all can be in time, going by age alone makes all of them late.
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -11,10 +11,10 @@
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
-SUM_SECONDS = 10.0
+SUMMARY_SECONDS = 10.0
 # One of so many ordinary answers is logged by itself.  At 32 calls a second,
 # an entry's part of the size that we design for, that is a line every 1.5 s.
-SAMPLE = 50
+SAMPLE_INTERVAL = 50
 _Event = log_events.Event
 _log = logging.getLogger('tamarackthread.entry')
 
@@ -31,11 +31,11 @@
         self._counts: collections.Counter[str] = collections.Counter()
         self._answered = 0
 
-    def answered(
+    def log_answered(
         self,
         call: calls.Call,
         version: int,
-        pieces: stream_timing.StreamTiming,
+        timing: stream_timing.StreamTiming,
     ) -> None:
         """Note a whole answer; it is logged if it was late, or by sample."""
         now = asyncio.get_running_loop().time()
@@ -44,8 +44,8 @@
         figures.CALL_SECONDS.labels(call.service).observe(took)
         self._counts['answered'] += 1
         self._answered += 1
-        is_late = _is_late(call, took, pieces)
-        if not is_late and self._answered % SAMPLE:
+        is_late = _is_late(call, took, timing)
+        if not is_late and self._answered % SAMPLE_INTERVAL:
             self._counts['left_out'] += 1
             return
         log_events.tell(
@@ -59,15 +59,15 @@
             organisation=call.organisation,
             version=version,
             is_late=is_late,
-            target=pieces.target,
-            first_ms=_milliseconds(max(0, pieces.first_at - call.arrived_at)),
-            pause_ms=_milliseconds(pieces.longest_pause),
+            target=timing.target,
+            first_ms=_milliseconds(max(0, timing.first_at - call.arrived_at)),
+            pause_ms=_milliseconds(timing.longest_pause),
             since_pause_ms=_milliseconds(
-                now - pieces.longest_pause_end if pieces.longest_pause else 0
+                now - timing.longest_pause_end if timing.longest_pause else 0
             ),
         )
 
-    def ended(
+    def log_failed(
         self,
         failure: errors.CodedError,
         call: calls.Call | None,
@@ -75,7 +75,7 @@
         has_started: bool,
     ) -> None:
         """Log a call that has no whole answer, with what it is told."""
-        event = _event_of(failure, has_started)
+        event = _event_for(failure, has_started)
         service = '' if call is None else call.service
         figures.CALLS.labels(service, event.value).inc()
         self._counts[event.value] += 1
@@ -99,7 +99,7 @@
             **fields,
         )
 
-    def left(self, out: sink.HttpSink) -> None:
+    def log_disconnected(self, out: sink.HttpSink) -> None:
         """Log that the caller has closed its connection."""
         self._counts[_Event.CALLER_LEFT.value] += 1
         figures.CALLS.labels('', _Event.CALLER_LEFT.value).inc()
@@ -113,7 +113,7 @@
     async def run(self) -> None:
         """Log the sums for ever, while there is something to sum."""
         while True:
-            await asyncio.sleep(SUM_SECONDS)
+            await asyncio.sleep(SUMMARY_SECONDS)
             if not self._counts:
                 continue
             log_events.tell(
@@ -121,7 +121,7 @@
                 _Event.CALLS_SUMMED,
                 'entry: %d calls answered in %d s',
                 self._counts['answered'],
-                SUM_SECONDS,
+                SUMMARY_SECONDS,
                 **self._counts,
             )
             self._counts.clear()
@@ -130,21 +130,21 @@
 def _is_late(
     call: calls.Call,
     took: float,
-    pieces: stream_timing.StreamTiming,
+    timing: stream_timing.StreamTiming,
 ) -> bool:
     """Tell whether an answer came too late, or a stream paused too long."""
-    if not pieces.first_at:
+    if not timing.first_at:
         return 0 < call.route.aim < took
-    if 0 < call.route.aim < pieces.first_at - call.arrived_at:
+    if 0 < call.route.aim < timing.first_at - call.arrived_at:
         return True
-    return 0 < call.route.gap < pieces.longest_pause
+    return 0 < call.route.gap < timing.longest_pause
 
 
 def _milliseconds(seconds: float) -> int:
     return round(seconds * 1000)
 
 
-def _event_of(failure: errors.CodedError, has_started: bool) -> _Event:
+def _event_for(failure: errors.CodedError, has_started: bool) -> _Event:
     if has_started:
         return _Event.CALL_BROKEN
     if failure.ran == messages.Ran.NOT_RUN:
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -15,31 +15,31 @@
     retry_budgets,
     sink,
     sse,
+    stream_timing,
     target_client,
     targets,
 )
-from tamarackthread.entry.direct import stream_timing as tempos
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import configuration, figures
 
 # Tries at which no connection came about cost a target nothing; a caller
 # would still wait for each of them.
-CONNECT_TRIES = 4
+MAX_CONNECT_FAILURES = 4
 # A route's attempts bound how many targets may run a call, and one that refused it
 # has not.  A target that refuses while it has places is no reason to send a caller
 # away whose aim a second try would meet; two that refuse tell that all are full.
-MOST_REFUSED = 2
+MAX_REFUSALS = 2
 # A full target has a place again within about a tenth of a second; callers
 # that come back spread over more than that do not meet again.
-RETRY_AFTER_SECONDS = 0.25
-NO_TARGET_SECONDS = 0.5
+FULL_RETRY_AFTER_SECONDS = 0.25
+NO_TARGET_RETRY_AFTER_SECONDS = 0.5
 # A group whose rank was lost opens again within two or three seconds.  A caller who
 # waits here for its first event leaves before that.
-CLOSED_SECONDS = 2.0
+CLOSED_RETRY_AFTER_SECONDS = 2.0
 # Callers that were refused while all targets wanted rest return over this time.
-RETURN_SECONDS = 1.0
+REST_JITTER_SECONDS = 1.0
 # An answer from this status on is a failure of the target's own.
-FAILED_STATUS = 500
+MIN_ERROR_STATUS = 500
 
 
 class CallRunner:
@@ -47,18 +47,18 @@
 
     def __init__(
         self,
-        known: targets.Targets,
-        sender: target_client.TargetClient,
+        all_targets: targets.Targets,
+        client: target_client.TargetClient,
         budget: retry_budgets.RetryBudgets,
         admission: admission_control.AdmissionControl,
-        crashing: poison_requests.PoisonRequests,
+        poison: poison_requests.PoisonRequests,
         generator: random.Random,
     ) -> None:
-        """Choose among ``known`` and send with ``sender``."""
-        self._crashing = crashing
-        self._known = known
+        """Choose among ``all_targets`` and send with ``sender``."""
+        self._poison = poison
+        self._targets = all_targets
         self._admission = admission
-        self._sender = sender
+        self._client = client
         self._budget = budget
         self._random = generator
 
@@ -68,7 +68,7 @@
         A coded error raised here tells whether the call may have run; the
         answer may have begun by then.
         """
-        self._crashing.check(call)
+        self._poison.check(call)
         progress = call_progress.CallProgress()
         self._budget.earn(call.service)
         try:
@@ -76,17 +76,17 @@
                 await self._try_until_answered(call, progress, out)
         except TimeoutError as exc:
             if progress.current_target is not None:
-                self._note(progress.current_target, is_good=False)
+                self._record_outcome(progress.current_target, is_good=False)
                 progress.sent.append(progress.current_target.name)
                 progress.may_have_run = True
-                passed = failures.DeadlinePassed('no answer')
+                timed_out = failures.DeadlinePassed('no answer')
                 call_progress.log_failed_try(
-                    call, progress.current_target, progress, passed
+                    call, progress.current_target, progress, timed_out
                 )
             if progress.may_have_run:
                 raise failures.DeadlinePassed(progress.names) from exc
             raise failures.DeadlineBeforeSend(
-                retry_after=self._soon(RETRY_AFTER_SECONDS),
+                retry_after=self._jittered(FULL_RETRY_AFTER_SECONDS),
             ) from exc
 
     async def _try_until_answered(
@@ -97,10 +97,10 @@
     ) -> None:
         while True:
             target = await self._next_target(call, progress)
-            if await self._is_answered(call, target, progress, out):
+            if await self._try_target(call, target, progress, out):
                 return
 
-    async def _is_answered(
+    async def _try_target(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
@@ -114,17 +114,17 @@
         progress.current_target = target
         try:
             async with target.lifetime():
-                await self._try(call, target, progress, out)
+                await self._send(call, target, progress, out)
         except errors.CodedError as exc:
-            self._crashing.note_failure(call, target, exc)
-            self._learn(call, target, progress, exc)
+            self._poison.note_failure(call, target, exc)
+            self._record_failure(call, target, progress, exc)
             call_progress.log_failed_try(call, target, progress, exc)
             return False
         finally:
             target.own_calls -= 1
             self._admission.release(call)
         target.reset_backoff()
-        self._crashing.note_answer(call)
+        self._poison.note_answer(call)
         self._admission.record_answer(call, loop.time() - began)
         return True
 
@@ -135,18 +135,20 @@
     ) -> instances.TargetInstance:
         """Choose where to try next; raise the call's end if nowhere."""
         if progress.failure is not None and not self._may_try(call, progress):
-            raise self._end(call, progress)
-        if self._known.rest_seconds(call.service):
-            raise self._end(call, progress)
+            raise self._final_error(call, progress)
+        if self._targets.rest_seconds(call.service):
+            raise self._final_error(call, progress)
         await self._admission.admit(call)
         tried = progress.tried
         left = call.deadline - asyncio.get_running_loop().time()
-        await self._known.wait_for_target(
+        await self._targets.wait_for_target(
             call.service, tried, calls.startup_wait(left)
         )
-        target = self._known.choose(call.service, tried, progress.failed_groups)
+        target = self._targets.choose(
+            call.service, tried, progress.failed_groups
+        )
         if target is None:
-            raise self._end(call, progress)
+            raise self._final_error(call, progress)
         return target
 
     def _may_try(
@@ -158,51 +160,53 @@
         # the caller would read the beginning twice.
         if progress.is_unnumbered:
             return False
-        if len(progress.skipped) >= CONNECT_TRIES:
+        if len(progress.skipped) >= MAX_CONNECT_FAILURES:
             return False
         if not progress.sent and not progress.refused:
             return True
         if len(progress.sent) >= call.route.attempts:
             return False
-        if len(progress.refused) >= MOST_REFUSED:
+        if len(progress.refused) >= MAX_REFUSALS:
             return False
         return self._budget.spend(call.service)
 
     def _may_repeat(self, call: calls.Call) -> bool:
-        return call.route.may_repeat and self._crashing.may_repeat(call)
+        return call.route.may_repeat and self._poison.may_repeat(call)
 
-    async def _try(
+    async def _send(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
         progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
-        position = call.request.last_event_id
+        last_event_id = call.request.last_event_id
         if progress.last_event >= 0:
-            position = str(progress.last_event)
-        async with self._sender.send(call, target, position) as answer:
+            last_event_id = str(progress.last_event)
+        async with self._client.send(call, target, last_event_id) as answer:
             is_stream = call.route.kind is configuration.Kind.STREAM
             if is_stream and answer.head.status == 200:
                 await self._relay(call, answer, progress, out)
-                self._note(target, is_good=True)
+                self._record_outcome(target, is_good=True)
                 return
             body = await answer.whole()
-            if self._is_worth_another(call, progress, answer.head.status):
+            if self._should_retry_error(call, progress, answer.head.status):
                 raise target_client.Lost(f'status {answer.head.status}')
             if out.has_started:
                 raise target_client.Lost(f'status {answer.head.status}')
-            self._note(target, is_good=answer.head.status < FAILED_STATUS)
+            self._record_outcome(
+                target, is_good=answer.head.status < MIN_ERROR_STATUS
+            )
             await out.whole(answer.head, body)
 
-    def _is_worth_another(
+    def _should_retry_error(
         self,
         call: calls.Call,
         progress: call_progress.CallProgress,
         status: int,
     ) -> bool:
         """Tell whether a failure of a target's own may be tried elsewhere."""
-        if status < FAILED_STATUS or not call.route.may_repeat:
+        if status < MIN_ERROR_STATUS or not call.route.may_repeat:
             return False
         if len(progress.sent) + 1 >= call.route.attempts:
             return False
@@ -238,24 +242,24 @@
                 ready.append(event.payload)
             if ready:
                 self._admission.note_piece(call)
-                self._note_pause(call, out.tempo, len(ready))
+                self._note_gap(call, out.tempo, len(ready))
                 await out.write(b''.join(ready))
         if splitter.rest:
             await out.write(splitter.rest)
         await out.finish()
 
-    def _note_pause(
+    def _note_gap(
         self,
         call: calls.Call,
-        tempo: tempos.StreamTiming,
+        timing: stream_timing.StreamTiming,
         pieces: int,
     ) -> None:
-        if not tempo.last_at:
+        if not timing.last_at:
             return
-        pause = asyncio.get_running_loop().time() - tempo.last_at
+        pause = asyncio.get_running_loop().time() - timing.last_at
         self._admission.note_gap(call, pause / pieces)
 
-    def _learn(
+    def _record_failure(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
@@ -271,13 +275,13 @@
             return
         if isinstance(failure, target_client.Elsewhere):
             # The target that was meant never saw it, so it is no try at one.
-            self._known.mark_gone(target)
+            self._targets.mark_gone(target)
             progress.skipped.add(target.name)
             return
         if isinstance(failure, (target_client.Refused, target_client.Lost)):
             # All ranks of a group refuse or lose what they have when one is lost.
             progress.failed_groups.add(target.group)
-            self._note(target, is_good=False)
+            self._record_outcome(target, is_good=False)
         if isinstance(failure, target_client.Refused):
             self._admission.note_refusal(call, target.name)
             progress.refused.append(target.name)
@@ -285,12 +289,14 @@
         progress.sent.append(target.name)
         progress.may_have_run = True
 
-    def _note(self, target: instances.TargetInstance, *, is_good: bool) -> None:
+    def _record_outcome(
+        self, target: instances.TargetInstance, *, is_good: bool
+    ) -> None:
         """Note how a call has ended at a target."""
         now = asyncio.get_running_loop().time()
         target.outcomes.note(is_good=is_good, now=now)
 
-    def _end(
+    def _final_error(
         self,
         call: calls.Call,
         progress: call_progress.CallProgress,
@@ -298,23 +304,23 @@
         """Tell the caller's end: not run, or may have run."""
         if progress.may_have_run:
             return failures.TargetFailed(str(progress.failure))
-        rest = self._known.rest_seconds(call.service)
+        rest = self._targets.rest_seconds(call.service)
         if rest:
             # The first to come back is the only one to be taken at once.
-            spread = self._random.uniform(0, RETURN_SECONDS)
+            spread = self._random.uniform(0, REST_JITTER_SECONDS)
             return failures.TargetsRest(retry_after=rest + spread)
         if progress.refused and self._admission.is_closed(call):
             return failures.GroupClosed(
-                retry_after=self._soon(CLOSED_SECONDS),
+                retry_after=self._jittered(CLOSED_RETRY_AFTER_SECONDS),
             )
         if progress.sent or progress.refused:
             return failures.TargetsFull(
-                retry_after=self._soon(RETRY_AFTER_SECONDS),
+                retry_after=self._jittered(FULL_RETRY_AFTER_SECONDS),
             )
         return failures.NoTargetReady(
-            retry_after=self._soon(NO_TARGET_SECONDS),
+            retry_after=self._jittered(NO_TARGET_RETRY_AFTER_SECONDS),
         )
 
-    def _soon(self, seconds: float) -> float:
+    def _jittered(self, seconds: float) -> float:
         """Spread a time to come back, so that callers don't as one."""
         return seconds * self._random.uniform(0.7, 1.5)
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -8,7 +8,7 @@
 from tamarackthread.policy import rate_limit
 
 
-def of(
+def of_entry(
     known: collections.abc.Sequence[instances.TargetInstance],
     entries: int,
     now: float,
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -11,13 +11,13 @@
 
 # The targets of a zone that is taken back are taken for cold for so long, whatever
 # they last said: one may have turned cold after its last announcement.
-RESTORED_SECONDS = 10.0
+RESTORED_COLD_SECONDS = 10.0
 
 # A target whose answers say that it leaves goes on for some seconds; within this
 # time it may still get calls that no other target of its service can take.
-LAST_SECONDS = 1.0
+DRAINING_GRACE_SECONDS = 1.0
 
-_Starts = collections.abc.Iterable[instances.TargetInstance]
+_Instances = collections.abc.Iterable[instances.TargetInstance]
 
 
 class Eligibility:
@@ -45,33 +45,37 @@
         """Return how many changes of zones are held."""
         return self._zones.changes
 
-    def learn_zones(self, rows: list[zones.Zone], known: _Starts) -> None:
+    def learn_zones(self, rows: list[zones.Zone], known: _Instances) -> None:
         """Send nothing to evacuated zones, and work again to those restored."""
         before = self._zones.changes
         restored = set()
         for row in rows:
-            was = self._zones.is_evacuated(row.name)
-            if self._zones.learn(row) and was and not row.is_evacuated:
+            was_evacuated = self._zones.is_evacuated(row.name)
+            if (
+                self._zones.learn(row)
+                and was_evacuated
+                and not row.is_evacuated
+            ):
                 restored.add(row.name)
-        warm_at = asyncio.get_running_loop().time() + RESTORED_SECONDS
+        warm_at = asyncio.get_running_loop().time() + RESTORED_COLD_SECONDS
         for target in known:
             if target.announcement.zone in restored:
                 target.cold_until = warm_at
         if self._zones.changes > before:
-            target_log.tell_zones(self._zones)
+            target_log.log_zones(self._zones)
 
     def learn_groups(
         self,
         term: int,
         rows: list[groups.Group],
-        known: _Starts,
+        known: _Instances,
     ) -> None:
         """Take which targets make a group, as an owner of a term tells."""
         if not self._groups.learn(term, rows):
             return
         for target in known:
             target.group = self._groups.of(target.name)
-        target_log.tell_groups(self._groups)
+        target_log.log_groups(self._groups)
 
     def group_of(self, target: str) -> str:
         """Return the name of a target's group, empty if unknown."""
@@ -86,18 +90,20 @@
         if self._shares is None or not target.is_cold(now):
             return True
         most = self._shares.calls(target.announcement.service, target.name)
-        lately = target.sent.lately(now, cold.SPAN_SECONDS)
-        return most is None or lately < most
+        recent = target.sent.lately(now, cold.SPAN_SECONDS)
+        return most is None or recent < most
 
-    def demand(self, service: str, found: rate_limit.Demand | None) -> None:
+    def set_demand(
+        self, service: str, demand: rate_limit.Demand | None
+    ) -> None:
         """Take how much of a service's calls this entry has."""
-        self._demands[service] = found or rate_limit.ALONE
+        self._demands[service] = demand or rate_limit.ALONE
 
     def is_in_service(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target neither leaves nor is in an evacuated zone."""
         return not (target.is_leaving or self._is_evacuated(target))
 
-    def is_open(self, target: instances.TargetInstance) -> bool:
+    def is_group_open(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target's group makes passes, for all that is known."""
         return self._groups.is_open(target.group)
 
@@ -105,7 +111,7 @@
         """Tell whether a target's places count as room for calls."""
         if not self.is_in_service(target) or target.rest.left(now):
             return False
-        return self.is_open(target) and self._is_within_limit(target, now)
+        return self.is_group_open(target) and self._is_within_limit(target, now)
 
     def may_take_last(
         self, target: instances.TargetInstance, now: float
@@ -115,7 +121,7 @@
             return False
         if self._is_evacuated(target):
             return False
-        is_late = now - target.leaving_at >= LAST_SECONDS
+        is_late = now - target.leaving_at >= DRAINING_GRACE_SECONDS
         if is_late or not target.rest.may_take(now):
             return False
         return self._is_within_limit(target, now)
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        known: targets.Targets,
+        all_targets: targets.Targets,
         reader: configuration.Reader,
         tables: routing_table.CurrentTable,
         admission: admission_control.AdmissionControl,
@@ -38,7 +38,7 @@
         """Put what is learned into the parts that need it."""
         self._shares = shares
         self._admission = admission
-        self._known = known
+        self._targets = all_targets
         self._reader = reader
         self._tables = tables
 
@@ -50,42 +50,42 @@
 
     @property
     def zone_changes(self) -> int:
-        """Return how many changes of zones are held."""
-        return self._known.zone_changes
+        """Return how many changes of zones are stored."""
+        return self._targets.zone_changes
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
         """Obey what operators asked for zones."""
-        self._known.learn_zones(rows)
+        self._targets.learn_zones(rows)
 
     def learn_target(self, announcement: announcements.Announcement) -> None:
         """Take an announcement."""
-        self._known.take(announcement)
+        self._targets.take(announcement)
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
         """Take which targets make a group."""
-        self._known.learn_groups(term, rows)
+        self._targets.learn_groups(term, rows)
 
     def learn_paces(self, source: str, paces: dict[str, float]) -> None:
         """Take the slow targets that a control host knows of."""
-        self._known.set_paces(source, paces)
+        self._targets.set_paces(source, paces)
 
-    def learn_document(self, held: document.Document) -> None:
+    def learn_document(self, stored: document.Document) -> None:
         """Put a configuration in force if it can be read."""
         try:
-            read = self._reader.read(held.body)
+            parsed = self._reader.read(stored.body)
         except errors.CodedError as exc:
             # Control accepted it, so this entry runs an older program.  It
             # goes on with what it has, which is better than nothing.
-            _log.error('entry: cannot read version %d, %s', held.version, exc)
+            _log.error('entry: cannot read version %d, %s', stored.version, exc)
             return
-        self._tables.put(routing_table.RoutingTable(read))
-        self._admission.learn(read)
-        self._shares.learn({one.name: one.cold_rate for one in read.services})
-        figures.VERSION.set(held.version)
+        self._tables.put(routing_table.RoutingTable(parsed))
+        self._admission.learn(parsed)
+        self._shares.learn({one.name: one.cold_rate for one in parsed.services})
+        figures.VERSION.set(stored.version)
         log_events.tell(
             _log,
             log_events.Event.CONFIGURATION,
             'entry: version %d is in force',
-            held.version,
-            version=held.version,
+            stored.version,
+            version=stored.version,
         )
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -23,16 +23,22 @@
 from tamarackthread.shared import errors, logs
 from tamarackthread.shared.site import figures
 
-# Callers keep a connection that was idle for most of the idle limit; closing
+# Callers keep a connection that was idle for max_bytes of the idle limit; closing
 # later than any of them costs a descriptor and cuts off nobody.
-KEEP_SECONDS = 75.0
+KEEPALIVE_SECONDS = 75.0
 # Another entry takes the call at once.
-STOPPING_RETRY_SECONDS = 0.01
-# One header's most bytes; callers stay within 16 KB for all of theirs.  The
+STOPPING_RETRY_AFTER_SECONDS = 0.01
+# One header's max_bytes bytes; callers stay within 16 KB for all of theirs.  The
 # library's own limit is half of that and would refuse a proper call.
-HEADER_BYTES = 32 << 10
+MAX_HEADER_BYTES = 32 << 10
 # What a fault of this entry's own code or of a library raises.
-_FAULTS = (OSError, ValueError, LookupError, TypeError, AttributeError)
+_UNEXPECTED_ERRORS = (
+    OSError,
+    ValueError,
+    LookupError,
+    TypeError,
+    AttributeError,
+)
 _log = logging.getLogger('tamarackthread.entry')
 
 
@@ -41,22 +47,22 @@
 
     def __init__(
         self,
-        spoken: dialect.Dialect,
+        header_dialect: dialect.Dialect,
         tables: routing_table.CurrentTable,
         runner: call_runner.CallRunner,
         generator: random.Random,
-        counted: call_log.CallLog,
+        call_logger: call_log.CallLog,
     ) -> None:
         """Serve nothing until ``start``."""
-        self._ledger = counted
-        self._dialect = spoken
+        self._call_log = call_logger
+        self._dialect = header_dialect
         self._tables = tables
         self._runner = runner
         self._random = generator
-        self._is_leaving = False
+        self._is_draining = False
         self._is_refusing = False
-        self._open = 0
-        self._busy: set[web.RequestHandler] = set()
+        self._open_calls = 0
+        self._busy_connections: set[web.RequestHandler] = set()
         self._idle = asyncio.Event()
         self._idle.set()
         self._runners: list[web.ServerRunner] = []
@@ -64,7 +70,7 @@
     @property
     def open_calls(self) -> int:
         """Count the calls in this entry."""
-        return self._open
+        return self._open_calls
 
     @property
     def _version(self) -> int:
@@ -81,7 +87,7 @@
 
     def begin_drain(self) -> None:
         """Say not ready and ask callers to reconnect; go on serving."""
-        self._is_leaving = True
+        self._is_draining = True
 
     def refuse_new(self) -> None:
         """Refuse new calls, which have then not run, and close what is idle.
@@ -95,7 +101,7 @@
             # The library's own way leaves idle connections open and drops
             # what comes on them, so that a caller waits for nothing.
             for connection in runner.server.connections:
-                if connection not in self._busy:
+                if connection not in self._busy_connections:
                     connection.force_close()
 
     async def wait_idle(self) -> None:
@@ -119,10 +125,10 @@
             handler,
             access_log=None,
             handler_cancellation=True,
-            keepalive_timeout=KEEP_SECONDS,
+            keepalive_timeout=KEEPALIVE_SECONDS,
             lingering_time=0,
-            max_line_size=HEADER_BYTES,
-            max_field_size=HEADER_BYTES,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
         )
         runner = web.ServerRunner(
             server, handle_signals=False, shutdown_timeout=0.1
@@ -139,106 +145,106 @@
         request: web.BaseRequest,
     ) -> web.StreamResponse:
         has_table = self._tables.current is not None
-        is_ready = has_table and not self._is_leaving
+        is_ready = has_table and not self._is_draining
         return web.Response(status=200 if is_ready else 503)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._began(request)
-        out = sink.HttpSink(request, lambda: self._is_leaving)
+        self._call_started(request)
+        out = sink.HttpSink(request, lambda: self._is_draining)
         try:
-            await self._answer(request, out)
+            await self._respond(request, out)
         except sink.CallerDisconnected:
-            self._ledger.left(out)
-            out.break_off()
+            self._call_log.log_disconnected(out)
+            out.abort()
         finally:
-            self._ended(request)
-        if self._is_leaving:
-            out.end_connection()
+            self._call_ended(request)
+        if self._is_draining:
+            out.close_after_response()
         return out.response
 
-    def _began(self, request: web.BaseRequest) -> None:
-        self._open += 1
-        figures.OPEN_CALLS.set(self._open)
-        self._busy.add(request.protocol)
+    def _call_started(self, request: web.BaseRequest) -> None:
+        self._open_calls += 1
+        figures.OPEN_CALLS.set(self._open_calls)
+        self._busy_connections.add(request.protocol)
         self._idle.clear()
 
-    def _ended(self, request: web.BaseRequest) -> None:
-        self._open -= 1
-        figures.OPEN_CALLS.set(self._open)
-        self._busy.discard(request.protocol)
-        if not self._open:
+    def _call_ended(self, request: web.BaseRequest) -> None:
+        self._open_calls -= 1
+        figures.OPEN_CALLS.set(self._open_calls)
+        self._busy_connections.discard(request.protocol)
+        if not self._open_calls:
             self._idle.set()
 
-    async def _answer(
+    async def _respond(
         self,
         request: web.BaseRequest,
         out: sink.HttpSink,
     ) -> None:
         try:
-            asked = self._dialect.read_request(request)
+            parsed = self._dialect.read_request(request)
         except errors.CodedError as exc:
-            await self._tell('', None, out, exc)
+            await self._send_error('', None, out, exc)
             return
-        with logs.request(asked.call_id):
-            await self._answer_asked(request, asked, out)
+        with logs.request(parsed.call_id):
+            await self._run_call(request, parsed, out)
 
-    async def _answer_asked(
+    async def _run_call(
         self,
         request: web.BaseRequest,
-        asked: calls.CallRequest,
+        parsed: calls.CallRequest,
         out: sink.HttpSink,
     ) -> None:
         call: calls.Call | None = None
         try:
-            call = await self._accept(request, asked)
+            call = await self._admit(request, parsed)
             await self._runner.run(call, out)
         except errors.CodedError as exc:
-            await self._tell(asked.call_id, call, out, exc)
-        except _FAULTS as exc:
+            await self._send_error(parsed.call_id, call, out, exc)
+        except _UNEXPECTED_ERRORS as exc:
             # A fault of this entry: whether the call ran is not known.
             _log.exception('entry: call failed by a fault')
             fault = failures.TargetFailed(str(exc))
-            await self._tell(asked.call_id, call, out, fault)
+            await self._send_error(parsed.call_id, call, out, fault)
         else:
-            self._ledger.answered(call, self._version, out.tempo)
+            self._call_log.log_answered(call, self._version, out.tempo)
 
-    async def _accept(
+    async def _admit(
         self,
         request: web.BaseRequest,
-        asked: calls.CallRequest,
+        parsed: calls.CallRequest,
     ) -> calls.Call:
         """Find the call's place; raise a coded refusal if it has none."""
         arrived = asyncio.get_running_loop().time()
         if self._is_refusing:
-            raise failures.EntryStops(retry_after=STOPPING_RETRY_SECONDS)
-        held = await self._tables.wait(calls.startup_wait(asked.time_left))
-        path = asked.path.partition('?')[0]
-        found = held.find(asked.host, path, asked.key)
-        body = await _body_of(request, held.held.limits.body_bytes)
-        left = found.route.timeout
-        if asked.time_left is not None:
-            left = min(left, asked.time_left)
+            raise failures.EntryStops(retry_after=STOPPING_RETRY_AFTER_SECONDS)
+        table = await self._tables.wait(calls.startup_wait(parsed.time_left))
+        path = parsed.path.partition('?')[0]
+        match = table.find(parsed.host, path, parsed.key)
+        body = await _read_body(request, table.config.limits.body_bytes)
+        left = match.route.timeout
+        if parsed.time_left is not None:
+            left = min(left, parsed.time_left)
         return calls.Call(
-            request=asked,
+            request=parsed,
             body=body,
-            route=found.route,
-            service=routing_table.pick_service(found.route, self._random),
-            organisation=found.organisation,
+            route=match.route,
+            service=routing_table.pick_service(match.route, self._random),
+            organisation=match.organisation,
             arrived_at=arrived,
             deadline=arrived + left,
-            priority=found.priority,
+            priority=match.priority,
         )
 
-    async def _tell(
+    async def _send_error(
         self,
         call_id: str,
         call: calls.Call | None,
         out: sink.HttpSink,
         failure: errors.CodedError,
     ) -> None:
-        self._ledger.ended(failure, call, self._version, out.has_started)
+        self._call_log.log_failed(failure, call, self._version, out.has_started)
         if out.has_started:
-            out.break_off()
+            out.abort()
             return
         headers = self._dialect.refusal_headers(call_id)
         headers.append(('Content-Type', 'application/json'))
@@ -251,14 +257,14 @@
         )
 
 
-async def _body_of(request: web.BaseRequest, most: int) -> bytes:
+async def _read_body(request: web.BaseRequest, max_bytes: int) -> bytes:
     """Read a body; raise ``BodyOverLimit`` as soon as it is too long."""
-    parts = []
+    chunks = []
     size = 0
     while not request.content.at_eof():
-        part = await request.content.readany()
-        size += len(part)
-        if size > most:
-            raise failures.BodyOverLimit(f'at most {most} bytes')
-        parts.append(part)
-    return b''.join(parts)
+        chunk = await request.content.readany()
+        size += len(chunk)
+        if size > max_bytes:
+            raise failures.BodyOverLimit(f'at most {max_bytes} bytes')
+        chunks.append(chunk)
+    return b''.join(chunks)
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -16,16 +16,16 @@
 
 # Entries exchange so often: a call at a rank lasts ten times as long, and the
 # few that were sent since the last exchange rarely meet at one of many ranks.
-LEAST_SECONDS = 0.05
+MIN_INTERVAL_SECONDS = 0.05
 # All entries together ask so often, so that the host that sums has a tenth of
 # a core for it at most, however many there are.
 EXCHANGES_A_SECOND = 400
-MOST_SECONDS = 1.0
+MAX_INTERVAL_SECONDS = 1.0
 # A host that does not answer within this is left for the next one.
-ANSWER_SECONDS = 0.3
+REPLY_TIMEOUT_SECONDS = 0.3
 # What others had is no guide after so long without an exchange.
 STALE_SECONDS = 1.0
-NEVER_TOLD = -1
+NEVER_SENT = -1
 _log = logging.getLogger('tamarackthread.entry')
 
 Names = collections.abc.Callable[[], collections.abc.Sequence[str]]
@@ -40,20 +40,20 @@
 
     def __init__(
         self,
-        known: targets.Targets,
+        all_targets: targets.Targets,
         links: peers.Peers,
         hosts: Names,
         entries: Names,
         on_exchange: collections.abc.Callable[[], None],
-        suspected: poison_requests.PoisonRequests | None = None,
+        poison: poison_requests.PoisonRequests | None = None,
     ) -> None:
-        """Exchange what ``known`` holds with one of ``hosts``.
+        """Exchange what ``all_targets`` holds with one of ``hosts``.
 
         ``on_exchange`` is called after each exchange, also after one that no
-        host has answered.  What is known of ``suspected`` calls goes both ways.
+        host has answered.  What is known of ``poison`` calls goes both ways.
         """
-        self._suspected = suspected or poison_requests.PoisonRequests()
-        self._known = known
+        self._poison = poison or poison_requests.PoisonRequests()
+        self._targets = all_targets
         self._links = links
         self._hosts = hosts
         self._entries = entries
@@ -62,15 +62,15 @@
         self._epoch = 0
         self._serial = 0
         self._sums: dict[str, outlier_detection.TargetLoad] = {}
-        self._told_serial = NEVER_TOLD
-        self._heard_serial = 0
+        self._sent_serial = NEVER_SENT
+        self._received_serial = 0
 
     async def run(self) -> None:
         """Exchange for ever."""
         loop = asyncio.get_running_loop()
         exchanged_at = loop.time()
         while True:
-            await asyncio.sleep(_pause(len(self._entries())))
+            await asyncio.sleep(_interval(len(self._entries())))
             if await self.exchange():
                 exchanged_at = loop.time()
             elif loop.time() - exchanged_at > STALE_SECONDS:
@@ -84,18 +84,18 @@
                 self._forget()
                 self._host = host
             try:
-                await self._ask(host)
+                await self._exchange_with(host)
             except (errors.CodedError, TimeoutError) as exc:
                 _log.debug('entry: no calls of others, %s', exc)
                 continue
             return True
         return False
 
-    async def _ask(self, host: str) -> None:
-        own = self._known.own_loads()
-        suspects = self._suspected.own_rows()
-        serial = self._suspected.serial
-        asked = messages.SiteLoadRequest(
+    async def _exchange_with(self, host: str) -> None:
+        own = self._targets.own_loads()
+        suspects = self._poison.own_rows()
+        serial = self._poison.serial
+        request = messages.SiteLoadRequest(
             epoch=self._epoch,
             serial=self._serial,
             own=[
@@ -107,19 +107,19 @@
                 )
                 for target, load in own.items()
             ],
-            suspects=None if serial == self._told_serial else suspects,
-            suspects_serial=self._heard_serial,
+            suspects=None if serial == self._sent_serial else suspects,
+            suspects_serial=self._received_serial,
         )
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
             reply = await self._links.request(
-                host, messages.Request(site_load=asked), ANSWER_SECONDS
+                host, messages.Request(site_load=request), REPLY_TIMEOUT_SECONDS
             )
         if reply.site_load is None:
             raise errors.FrameInvalid('control host answered something else')
-        self._told_serial = serial
-        self._take(reply.site_load, own)
+        self._sent_serial = serial
+        self._apply(reply.site_load, own)
 
-    def _take(
+    def _apply(
         self,
         reply: messages.SiteLoadReply,
         own: dict[str, outlier_detection.TargetLoad],
@@ -127,11 +127,11 @@
         if reply.epoch != self._epoch:
             self._sums = {}
             # The host has started again and knows nothing of what it was told.
-            self._told_serial = NEVER_TOLD
+            self._sent_serial = NEVER_SENT
         self._epoch = reply.epoch
         self._serial = reply.serial
-        self._heard_serial = reply.suspects_serial or 0
-        self._suspected.set_shared_rows(reply.suspects or ())
+        self._received_serial = reply.suspects_serial or 0
+        self._poison.set_shared_rows(reply.suspects or ())
         for row in reply.changed:
             outcomes = outlier_detection.OutcomeCounts(
                 row.answered or 0, row.failed or 0
@@ -141,7 +141,7 @@
             )
             if self._sums[row.id] == outlier_detection.IDLE:
                 self._sums.pop(row.id)
-        self._known.set_other_loads(
+        self._targets.set_other_loads(
             {
                 target: load.minus(own.get(target, outlier_detection.IDLE))
                 for target, load in self._sums.items()
@@ -153,12 +153,12 @@
         self._epoch = 0
         self._serial = 0
         self._sums = {}
-        self._told_serial = NEVER_TOLD
-        self._heard_serial = 0
-        self._known.forget_others()
+        self._sent_serial = NEVER_SENT
+        self._received_serial = 0
+        self._targets.forget_others()
 
 
-def _pause(entries: int) -> float:
+def _interval(entries: int) -> float:
     """Return how long to wait until the next exchange."""
-    wanted = entries / EXCHANGES_A_SECOND
-    return min(MOST_SECONDS, max(LEAST_SECONDS, wanted))
+    interval = entries / EXCHANGES_A_SECOND
+    return min(MAX_INTERVAL_SECONDS, max(MIN_INTERVAL_SECONDS, interval))
--- a/tamarackthread/entry/direct/outlier_detection.py
+++ b/tamarackthread/entry/direct/outlier_detection.py
@@ -125,13 +125,13 @@
         return now < self._ejected_until
 
     def is_outlier(
-        self, found: OutcomeCounts, others: float, now: float
+        self, counts: OutcomeCounts, others: float, now: float
     ) -> bool:
         """Tell whether the target fails more often than ``others`` do."""
         least = 1 if self._is_on_probation(now) else MIN_FAILURES
-        if found.failed < least:
+        if counts.failed < least:
             return False
-        return found.failure_share >= max(
+        return counts.failure_share >= max(
             MIN_FAILURE_SHARE, others * OUTLIER_FACTOR
         )
 
@@ -159,30 +159,30 @@
 
 
 def eject_outliers(
-    held: collections.abc.Sequence[OutcomeHistory],
+    histories: collections.abc.Sequence[OutcomeHistory],
     now: float,
 ) -> list[OutcomeHistory]:
     """Leave targets of one service out that fail what others answer.
 
     Returns those that are left out by this, the worst first.
     """
-    if not any(record.has_failures(now) for record in held):
+    if not any(history.has_failures(now) for history in histories):
         return []
-    rows = [(record.total_counts(now), record) for record in held]
+    rows = [(history.total_counts(now), history) for history in histories]
     rows.sort(key=_failure_share_of, reverse=True)
-    room = _max_ejected(len(held)) - sum(
-        record.is_ejected(now) for record in held
+    room = _max_ejected(len(histories)) - sum(
+        history.is_ejected(now) for history in histories
     )
     ejected: list[OutcomeHistory] = []
-    for place, (found, record) in enumerate(rows):
-        if len(ejected) >= room or not found.failed:
+    for place, (counts, history) in enumerate(rows):
+        if len(ejected) >= room or not counts.failed:
             break
-        if record.is_ejected(now):
+        if history.is_ejected(now):
             continue
         others = _median_share(rows[:place] + rows[place + 1 :])
-        if record.is_outlier(found, others, now):
-            record.eject(now)
-            ejected.append(record)
+        if history.is_outlier(counts, others, now):
+            history.eject(now)
+            ejected.append(history)
     return ejected
 
 
@@ -197,7 +197,7 @@
 
     The lower of two in the middle: of three targets two may fail at once.
     """
-    shares = sorted(found.failure_share for found, _ in rows)
+    shares = sorted(counts.failure_share for counts, _ in rows)
     return shares[(len(shares) - 1) // 2]
 
 
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -18,7 +18,7 @@
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
-MARK_BYTES = 16
+FINGERPRINT_BYTES = 16
 # A call that is refused is not tried before what is known of it is forgotten.
 RETRY_AFTER_SECONDS = 30.0
 _log = logging.getLogger('tamarackthread.entry')
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         """Begin without suspects."""
-        self._known = suspects.Suspects()
+        self._suspects = suspects.Suspects()
 
     def check(self, call: calls.Call) -> None:
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
         if self._verdict(call) is not suspects.Verdict.REFUSED:
             return
         figures.CALLS_SUSPECTED.labels('refused').inc()
-        self._tell(call, 'refused')
+        self._log_suspect(call, 'refused')
         raise failures.CallCrashes(
             call.request.path, retry_after=RETRY_AFTER_SECONDS
         )
@@ -64,26 +64,26 @@
         if not isinstance(failure, target_client.Unanswered):
             return
         now = asyncio.get_running_loop().time()
-        start = f'{target.name}/{target.announcement.born}'
-        self._known.lost(fingerprint(call), start, now)
+        instance = f'{target.name}/{target.announcement.born}'
+        self._suspects.lost(fingerprint(call), instance, now)
         figures.CALLS_SUSPECTED.labels('lost').inc()
-        self._tell(call, 'lost')
+        self._log_suspect(call, 'lost')
 
     def note_answer(self, call: calls.Call) -> None:
         """Note that a target has answered a call."""
-        if self._known:
+        if self._suspects:
             now = asyncio.get_running_loop().time()
-            self._known.answered(fingerprint(call), now)
+            self._suspects.answered(fingerprint(call), now)
 
     @property
     def serial(self) -> int:
         """Return a number that grows with each change of ``own``."""
-        return self._known.serial
+        return self._suspects.serial
 
     def own_rows(self) -> list[messages.SiteSuspect]:
         """List what other entries have to know."""
         now = asyncio.get_running_loop().time()
-        return [suspects.to_message(row) for row in self._known.own(now)]
+        return [suspects.to_message(row) for row in self._suspects.own(now)]
 
     def set_shared_rows(
         self,
@@ -91,18 +91,18 @@
     ) -> None:
         """Take what all other entries know."""
         now = asyncio.get_running_loop().time()
-        self._known.share([suspects.of_message(row) for row in rows], now)
+        self._suspects.share([suspects.of_message(row) for row in rows], now)
 
     def _verdict(self, call: calls.Call) -> suspects.Verdict:
-        if not self._known:
+        if not self._suspects:
             return suspects.Verdict.FREE
         now = asyncio.get_running_loop().time()
-        return self._known.verdict(fingerprint(call), now)
+        return self._suspects.verdict(fingerprint(call), now)
 
-    def _tell(self, call: calls.Call, verdict: str) -> None:
+    def _log_suspect(self, call: calls.Call, verdict: str) -> None:
         mark = fingerprint(call)
         now = asyncio.get_running_loop().time()
-        losses = self._known.losses(mark, now)
+        losses = self._suspects.losses(mark, now)
         log_events.tell(
             _log,
             log_events.Event.SUSPECT,
@@ -122,9 +122,9 @@
 
 def fingerprint(call: calls.Call) -> bytes:
     """Return what is the same of calls that are the same."""
-    digest = hashlib.blake2b(digest_size=MARK_BYTES)
-    head = (call.request.method, call.request.host, call.request.path)
-    for part in (*head, call.organisation):
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
+    fields = (call.request.method, call.request.host, call.request.path)
+    for part in (*fields, call.organisation):
         digest.update(part.encode())
         digest.update(b'\0')
     digest.update(call.body)
--- a/tamarackthread/entry/direct/retry_budgets.py
+++ b/tamarackthread/entry/direct/retry_budgets.py
@@ -7,8 +7,8 @@
 from tamarackthread.generated import settings as generated
 from tamarackthread.policy import retries
 
-Now = collections.abc.Callable[[], float]
-Entries = collections.abc.Callable[[], int]
+Clock = collections.abc.Callable[[], float]
+EntryCount = collections.abc.Callable[[], int]
 
 
 class RetryBudgets:
@@ -29,8 +29,8 @@
     def __init__(
         self,
         site: generated.Site,
-        entries: Entries,
-        now: Now,
+        entries: EntryCount,
+        now: Clock,
     ) -> None:
         """Divide the reserve by ``entries``, as they become known."""
         self._site = site
@@ -40,26 +40,26 @@
 
     def earn(self, service: str) -> None:
         """Count a caller's call, which pays for a part of a second try."""
-        self._of(service).earn(self._now())
+        self._budget_of(service).earn(self._now())
 
     def spend(self, service: str) -> bool:
         """Pay for a second try; tell whether the budget allowed it."""
-        return self._of(service).spend(self._now())
+        return self._budget_of(service).spend(self._now())
 
     def has_room(self, service: str) -> bool:
         """Tell whether a second try could be paid for."""
-        return self._of(service).level >= 1
+        return self._budget_of(service).level >= 1
 
-    def _of(self, service: str) -> retries.RetryBudget:
+    def _budget_of(self, service: str) -> retries.RetryBudget:
         entries = self._entries()
         reserve = self._site.retry_reserve / max(1, entries)
-        found = self._by_service.get(service)
-        if found is None:
+        budget = self._by_service.get(service)
+        if budget is None:
             settings = retries.RetrySettings(
                 share=self._site.retry_share, reserve=reserve, least_rate=0
             )
             level = reserve / 2 if entries else 0
-            found = retries.RetryBudget(settings, self._now(), level)
-            self._by_service[service] = found
-        found.limit(reserve)
-        return found
+            budget = retries.RetryBudget(settings, self._now(), level)
+            self._by_service[service] = budget
+        budget.limit(reserve)
+        return budget
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -35,7 +35,7 @@
         self,
         settings: generated.Settings,
         reader: configuration.Reader,
-        spoken: dialect.Dialect,
+        header_dialect: dialect.Dialect,
     ) -> None:
         """Build the parts; ``run`` starts them."""
         assert settings.site is not None
@@ -63,8 +63,8 @@
             shares,
             fleet,
         )
-        self._ledger = call_log.CallLog()
-        self._page = figures.Page()
+        self._call_log = call_log.CallLog()
+        self._metrics_page = figures.Page()
         tables = routing_table.CurrentTable()
         admission = admission_control.AdmissionControl(
             self._targets, lambda: len(self._follower.entries)
@@ -76,33 +76,33 @@
                 self._targets, reader, tables, admission, shares
             ),
         )
-        suspected = poison_requests.PoisonRequests()
-        self._sharing = load_exchange.LoadExchange(
+        poison = poison_requests.PoisonRequests()
+        self._load_exchange = load_exchange.LoadExchange(
             self._targets,
             self._links,
             lambda: self._follower.followed,
             lambda: self._follower.entries,
             admission.refill,
-            suspected,
+            poison,
         )
-        self._sender = target_client.TargetClient(spoken)
-        self._front = frontend.Frontend(
-            spoken,
+        self._target_client = target_client.TargetClient(header_dialect)
+        self._frontend = frontend.Frontend(
+            header_dialect,
             tables,
             call_runner.CallRunner(
                 self._targets,
-                self._sender,
+                self._target_client,
                 retry_budgets.RetryBudgets(
                     self._site,
                     lambda: len(self._follower.entries),
                     loop.time,
                 ),
                 admission,
-                suspected,
+                poison,
                 generator,
             ),
             generator,
-            self._ledger,
+            self._call_log,
         )
 
     async def run(self, announce: process.Announce | None) -> None:
@@ -110,17 +110,17 @@
 
         Raises what has ended one of the entry's own tasks.
         """
-        await self._sender.start()
+        await self._target_client.start()
         loop = asyncio.get_running_loop()
         working = [
             loop.create_task(self._follower.run()),
             loop.create_task(self._targets.run()),
-            loop.create_task(self._sharing.run()),
-            loop.create_task(self._ledger.run()),
+            loop.create_task(self._load_exchange.run()),
+            loop.create_task(self._call_log.run()),
         ]
-        http = await self._front.start(self._site.callers_address)
-        ready = await self._front.start_readiness(self._site.http_address)
-        await self._page.start(self._site.metrics_address)
+        http = await self._frontend.start(self._site.callers_address)
+        ready = await self._frontend.start_readiness(self._site.http_address)
+        await self._metrics_page.start(self._site.metrics_address)
         if announce is not None:
             announce({'http': http, 'ready': ready})
         log_events.tell(
@@ -135,14 +135,14 @@
             (stopping, *working), return_when=asyncio.FIRST_COMPLETED
         )
         fault = process.first_fault(working)
-        await self._leave()
+        await self._drain()
         for work in (*working, stopping):
             work.cancel()
         self._links.close()
         if fault is not None:
             raise fault
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         """Stop in order: not ready, then no new call, then nothing open.
 
         The platform sends new connections here until it has asked twice, so
@@ -153,29 +153,29 @@
             _log,
             log_events.Event.STOPPING,
             'entry: leaves, %d calls open',
-            self._front.open_calls,
-            open_calls=self._front.open_calls,
+            self._frontend.open_calls,
+            open_calls=self._frontend.open_calls,
         )
-        self._front.begin_drain()
+        self._frontend.begin_drain()
         await asyncio.sleep(self._own.health_grace_seconds)
-        self._front.refuse_new()
+        self._frontend.refuse_new()
         try:
             async with asyncio.timeout(self._own.drain_seconds):
-                await self._front.wait_idle()
+                await self._frontend.wait_idle()
         except TimeoutError:
             _log.warning(
-                'entry: ends with %d calls open', self._front.open_calls
+                'entry: ends with %d calls open', self._frontend.open_calls
             )
-        await self._front.stop()
-        await self._page.stop()
-        await self._sender.close()
+        await self._frontend.stop()
+        await self._metrics_page.stop()
+        await self._target_client.close()
 
 
 async def run(
     settings: generated.Settings,
     reader: configuration.Reader,
-    spoken: dialect.Dialect,
+    header_dialect: dialect.Dialect,
     announce: process.Announce | None = None,
 ) -> None:
     """Run an entry until SIGTERM; ``announce`` gets its addresses."""
-    await DirectEntry(settings, reader, spoken).run(announce)
+    await DirectEntry(settings, reader, header_dialect).run(announce)
--- a/tamarackthread/entry/direct/routing_table.py
+++ b/tamarackthread/entry/direct/routing_table.py
@@ -12,7 +12,7 @@
 from tamarackthread.shared.site import configuration
 
 # A process that has just started has a configuration soon, if at all.
-NOT_YET_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_AFTER_SECONDS = 0.5
 
 
 @attrs.frozen
@@ -27,26 +27,26 @@
 class RoutingTable:
     """Answer from one configuration, with an index for each question."""
 
-    def __init__(self, held: configuration.Configuration) -> None:
+    def __init__(self, config: configuration.Configuration) -> None:
         """Index a configuration."""
-        self._held = held
+        self._config = config
         self._routes: dict[tuple[str, str], configuration.Route] = {}
         self._owners: dict[str, configuration.Organisation] = {}
-        for route in held.routes:
+        for route in config.routes:
             self._routes[route.host, route.prefix] = route
-        for organisation in held.organisations:
+        for organisation in config.organisations:
             for key in organisation.keys:
                 self._owners[key] = organisation
 
     @property
     def version(self) -> int:
         """Return the configuration's version."""
-        return self._held.version
+        return self._config.version
 
     @property
-    def held(self) -> configuration.Configuration:
+    def config(self) -> configuration.Configuration:
         """Return the configuration."""
-        return self._held
+        return self._config
 
     def find(self, host: str, path: str, key: str) -> RouteMatch:
         """Find a call's place; raise ``RouteUnknown`` or ``KeyUnknown``."""
@@ -55,7 +55,7 @@
             raise failures.RouteUnknown(f'{host}{path}')
         owner = self._owners.get(key)
         if owner is None:
-            if self._held.organisations and not route.is_open:
+            if self._config.organisations and not route.is_open:
                 raise failures.KeyUnknown
             return RouteMatch(route, '', route.priority)
         priority = route.priority
@@ -67,9 +67,9 @@
         """Take the longest prefix; each begins and ends with a slash."""
         end = path.rfind('/')
         while end >= 0:
-            found = self._routes.get((host, path[: end + 1]))
-            if found is not None:
-                return found
+            route = self._routes.get((host, path[: end + 1]))
+            if route is not None:
+                return route
             end = path.rfind('/', 0, end)
         return None
 
@@ -87,9 +87,9 @@
         """Return the table in force, ``None`` before the first."""
         return self._current
 
-    def put(self, fresh: RoutingTable) -> None:
+    def put(self, table: RoutingTable) -> None:
         """Put a table in force."""
-        self._current = fresh
+        self._current = table
         self._first.set()
 
     async def wait(self, seconds: float) -> RoutingTable:
@@ -99,7 +99,9 @@
                 async with asyncio.timeout(seconds):
                     await self._first.wait()
         if self._current is None:
-            raise failures.NoConfiguration(retry_after=NOT_YET_SECONDS)
+            raise failures.NoConfiguration(
+                retry_after=NO_CONFIGURATION_RETRY_AFTER_SECONDS
+            )
         return self._current
 
 
--- a/tamarackthread/entry/direct/selection.py
+++ b/tamarackthread/entry/direct/selection.py
@@ -7,19 +7,19 @@
 
 from tamarackthread.entry.direct import instances
 
-# Targets that are drawn for a call, of which the least loaded gets it.  What
+# Targets that are sampled for a call, of which the least loaded gets it.  What
 # other entries have sent since the last exchange is not known: if all of them
 # went for the least loaded of all, that one would get all of it.
-COMPARED = 4
+CANDIDATES = 4
 # So many of them are of the entry's own zone: answers that cross zones cost.
-NEAR_COMPARED = 2
+LOCAL_CANDIDATES = 2
 # A rank that takes so many times its usual time slows its whole group; the usual
 # spread of ranks is under 1.2.
 SLOW_PACE = 1.5
 # Below this share of swift ranks, the others have not the places for all calls.
-SWIFT_SHARE = 0.5
+MIN_FAST_SHARE = 0.5
 
-_Starts = collections.abc.Sequence[instances.TargetInstance]
+_Instances = collections.abc.Sequence[instances.TargetInstance]
 
 
 class TargetSelector:
@@ -31,7 +31,7 @@
         self._random = generator
 
     def select(
-        self, usable: _Starts, now: float
+        self, usable: _Instances, now: float
     ) -> instances.TargetInstance | None:
         """Choose among targets that have not said that they leave.
 
@@ -41,38 +41,43 @@
         """
         ready = [target for target in usable if target.is_ready(now)]
         if ready:
-            sound = [one for one in ready if not one.outcomes.is_ejected(now)]
-            return min(self._compared(_swift(sound or ready)), key=self._rank)
+            accepted = [
+                one for one in ready if not one.outcomes.is_ejected(now)
+            ]
+            return min(
+                self._sample(_without_slow(accepted or ready)),
+                key=self._load_key,
+            )
         return min(usable, key=_backoff_until, default=None)
 
-    def _compared(self, usable: _Starts) -> _Starts:
+    def _sample(self, usable: _Instances) -> _Instances:
         """Draw the targets of which the least loaded gets the call.
 
         Half of them are of the own zone: of targets that have as many calls there
-        is mostly a near one then.
+        is mostly a local one then.
         """
-        if len(usable) <= COMPARED:
+        if len(usable) <= CANDIDATES:
             return usable
-        near = [one for one in usable if one.announcement.zone == self._zone]
-        count = min(NEAR_COMPARED, len(near))
-        drawn = self._random.sample(near, count)
-        return [*drawn, *self._random.sample(usable, COMPARED - count)]
+        local = [one for one in usable if one.announcement.zone == self._zone]
+        count = min(LOCAL_CANDIDATES, len(local))
+        sampled = self._random.sample(local, count)
+        return [*sampled, *self._random.sample(usable, CANDIDATES - count)]
 
-    def _rank(
+    def _load_key(
         self, target: instances.TargetInstance
     ) -> tuple[float, bool, float]:
-        is_far = target.announcement.zone != self._zone
-        return target.load, is_far, self._random.random()
+        is_remote = target.announcement.zone != self._zone
+        return target.load, is_remote, self._random.random()
 
 
-def _swift(ready: _Starts) -> _Starts:
+def _without_slow(ready: _Instances) -> _Instances:
     """Leave slow ranks out, unless they are too many.
 
     Ranks advance together, so one call at a slow rank slows the calls of all
     ranks, while a rank without calls holds up nobody by its own work.
     """
-    found = [target for target in ready if target.pace < SLOW_PACE]
-    return found if len(found) >= SWIFT_SHARE * len(ready) else ready
+    fast = [target for target in ready if target.pace < SLOW_PACE]
+    return fast if len(fast) >= MIN_FAST_SHARE * len(ready) else ready
 
 
 def _backoff_until(target: instances.TargetInstance) -> float:
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -53,11 +53,11 @@
     def __init__(
         self,
         request: web.BaseRequest,
-        is_last: collections.abc.Callable[[], bool],
+        is_closing: collections.abc.Callable[[], bool],
     ) -> None:
-        """Send nothing yet; ``is_last`` asks the caller to reconnect."""
+        """Send nothing yet; ``is_closing`` asks the caller to reconnect."""
         self._request = request
-        self._is_last = is_last
+        self._is_closing = is_closing
         self._response: web.StreamResponse | None = None
         self._tempo = stream_timing.StreamTiming()
 
@@ -118,12 +118,12 @@
         except OSError as exc:
             raise CallerDisconnected from exc
 
-    def end_connection(self) -> None:
+    def close_after_response(self) -> None:
         """Let no further request come on this connection."""
         if self._response is not None:
             self._response.force_close()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Cut the connection, so that the answer can't be taken for whole.
 
         Ended in good order, an answer that lacks its last part would look
@@ -138,5 +138,5 @@
     ) -> None:
         for name, value in head.headers:
             response.headers.add(name, value)
-        if self._is_last():
+        if self._is_closing():
             response.force_close()
--- a/tamarackthread/entry/direct/target_client.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -25,10 +25,10 @@
 CONNECT_SECONDS = 0.35
 # Targets close idle connections after some seconds.  One that is used no
 # later than this is hardly ever closed in the very moment of its use.
-KEEP_SECONDS = 2.0
+KEEPALIVE_SECONDS = 2.0
 READ_BYTES = 64 * 1024
 # Headers that concern one connection only, besides those that it names.
-_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     (
         'connection',
         'keep-alive',
@@ -104,23 +104,23 @@
 
     async def whole(self) -> bytes:
         """Read the body to its end; raise ``Lost`` if it broke off."""
-        with _losing():
+        with _raising_lost():
             body = await self._response.read()
-        self._require_end()
+        self._check_complete()
         return body
 
     async def pieces(self) -> collections.abc.AsyncIterator[bytes]:
         """Yield the body as it comes; raise ``Lost`` if it breaks off."""
         content = self._response.content
         while True:
-            with _losing():
+            with _raising_lost():
                 piece = await content.readany()
             if not piece:
-                self._require_end()
+                self._check_complete()
                 return
             yield piece
 
-    def _require_end(self) -> None:
+    def _check_complete(self) -> None:
         """Raise ``Lost`` if the end of the connection was not a planned one.
 
         An answer without a length ends with its connection.  The library
@@ -136,25 +136,25 @@
 class TargetClient:
     """Hold the connections to all targets."""
 
-    def __init__(self, spoken: dialect.Dialect) -> None:
+    def __init__(self, header_dialect: dialect.Dialect) -> None:
         """Open nothing until ``start``."""
-        self._dialect = spoken
-        self._kept: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._dialect = header_dialect
+        self._pooled: aiohttp.ClientSession | None = None
+        self._unpooled: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
         """Make the pools; call it from inside the running loop."""
-        self._kept = _session(keepalive_timeout=KEEP_SECONDS)
+        self._pooled = _new_session(keepalive_timeout=KEEPALIVE_SECONDS)
         # The failure: a kept connection that something on its way has lost
         # track of, or that the target closes in this moment, swallows the
         # call, and nobody knows whether it ran.  A call that must not repeat
         # cannot be sent again then.  It goes over a connection of its own,
         # which has just shown that it works.
-        self._fresh = _session(force_close=True)
+        self._unpooled = _new_session(force_close=True)
 
     async def close(self) -> None:
         """Close all connections."""
-        for session in (self._kept, self._fresh):
+        for session in (self._pooled, self._unpooled):
             if session is not None:
                 await session.close()
 
@@ -163,7 +163,7 @@
         self,
         call: calls.Call,
         target: instances.TargetInstance,
-        position: str,
+        last_event_id: str,
     ) -> collections.abc.AsyncIterator[TargetResponse]:
         """Send a call and give the target's answer once its head has come.
 
@@ -173,7 +173,7 @@
         """
         now = asyncio.get_running_loop().time()
         headers = self._dialect.request_headers(
-            call, target.name, call.deadline - now, position
+            call, target.name, call.deadline - now, last_event_id
         )
         requesting = self._pool(call).request(
             call.request.method,
@@ -181,34 +181,34 @@
                 f'http://{target.announcement.address}{call.request.path}',
                 encoded=True,
             ),
-            headers=_without_hops(headers),
+            headers=_without_hop_by_hop(headers),
             data=call.body or None,
             allow_redirects=False,
         )
-        response = await _head_of(requesting)
+        response = await _await_head(requesting)
         try:
-            yield self._judged(call, target, response)
+            yield self._classified(call, target, response)
         finally:
             # A response that was read to its end has given its connection
             # back already; this closes one that was not.
             response.close()
 
     def _pool(self, call: calls.Call) -> aiohttp.ClientSession:
-        session = self._kept
+        session = self._pooled
         if call.route.kind is configuration.Kind.ONCE:
-            session = self._fresh
+            session = self._unpooled
         if session is None:
             raise errors.CodedError('sender is not started')
         return session
 
-    def _judged(
+    def _classified(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
     ) -> TargetResponse:
         kind = self._dialect.classify(call, response.status, response.headers)
-        self._hear(target, response, kind)
+        self._apply_backpressure(target, response, kind)
         if kind is dialect.ResponseKind.NOT_RUN:
             raise Refused(f'status {response.status}')
         if kind is dialect.ResponseKind.MISDIRECTED:
@@ -220,7 +220,7 @@
         )
         return TargetResponse(head, response)
 
-    def _hear(
+    def _apply_backpressure(
         self,
         target: instances.TargetInstance,
         response: aiohttp.ClientResponse,
@@ -233,18 +233,18 @@
         if kind is dialect.ResponseKind.MISDIRECTED:
             return
         now = asyncio.get_running_loop().time()
-        asked = self._dialect.read_backpressure(
+        requested = self._dialect.read_backpressure(
             response.status, response.headers
         )
         before = target.active_backpressure(now)
         target.apply_backpressure(
-            asked, now, is_taken=kind is not dialect.ResponseKind.NOT_RUN
+            requested, now, is_taken=kind is not dialect.ResponseKind.NOT_RUN
         )
         if target.active_backpressure(now) != before:
-            target_log.tell_asking(target, now)
+            target_log.log_backpressure(target, now)
 
 
-async def _head_of(
+async def _await_head(
     requesting: collections.abc.Awaitable[aiohttp.ClientResponse],
 ) -> aiohttp.ClientResponse:
     try:
@@ -261,7 +261,7 @@
 
 
 @contextlib.contextmanager
-def _losing() -> collections.abc.Iterator[None]:
+def _raising_lost() -> collections.abc.Iterator[None]:
     try:
         yield
     except (aiohttp.ClientError, OSError, ValueError) as exc:
@@ -276,7 +276,7 @@
     return 'chunked' in coding.lower()
 
 
-def _session(**connector: object) -> aiohttp.ClientSession:
+def _new_session(**connector: object) -> aiohttp.ClientSession:
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, **connector),
         timeout=aiohttp.ClientTimeout(
@@ -298,12 +298,12 @@
     return session
 
 
-def _without_hops(headers: calls.Headers) -> calls.Headers:
+def _without_hop_by_hop(headers: calls.Headers) -> calls.Headers:
     """Leave out headers that concern only the caller's connection."""
-    named = set(_HOP)
+    dropped = set(_HOP_BY_HOP)
     for header, text in headers:
         if header.lower() == 'connection':
-            named.update(part.strip().lower() for part in text.split(','))
+            dropped.update(part.strip().lower() for part in text.split(','))
     return tuple(
-        (name, value) for name, value in headers if name.lower() not in named
+        (name, value) for name, value in headers if name.lower() not in dropped
     )
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -14,8 +14,8 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-def tell_new(
-    untold: collections.abc.Iterable[announcements.Announcement],
+def log_new(
+    new: collections.abc.Iterable[announcements.Announcement],
 ) -> None:
     """Log the new targets of each service in one line.
 
@@ -23,7 +23,7 @@
     thousands on a large site, in which other lines are lost.
     """
     by_service: dict[str, list[str]] = collections.defaultdict(list)
-    for announcement in untold:
+    for announcement in new:
         by_service[announcement.service].append(announcement.target)
     for service, names in by_service.items():
         log_events.tell(
@@ -38,7 +38,7 @@
         )
 
 
-def tell_failing(service: str, names: list[str]) -> None:
+def log_ejected(service: str, names: list[str]) -> None:
     """Log which targets are left out for a while."""
     log_events.tell(
         _log,
@@ -52,16 +52,16 @@
     )
 
 
-def tell_asking(target: instances.TargetInstance, now: float) -> None:
+def log_backpressure(target: instances.TargetInstance, now: float) -> None:
     """Log what a target's answers ask for, as it begins or ends."""
-    asking = target.active_backpressure(now)
+    active = target.active_backpressure(now)
     log_events.tell(
         _log,
         log_events.Event.TARGET,
         'entry: target %s of %s asks for: %s',
         target.name,
         target.announcement.service,
-        ', '.join(asking) or 'nothing more',
+        ', '.join(active) or 'nothing more',
         target=target.name,
         service=target.announcement.service,
         state='asking',
@@ -70,9 +70,9 @@
     )
 
 
-def tell_zones(held: zones.Zones) -> None:
+def log_zones(known: zones.Zones) -> None:
     """Log which zones get no work, and count them."""
-    evacuated = [row.name for row in held.rows if row.is_evacuated]
+    evacuated = [row.name for row in known.rows if row.is_evacuated]
     figures.ZONES_EVACUATED.set(len(evacuated))
     log_events.tell(
         _log,
@@ -80,26 +80,26 @@
         'entry: evacuated zones are now: %s',
         ', '.join(evacuated) or 'none',
         zones=evacuated,
-        changes=held.changes,
+        changes=known.changes,
     )
 
 
-def tell_groups(held: groups.Groups) -> None:
+def log_groups(known: groups.Groups) -> None:
     """Log which groups there are, and which of them make no passes."""
-    closed = [row.name for row in held.rows if not row.is_open]
+    closed = [row.name for row in known.rows if not row.is_open]
     log_events.tell(
         _log,
         log_events.Event.GROUPS,
         'entry: knows %d groups, %d closed',
-        len(held.rows),
+        len(known.rows),
         len(closed),
-        groups={row.name: len(row.members) for row in held.rows},
+        groups={row.name: len(row.members) for row in known.rows},
         closed=closed,
-        term=held.term,
+        term=known.term,
     )
 
 
-def tell(announcement: announcements.Announcement) -> None:
+def log_state(announcement: announcements.Announcement) -> None:
     """Log the state of a target."""
     log_events.tell(
         _log,
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -25,7 +25,7 @@
 
 # A target without any word for so many beats counts as silent even if no
 # control host says so: the host that heard it last may be gone itself.
-BEATS_UNHEARD = 7
+SILENT_AFTER_BEATS = 7
 SWEEP_SECONDS = 0.5
 
 
@@ -47,11 +47,11 @@
         Must be called from within a running loop.
         """
         self._selector = selection.TargetSelector(zone, generator)
-        self._standing = eligibility.Eligibility(shares, fleet)
-        self._unheard = beat_seconds * BEATS_UNHEARD
-        self._arrivals = discovery.InitialDiscovery(beat_seconds)
+        self._eligibility = eligibility.Eligibility(shares, fleet)
+        self._silent_after = beat_seconds * SILENT_AFTER_BEATS
+        self._discovery = discovery.InitialDiscovery(beat_seconds)
         self._knows_others = False
-        self._untold: list[announcements.Announcement] = []
+        self._unlogged: list[announcements.Announcement] = []
         self._by_name: dict[str, instances.TargetInstance] = {}
         self._paces: dict[str, dict[str, float]] = {}
         # In the order of their first announcement: a set's order differs from
@@ -63,37 +63,37 @@
     def take(self, announcement: announcements.Announcement) -> None:
         """Take an announcement unless a later one is held."""
         now = asyncio.get_running_loop().time()
-        held = self._by_name.get(announcement.target)
-        if held is None:
+        current = self._by_name.get(announcement.target)
+        if current is None:
             self._add(announcement, now)
             return
-        if not announcement.follows(held.announcement):
+        if not announcement.follows(current.announcement):
             return
-        if announcement.is_later_start(held.announcement):
-            self._begin_anew(held, announcement, now)
+        if announcement.is_later_start(current.announcement):
+            self._replace(current, announcement, now)
             return
-        announcement = announcement.after(held.announcement)
-        if announcement.state != held.announcement.state:
-            target_log.tell(
-                attrs.evolve(held.announcement, state=announcement.state)
+        announcement = announcement.after(current.announcement)
+        if announcement.state != current.announcement.state:
+            target_log.log_state(
+                attrs.evolve(current.announcement, state=announcement.state)
             )
-        held.announced_at = now
+        current.announced_at = now
         if announcement.state == State.GONE:
-            announcement = attrs.evolve(held.announcement, state=State.GONE)
-        held.announcement = announcement
+            announcement = attrs.evolve(current.announcement, state=State.GONE)
+        current.announcement = announcement
 
     @property
     def zone_changes(self) -> int:
         """Return how many changes of zones are held."""
-        return self._standing.zone_changes
+        return self._eligibility.zone_changes
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
         """Send nothing to evacuated zones, and work again to those restored."""
-        self._standing.learn_zones(rows, self._by_name.values())
+        self._eligibility.learn_zones(rows, self._by_name.values())
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
         """Take which targets make a group, as an owner of a term tells."""
-        self._standing.learn_groups(term, rows, self._by_name.values())
+        self._eligibility.learn_groups(term, rows, self._by_name.values())
 
     def set_paces(self, source: str, paces: dict[str, float]) -> None:
         """Take the slow targets that one control host knows of.
@@ -103,8 +103,10 @@
         """
         self._paces[source] = paces
         for target in self._by_name.values():
-            told = [held.get(target.name, 1) for held in self._paces.values()]
-            target.pace = max(told)
+            known_paces = [
+                held.get(target.name, 1) for held in self._paces.values()
+            ]
+            target.pace = max(known_paces)
 
     def own_loads(self) -> dict[str, outlier_detection.TargetLoad]:
         """Return this entry's calls, by target, where it has or had any."""
@@ -142,10 +144,12 @@
             load = others.get(name, outlier_detection.IDLE)
             target.other_calls = load.calls
             target.outcomes.other_counts = load.outcomes
-        self._judge()
+        self._eject_outliers()
         for service in self._by_service:
             known = self.of_service(service)
-            self._standing.demand(service, demands.of(known, entries, now))
+            self._eligibility.set_demand(
+                service, demands.of_entry(known, entries, now)
+            )
 
     def forget_others(self) -> None:
         """Go by this entry's own calls until others are told of again."""
@@ -167,7 +171,7 @@
         ready = [
             target
             for target in found
-            if target.is_ready(now) and self._standing.has_room(target, now)
+            if target.is_ready(now) and self._eligibility.has_room(target, now)
         ]
         own = sum(target.own_calls for target in found)
         others = own * max(0, entries - 1)
@@ -190,7 +194,7 @@
         target.announcement = attrs.evolve(
             target.announcement, state=State.GONE
         )
-        target_log.tell(target.announcement)
+        target_log.log_state(target.announcement)
 
     def of_service(self, service: str) -> list[instances.TargetInstance]:
         """List the targets of a service, usable or not."""
@@ -202,7 +206,7 @@
         self,
         service: str,
         tried: collections.abc.Collection[str],
-        left: collections.abc.Collection[str] = (),
+        failed_groups: collections.abc.Collection[str] = (),
     ) -> instances.TargetInstance | None:
         """Choose a target for a call, ``None`` if none may get it.
 
@@ -213,18 +217,20 @@
         usable = [
             target
             for target in self.of_service(service)
-            if target.name not in tried and self._standing.may_take(target, now)
+            if target.name not in tried
+            and self._eligibility.may_take(target, now)
         ]
-        sound = [
+        preferred = [
             target
             for target in usable
-            if target.group not in left and self._standing.is_open(target)
+            if target.group not in failed_groups
+            and self._eligibility.is_group_open(target)
         ]
         return self._selector.select(
-            sound or usable or self._leaving(service, tried, now), now
+            preferred or usable or self._draining(service, tried, now), now
         )
 
-    def _leaving(
+    def _draining(
         self,
         service: str,
         tried: collections.abc.Collection[str],
@@ -235,7 +241,7 @@
             target
             for target in self.of_service(service)
             if target.name not in tried
-            and self._standing.may_take_last(target, now)
+            and self._eligibility.may_take_last(target, now)
         ]
 
     def rest_seconds(self, service: str) -> float:
@@ -246,7 +252,7 @@
         now = asyncio.get_running_loop().time()
         shortest: float = 0
         for target in self.of_service(service):
-            if not self._standing.is_in_service(target):
+            if not self._eligibility.is_in_service(target):
                 continue
             left = target.rest.left(now)
             if not left:
@@ -267,30 +273,33 @@
         seconds: float,
     ) -> None:
         """Wait for a target that was not tried, while more may be announced."""
-        await self._arrivals.wait(lambda: self.choose(service, tried), seconds)
+        await self._discovery.wait(lambda: self.choose(service, tried), seconds)
 
     def sweep(self) -> None:
         """Mark targets that nobody has spoken of for long."""
-        target_log.tell_new(self._untold)
-        self._untold = []
+        target_log.log_new(self._unlogged)
+        self._unlogged = []
         now = asyncio.get_running_loop().time()
         for name, target in tuple(self._by_name.items()):
-            quiet = now - target.announced_at
-            if target.announcement.is_leaving and quiet > self._unheard * 4:
+            silence = now - target.announced_at
+            if (
+                target.announcement.is_leaving
+                and silence > self._silent_after * 4
+            ):
                 self._forget(name)
                 continue
             if (
                 target.announcement.state != State.READY
-                or quiet < self._unheard
+                or silence < self._silent_after
             ):
                 continue
             target.announcement = attrs.evolve(
                 target.announcement, state=State.SILENT
             )
-            target_log.tell(target.announcement)
+            target_log.log_state(target.announcement)
         self._count()
 
-    def _judge(self) -> None:
+    def _eject_outliers(self) -> None:
         """Leave out targets that fail what others of their service answer."""
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
@@ -302,7 +311,7 @@
                 [one.outcomes for one in ready], now
             )
             if found:
-                target_log.tell_failing(
+                target_log.log_ejected(
                     service, [by_record[id(record)].name for record in found]
                 )
 
@@ -320,19 +329,19 @@
     def _add(
         self, announcement: announcements.Announcement, now: float
     ) -> None:
-        group = self._standing.group_of(announcement.target)
+        group = self._eligibility.group_of(announcement.target)
         self._by_name[announcement.target] = instances.TargetInstance(
             announcement, now, group=group
         )
         if announcement.service:
             self._by_service[announcement.service][announcement.target] = None
-            self._arrivals.note()
+            self._discovery.note()
         if announcement.state == State.READY:
-            self._untold.append(announcement)
+            self._unlogged.append(announcement)
         else:
-            target_log.tell(announcement)
+            target_log.log_state(announcement)
 
-    def _begin_anew(
+    def _replace(
         self,
         ended: instances.TargetInstance,
         announcement: announcements.Announcement,
@@ -349,5 +358,5 @@
         self._add(announcement, now)
 
     def _forget(self, name: str) -> None:
-        gone = self._by_name.pop(name)
-        self._by_service[gone.announcement.service].pop(name, None)
+        removed = self._by_name.pop(name)
+        self._by_service[removed.announcement.service].pop(name, None)
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -104,7 +104,9 @@
         await self.add(naming('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
-        self.known.get('t1').leaving_at = loop.time() - eligibility.LAST_SECONDS
+        self.known.get('t1').leaving_at = (
+            loop.time() - eligibility.DRAINING_GRACE_SECONDS
+        )
         self.assertEqual(503, (await self.ask())[0])
 
     async def test_later_start(self):
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -376,7 +376,7 @@
         self.admission.learn(
             configuration.Configuration(
                 version=1,
-                routes=self.tables.current.held.routes,
+                routes=self.tables.current.config.routes,
                 services=(
                     configuration.Service(
                         name='s', passes=configuration.Passes(empty=0.03)
@@ -410,10 +410,10 @@
             asyncio.create_task(self.ask(key=key, left='1500'))
             for key in ('usual', 'urgent')
         ]
-        while len(self.admission._lines['s']) < 2:
+        while len(self.admission._queues['s']) < 2:
             await asyncio.sleep(0)
         full.own_calls = 0
-        self.admission._lines['s'].release()
+        self.admission._queues['s'].release()
         done, late = await asyncio.wait(
             waiting, return_when=asyncio.FIRST_COMPLETED
         )
@@ -423,7 +423,7 @@
             task.cancel()
 
     def hold_organisations(self):
-        held = self.tables.current.held
+        held = self.tables.current.config
         organisations = tuple(
             configuration.Organisation(
                 name=key, keys=frozenset((key,)), priority=priority
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -69,6 +69,6 @@
         watched = self.assertLogs(log, 'INFO')
         with watched:
             log.info('begin')
-            call_log.CallLog().answered(call, 3, pieces)
+            call_log.CallLog().log_answered(call, 3, pieces)
         written = watched.watcher.records[1:]
         return written[0].fields if written else None
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -153,9 +153,9 @@
         for shared in (one, two, one):
             await shared.exchange()
         wanted = rate_limit.Demand(share=0.75, entries=2)
-        self.assertEqual(wanted, first._standing._demands['s'])
+        self.assertEqual(wanted, first._eligibility._demands['s'])
         first.forget_others()
-        self.assertEqual(1, first._standing._demands['s'].entries)
+        self.assertEqual(1, first._eligibility._demands['s'].entries)
 
 
 class EndCase(unittest.TestCase):
