--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -69,7 +69,9 @@
         await self.add(another)
         await self.add(direct.whole('yes'), zone='far')
         self.assertEqual(200, (await self.ask())[0])
-        self.assertEqual(backpressure.NONE, self.known.get('t1').asked)
+        self.assertEqual(
+            backpressure.NONE, self.known.get('t1').last_backpressure
+        )
 
 
 def naming(header, text):
@@ -102,7 +104,9 @@
         await self.add(naming('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
-        self.known.get('t1').leaving_at = loop.time() - eligibility.LAST_SECONDS
+        self.known.get('t1').leaving_at = (
+            loop.time() - eligibility.DRAINING_GRACE_SECONDS
+        )
         self.assertEqual(503, (await self.ask())[0])
 
     async def test_later_start(self):
@@ -110,7 +114,7 @@
         self.serve(configuration.Kind.IDEMPOTENT)
         await self.add(naming('Server-Leaving: 1', 'last'))
         await self.ask()
-        left = self.known.get('t1').said
+        left = self.known.get('t1').announcement
         later = attrs.evolve(left, born=left.born + 1)
         self.known.take(attrs.evolve(left, born=1, sequence=1))
         self.known.take(attrs.evolve(later, born=2))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -51,14 +51,14 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         call = calls.Call(
-            asked=calls.CallRequest(
+            request=calls.CallRequest(
                 call_id='c', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
             route=ROUTE,
             service='s',
             organisation='o',
-            arrived=began,
+            arrived_at=began,
             deadline=began + 8,
         )
         pieces = stream_timing.StreamTiming(target='t1')
@@ -69,6 +69,6 @@
         watched = self.assertLogs(log, 'INFO')
         with watched:
             log.info('begin')
-            call_log.CallLog().answered(call, 3, pieces)
+            call_log.CallLog().log_answered(call, 3, pieces)
         written = watched.watcher.records[1:]
         return written[0].fields if written else None
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -155,14 +155,14 @@
         first, _, one = test_shared_calls.entry_of('e1', hosts)
         second, _, two = test_shared_calls.entry_of('e2', hosts)
         first.get('t0').limit.hear(4, 0)
-        first.get('t0').own = 3
-        second.get('t1').own = 1
+        first.get('t0').own_calls = 3
+        second.get('t1').own_calls = 1
         for shared in (one, two, one):
             await shared.exchange()
         wanted = rate_limit.Demand(share=0.75, entries=2)
-        self.assertEqual(wanted, first._standing._demands['s'])
+        self.assertEqual(wanted, first._eligibility._demands['s'])
         first.forget_others()
-        self.assertEqual(1, first._standing._demands['s'].entries)
+        self.assertEqual(1, first._eligibility._demands['s'].entries)
 
 
 class EndCase(unittest.TestCase):
