--- a/bench/engines/lockstep.py
+++ b/bench/engines/lockstep.py
@@ -86,7 +86,7 @@
         """List the ranks."""
         return [ranks.Rank(str(row), str(row)) for row in self._numbers()]
 
-    def note_pace(self, target: str, pace: float) -> None:
+    def record_pace(self, target: str, pace: float) -> None:
         """Take what an owner tells of a rank; the entries are told apart."""
 
     def slow(self, rank: int, pace: float) -> None:
@@ -143,7 +143,7 @@
     async def counts(self, rank: ranks.Rank, sets: int) -> ranks.Counts | None:
         """Tell how often a rank's streams chose each expert."""
         await asyncio.sleep(ANSWER_SECONDS)
-        self._rest += self.rest_seconds(self._counts[0].size)
+        self._rest += self.stall_seconds(self._counts[0].size)
         rows = self._counts[int(rank.address)].tolist()
         return ranks.Counts(1, tuple(tuple(row) for row in rows))
 
@@ -154,12 +154,12 @@
         """Tell the version in force and a rank's experts."""
         await asyncio.sleep(ANSWER_SECONDS)
         row = int(rank.address)
-        self._rest += self.rest_seconds(
+        self._rest += self.stall_seconds(
             self._engine.shape.sets * self._engine.shape.places
         )
         return self._version, tuple(held[row] for held in self._map)
 
-    def rest_seconds(self, numbers: int) -> float:
+    def stall_seconds(self, numbers: int) -> float:
         """Return how long all ranks rest while so many numbers are read."""
         return numbers * REST_SECONDS / REST_NUMBERS
 
--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -16,7 +16,7 @@
     timed_work,
 )
 from tamarackthread.control.site import loads
-from tamarackthread.control.site.maps import owner, planning
+from tamarackthread.control.site.maps import group_maps, owner
 from tamarackthread.entry.direct import (
     admitting,
     calls,
@@ -231,7 +231,7 @@
         shape = self._engine.shape
         paces = [1.0 for _ in range(self._engine.ranks)]
         paces[5] = self._pattern.pace
-        return planning.plan(
+        return group_maps.plan(
             self._group.placement_in_force,
             self._group.demand.tolist(),
             evening.Bounds(shape.places, shape.places),
@@ -242,7 +242,7 @@
         maps = owner.Owner(
             self._group,
             self._group.members,
-            self._group.note_pace,
+            self._group.record_pace,
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
         service = configuration.Service(
@@ -253,11 +253,11 @@
         while True:
             if 0 <= loop.time() - lost_at < self._pattern.lost_seconds:
                 await asyncio.sleep(self._pattern.lost_seconds)
-            await maps.look([service], 1)
-            until = loop.time() + owner.LOOK_SECONDS
+            await maps.discover_and_release([service], 1)
+            until = loop.time() + owner.DISCOVERY_SECONDS
             while loop.time() < until:
                 await asyncio.sleep(owner.READ_SECONDS)
-                await maps.read(1)
+                await maps.reconcile_all(1)
 
     def _figures(self) -> dict[str, float]:
         served = [stream for stream in self._streams if stream.done.is_set()]
--- a/bench/engines/several.py
+++ b/bench/engines/several.py
@@ -27,7 +27,7 @@
             for rank in group.members(service)
         ]
 
-    def note_pace(self, target: str, pace: float) -> None:
+    def record_pace(self, target: str, pace: float) -> None:
         """Take how fast a target is, which nobody looks at here."""
 
     async def report(self, rank: ranks.Rank) -> ranks.RankReport | None:
@@ -55,9 +55,9 @@
         number, there = _place(rank)
         return await self.groups[number].order(there, asked)
 
-    def rest_seconds(self, numbers: int) -> float:
+    def stall_seconds(self, numbers: int) -> float:
         """Return how long a group rests while numbers are read."""
-        return self.groups[0].rest_seconds(numbers)
+        return self.groups[0].stall_seconds(numbers)
 
     async def close(self) -> None:
         """Close all groups."""
--- a/bench/experiments/groups.py
+++ b/bench/experiments/groups.py
@@ -28,7 +28,7 @@
     several,
     timed_work,
 )
-from tamarackthread.control.site.maps import owner, watched
+from tamarackthread.control.site.maps import group_state, owner
 from tamarackthread.shared.site import configuration
 
 EVEN_SKEW = 1.5
@@ -102,9 +102,11 @@
     shifts: int,
 ) -> dict[str, typing.Any]:
     """Play one pattern with one variant."""
-    long = watched.LONG_COPIES_SECONDS if variant.is_staged else float('inf')
+    long = (
+        group_state.LONG_COPIES_SECONDS if variant.is_staged else float('inf')
+    )
     with (
-        mock.patch.object(watched, 'LONG_COPIES_SECONDS', long),
+        mock.patch.object(group_state, 'LONG_COPIES_SECONDS', long),
         asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner,
     ):
         return runner.run(_Play(pattern, variant, seed).run(shifts))
@@ -169,13 +171,13 @@
         maps = owner.Owner(
             self._asked,
             self._asked.members,
-            self._asked.note_pace,
+            self._asked.record_pace,
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
         service = configuration.Service(
             name='s', experts=self._pattern.engine.shape
         )
-        await maps.find([service])
+        await maps.discover([service])
         working = [self._look_on(maps, service)]
         if self._variant.is_side_by_side:
             working += [self._work_on(maps, [name]) for name in maps.idle]
@@ -189,8 +191,8 @@
         service: configuration.Service,
     ) -> None:
         while True:
-            await asyncio.sleep(owner.LOOK_SECONDS)
-            await maps.find([service])
+            await asyncio.sleep(owner.DISCOVERY_SECONDS)
+            await maps.discover([service])
 
     async def _work_on(
         self,
@@ -198,9 +200,9 @@
         names: collections.abc.Sequence[str],
     ) -> None:
         while True:
-            await asyncio.sleep(maps.read_seconds)
+            await asyncio.sleep(maps.read_interval)
             for name in names:
-                await maps.work(name, 1)
+                await maps.reconcile(name, 1)
 
     async def _watch(self, group: lockstep.Group) -> None:
         """Note when a group is even after a shift, and for how long it is."""
--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -12,7 +12,7 @@
 from bench.fuzzing import mutations, report, samples
 from tamarackthread.control import claims, configuration
 from tamarackthread.control import machine as machines
-from tamarackthread.control.site import book
+from tamarackthread.control.site import target_registry
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.platform import door
 from tamarackthread.shared import (
@@ -202,10 +202,10 @@
 
 
 async def _take_announcement(body: bytes) -> None:
-    held = book.Book(1.0)
-    with held.hearing('fuzzer'):
-        held.take(door.read_announcement('t', body))
-    for said in held.after(0):
+    held = target_registry.TargetRegistry(1.0)
+    with held.validating('fuzzer'):
+        held.record(door.read_announcement('t', body))
+    for said in held.changed_since(0):
         wire.encode(announcements.to_message(said))
 
 
--- a/tamarackthread/control/site/api.py
+++ b/tamarackthread/control/site/api.py
@@ -48,7 +48,7 @@
         if version <= self._site.held.version:
             return version
         asked = document.pack(version, body)
-        until = asyncio.get_running_loop().time() + committing.PATIENCE_SECONDS
+        until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
         await committing.commit(self._group, asked.encode(), until)
         log_events.tell(
             _log,
@@ -66,7 +66,7 @@
         know it, so a quorum is asked each time.
         """
         try:
-            await self._group.read_barrier(committing.PATIENCE_SECONDS)
+            await self._group.read_barrier(committing.TIMEOUT_SECONDS)
         except errors.CodedError as exc:
             raise NewestUnknown(str(exc)) from exc
         if not self._site.held.version:
--- a/tamarackthread/control/site/committing.py
+++ b/tamarackthread/control/site/committing.py
@@ -9,7 +9,7 @@
 
 # An operator turns to another host after a second without an answer.  Less
 # than that is spent on a leader that is being elected.
-PATIENCE_SECONDS = 0.85
+TIMEOUT_SECONDS = 0.85
 PAUSE_SECONDS = 0.04
 
 
--- a/tamarackthread/control/site/evacuation.py
+++ b/tamarackthread/control/site/evacuation.py
@@ -35,7 +35,9 @@
         self._site = site
         self._known = frozenset(known)
 
-    async def ask(self, zone: str, author: str, *, is_evacuated: bool) -> None:
+    async def request(
+        self, zone: str, author: str, *, is_evacuated: bool
+    ) -> None:
         """Evacuate a zone or take it back; return once it is committed.
 
         Sent again it changes nothing.  Raises ``ZoneUnknown`` at once and
@@ -43,7 +45,7 @@
         """
         if zone not in self._known:
             raise ZoneUnknown(f'zone "{zone}"')
-        until = asyncio.get_running_loop().time() + committing.PATIENCE_SECONDS
+        until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
         while not await self._is_taken(zone, until, is_evacuated=is_evacuated):
             # Others have changed the zone since this host applied its last
             # command; the request stands all the same, after theirs.
@@ -60,9 +62,9 @@
             author=author,
         )
 
-    async def newest(self) -> list[zones.Zone]:
+    async def list_zones(self) -> list[zones.Zone]:
         """List all zones of the site; raise ``ChangeUnsettled`` if unsure."""
-        until = asyncio.get_running_loop().time() + committing.PATIENCE_SECONDS
+        until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
         await self._catch_up(until)
         return [self._site.zones.get(name) for name in sorted(self._known)]
 
@@ -78,7 +80,7 @@
             zones.Zone(zone, is_evacuated, held.revision)
         )
         done = await committing.commit(self._group, command, until)
-        return done == machine.TOOK_EFFECT
+        return done == machine.APPLIED
 
     async def _catch_up(self, until: float) -> None:
         left = until - asyncio.get_running_loop().time()
--- a/tamarackthread/control/site/feeding.py
+++ b/tamarackthread/control/site/feed.py
@@ -5,7 +5,7 @@
 import asyncio
 import collections.abc
 
-from tamarackthread.control.site import book, machine
+from tamarackthread.control.site import machine, target_registry
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import link
 from tamarackthread.shared.site import announcements, groups, zones
@@ -23,13 +23,13 @@
 Members = collections.abc.Callable[[], list[str]]
 
 
-class Feeding:
+class Feed:
     """Hold each follower's question until something is newer."""
 
     def __init__(
         self,
         site: machine.SiteMachine,
-        targets: book.Book,
+        targets: target_registry.TargetRegistry,
         members: Members,
         epoch: int,
     ) -> None:
@@ -113,7 +113,7 @@
         held = self._site.held
         known = self._targets.groups
         is_newer = held.version > (asked.version or 0)
-        rows = self._targets.after(self._serial_of(asked))
+        rows = self._targets.changed_since(self._serial_of(asked))
         return messages.SiteFeedReply(
             version=held.version,
             document=(
--- a/tamarackthread/control/site/handler.py
+++ b/tamarackthread/control/site/handler.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from tamarackthread.control import consensus
-from tamarackthread.control.site import evacuation, feeding, loads
+from tamarackthread.control.site import evacuation, feed, loads
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, link
 from tamarackthread.shared.site import zones
@@ -17,7 +17,7 @@
     def __init__(
         self,
         group: consensus.Consensus,
-        followers: feeding.Feeding,
+        followers: feed.Feed,
         calls: loads.Loads,
         zones: evacuation.Evacuation,
     ) -> None:
@@ -56,12 +56,12 @@
         if link.peer.role != messages.Role.OPERATOR:
             raise errors.RequestUnsupported(f'not for role {link.peer.role}')
         if asked.name:
-            await self._zones.ask(
+            await self._zones.request(
                 asked.name,
                 asked.author or link.peer.node,
                 is_evacuated=bool(asked.is_evacuated),
             )
-        rows = [zones.to_message(row) for row in await self._zones.newest()]
+        rows = [zones.to_message(row) for row in await self._zones.list_zones()]
         return messages.Reply(site_zone=messages.SiteZoneReply(rows))
 
     def on_lost(self, link: link.Link) -> None:
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -20,17 +20,17 @@
 )
 from tamarackthread.control.site import (
     api,
-    book,
     evacuation,
-    feeding,
+    feed,
     handler,
     joining,
     loads,
     machine,
-    roster,
+    site_directory,
     target_file,
+    target_registry,
 )
-from tamarackthread.control.site.maps import duty, owner, ranks
+from tamarackthread.control.site.maps import owner, owner_loop, ranks
 from tamarackthread.generated import settings as generated
 from tamarackthread.shared import (
     listener,
@@ -49,7 +49,7 @@
 
 GROUP = 'site'
 TARGETS = 'targets'
-TEND_SECONDS = 0.5
+CHECK_SECONDS = 0.5
 # A heartbeat takes two ways between availability zones of a region, some
 # milliseconds; a host that is busy or slowed answers within a tenth of a
 # second.  An election must end well within the four seconds that an operator
@@ -78,7 +78,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Door(abc.ABC):
+class HttpServer(abc.ABC):
     """The HTTP through which operators and targets reach this host."""
 
     @abc.abstractmethod
@@ -86,7 +86,7 @@
         self,
         address: str,
         site: api.SiteApi,
-        targets: book.Book,
+        targets: target_registry.TargetRegistry,
         zones: evacuation.Evacuation,
     ) -> str:
         """Serve at HOST:PORT and return the address in use."""
@@ -103,7 +103,7 @@
         self,
         settings: generated.Settings,
         reader: configuration.Reader,
-        door: Door,
+        door: HttpServer,
         asked: ranks.Ranks,
     ) -> None:
         """Build the parts; ``run`` starts them."""
@@ -122,20 +122,20 @@
         )
         self._machine = machine.SiteMachine()
         self._group = self._build_group()
-        self._book = book.Book(self._site.announce_seconds)
+        self._book = target_registry.TargetRegistry(self._site.announce_seconds)
         # How much of the book the roster has learned.
         self._learned = 0
         self._api = api.SiteApi(self._group, self._machine, reader)
         self._evacuation = evacuation.Evacuation(
             self._group, self._machine, self._site.zones
         )
-        self._joining = joining.Joining(
+        self._joining = joining.Joiner(
             self._group, self._links, self._node, self._address, self._others
         )
         self._door = door
         self._page = figures.Page()
         self._ranks = asked
-        known = roster.Roster(self._machine, reader)
+        known = site_directory.SiteDirectory(self._machine, reader)
         self._known = known
         self._targets = target_file.TargetFile(
             disk.FolderDisk(self._folder.of_group(TARGETS))
@@ -143,23 +143,23 @@
         self._follower = following.Follower(
             self._site, self._links, known, self._address
         )
-        self._duty = duty.Duty(
+        self._duty = owner_loop.OwnerLoop(
             self._group,
             self._book,
             known,
             owner.Owner(
                 asked,
                 known.members,
-                self._book.note_pace,
+                self._book.record_pace,
                 offload.ThreadOffload(),
             ),
-            goes_on=self._site.engines_check_fences,
+            outlives_lease=self._site.engines_check_fences,
         )
         self._listener = listener.Listener(
             self._place.options,
             handler.SiteHandler(
                 self._group,
-                feeding.Feeding(
+                feed.Feed(
                     self._machine,
                     self._book,
                     self._member_addresses,
@@ -219,7 +219,7 @@
             disk=disk.FolderDisk(self._folder.of_group(GROUP)),
             transport=transport.LinkTransport(self._links),
             members=self._founders(),
-            timing=times_for(self._site),
+            timing=group_timing(self._site),
             rng=random.Random(),
         )
 
@@ -240,10 +240,10 @@
         return [member.address for member in self._group.members()]
 
     def _all_targets(self) -> list[announcements.Announcement]:
-        for said in self._book.after(self._learned):
+        for said in self._book.changed_since(self._learned):
             self._known.learn_target(said)
         self._learned = self._book.serial
-        return self._known.said()
+        return self._known.known_targets()
 
     def _others(self) -> list[str]:
         known = dict.fromkeys(places.link_addresses(self._site))
@@ -260,7 +260,7 @@
         process would look alive for ever.
         """
         while True:
-            await asyncio.sleep(TEND_SECONDS)
+            await asyncio.sleep(CHECK_SECONDS)
             self._measure()
             if self._group.failure is not None:
                 return self._group.failure
@@ -290,7 +290,7 @@
         self._folder.close()
 
 
-def times_for(site: generated.Site) -> timing.Timing:
+def group_timing(site: generated.Site) -> timing.Timing:
     """Give the group's times for what may be lost and what is fenced.
 
     Where engines refuse an outdated fence, nothing rests on the lease.
@@ -305,7 +305,7 @@
 async def run(
     settings: generated.Settings,
     reader: configuration.Reader,
-    door: Door,
+    door: HttpServer,
     asked: ranks.Ranks,
     announce: process.Announce | None = None,
 ) -> None:
--- a/tamarackthread/control/site/answering.py
+++ b/tamarackthread/control/site/http_errors.py
@@ -20,7 +20,7 @@
 ]
 
 
-def coded(answer: Answer, part: typing.Any) -> Handler:
+def bind(answer: Answer, part: typing.Any) -> Handler:
     """Give a part to a handler and turn its coded errors into answers."""
     return functools.partial(_handle, answer, part)
 
--- a/tamarackthread/control/site/joining.py
+++ b/tamarackthread/control/site/joining.py
@@ -20,7 +20,7 @@
 Addresses = collections.abc.Callable[[], list[str]]
 
 
-class Joining:
+class Joiner:
     """Ask the leader to take this host in whenever it is not a member.
 
     A host with an empty disk knows only some addresses.  One that was let go
--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -12,20 +12,20 @@
 # An entry that says nothing for so long counts for nothing.  It speaks many
 # times as often; one that was killed has closed its connections to targets,
 # which stop work on its calls.
-SILENT_SECONDS = 1.5
+ENTRY_TIMEOUT_SECONDS = 1.5
 
 
 @attrs.frozen
-class Sum:
+class CallTotals:
     """Calls at a target, and those that ended there of late."""
 
     calls: int = 0
     answered: int = 0
     failed: int = 0
 
-    def changed(self, before: Sum, after: Sum) -> Sum:
+    def changed(self, before: CallTotals, after: CallTotals) -> CallTotals:
         """Return the sum with one part of it changed."""
-        return Sum(
+        return CallTotals(
             self.calls + after.calls - before.calls,
             self.answered + after.answered - before.answered,
             self.failed + after.failed - before.failed,
@@ -36,13 +36,13 @@
 class _Share:
     """What one entry has told last."""
 
-    rows: dict[str, Sum]
+    rows: dict[str, CallTotals]
     heard_at: float
     suspects: tuple[messages.SiteSuspect, ...] = ()
     suspects_at: float = 0
 
 
-_NONE = Sum()
+_NONE = CallTotals()
 
 
 class Loads:
@@ -57,7 +57,7 @@
         """Begin without calls; ``epoch`` names this start of the host."""
         self._epoch = epoch
         self._shares: dict[str, _Share] = {}
-        self._sums: dict[str, Sum] = {}
+        self._sums: dict[str, CallTotals] = {}
         self._changed_at: dict[str, int] = {}
         self._serial = 0
         self._suspects_serial = 0
@@ -74,7 +74,7 @@
         """
         now = asyncio.get_running_loop().time()
         rows = {
-            row.id: Sum(row.calls, row.answered or 0, row.failed or 0)
+            row.id: CallTotals(row.calls, row.answered or 0, row.failed or 0)
             for row in asked.own
         }
         self._put(entry, rows, now)
@@ -111,7 +111,7 @@
         )
         return [suspects.to_message(row) for row in suspects.merge(rows)]
 
-    def _put(self, entry: str, rows: dict[str, Sum], now: float) -> None:
+    def _put(self, entry: str, rows: dict[str, CallTotals], now: float) -> None:
         held = self._shares.get(entry)
         before = {} if held is None else held.rows
         if held is None:
@@ -131,12 +131,12 @@
 
     def _forget_silent(self, now: float) -> None:
         for entry, share in tuple(self._shares.items()):
-            if now - share.heard_at > SILENT_SECONDS:
+            if now - share.heard_at > ENTRY_TIMEOUT_SECONDS:
                 self._put(entry, {}, now)
                 self._shares.pop(entry)
 
 
-def _message(target: str, summed: Sum) -> messages.SiteCalls:
+def _message(target: str, summed: CallTotals) -> messages.SiteCalls:
     return messages.SiteCalls(
         id=target,
         calls=summed.calls,
--- a/tamarackthread/control/site/machine.py
+++ b/tamarackthread/control/site/machine.py
@@ -10,8 +10,8 @@
 from tamarackthread.shared import errors, wire
 from tamarackthread.shared.site import document, zones
 
-TOOK_EFFECT = b'1'
-OVERTAKEN = b'0'
+APPLIED = b'1'
+SUPERSEDED = b'0'
 # A document begins with its version, which is never negative.
 _MARK = struct.Struct('>q')
 _ZONE = _MARK.pack(-1)
@@ -60,9 +60,9 @@
             return self._apply_zone(command)
         asked = document.decode(command)
         if asked.version <= self._held.version:
-            return OVERTAKEN
+            return SUPERSEDED
         self._take(asked)
-        return TOOK_EFFECT
+        return APPLIED
 
     def snapshot(self) -> bytes:
         """Return the document in force, and the zones if any has changed."""
@@ -87,16 +87,16 @@
             asked = _read_zone(command)
         except errors.FrameInvalid:
             # Of a later release; every member of the group leaves it alike.
-            return OVERTAKEN
+            return SUPERSEDED
         held = self._zones.get(asked.name)
         if asked.revision != held.revision:
-            return OVERTAKEN
+            return SUPERSEDED
         if asked.is_evacuated != held.is_evacuated:
             self._zones.learn(
                 zones.Zone(asked.name, asked.is_evacuated, held.revision + 1)
             )
             self._tell()
-        return TOOK_EFFECT
+        return APPLIED
 
     def _take(self, asked: document.Document) -> None:
         self._held = asked
--- a/tamarackthread/control/site/maps/demand.py
+++ b/tamarackthread/control/site/maps/demand.py
@@ -51,7 +51,7 @@
         """Tell whether the choices are in part of before the last shift."""
         return self._is_mixed
 
-    def lasts(self, now: float) -> float:
+    def remaining_seconds(self, now: float) -> float:
         """Return for how many seconds demand is expected to stay as it is."""
         usual = ASSUMED_SECONDS
         if self._spans:
@@ -69,7 +69,7 @@
         """Tell whether the last reading looked like what was seen before."""
         return bool(self._tokens) and not self._odd
 
-    def take(
+    def add_counts(
         self,
         found: collections.abc.Mapping[str, ranks.Counts],
         now: float,
@@ -81,7 +81,7 @@
         fresh: _Tokens = []
         for target, counts in found.items():
             before = self._seen.get(target)
-            if before is not None and before.is_of_start(counts):
+            if before is not None and before.is_same_start(counts):
                 _add(fresh, _difference(before.by_set, counts.by_set))
         self._seen = dict(found)
         if any(map(any, fresh)):
--- a/tamarackthread/control/site/maps/groups.py
+++ b/tamarackthread/control/site/maps/group_discovery.py
@@ -17,15 +17,15 @@
 _Answer = typing.TypeVar('_Answer')
 
 
-async def reports(
+async def fetch_reports(
     asked: ranks.Ranks,
     members: collections.abc.Sequence[ranks.Rank],
 ) -> list[ranks.RankReport | None]:
     """Ask ranks of themselves, all at once, and the silent ones again."""
-    return await answers(asked.report, members)
+    return await ask_all(asked.report, members)
 
 
-async def answers(
+async def ask_all(
     ask: collections.abc.Callable[
         [ranks.Rank], collections.abc.Awaitable[_Answer | None]
     ],
@@ -47,12 +47,12 @@
     return found
 
 
-async def again(
+async def refresh(
     asked: ranks.Ranks,
     group: switching.Group,
 ) -> switching.Group | None:
     """Return a group as it is now, ``None`` unless it is whole and the same."""
-    found = await answers(asked.report, group.members, HELD_ASKED_TIMES)
+    found = await ask_all(asked.report, group.members, HELD_ASKED_TIMES)
     known = [report for report in found if report is not None]
     if len(known) != len(found):
         return None
@@ -66,7 +66,7 @@
     )
 
 
-def whole(
+def complete_groups(
     members: list[ranks.Rank],
     found: list[ranks.RankReport | None],
 ) -> list[switching.Group]:
@@ -84,7 +84,7 @@
     ]
 
 
-def is_over(
+def has_ended(
     group: switching.Group,
     found: list[ranks.RankReport | None],
 ) -> bool:
--- a/tamarackthread/control/site/maps/planning.py
+++ b/tamarackthread/control/site/maps/group_maps.py
@@ -33,7 +33,7 @@
     )
 
 
-def most_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
+def max_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
     """Return the most experts that one rank has to copy."""
     by_rank = [0 for _ in before[0]] if before else []
     for old, new in zip(before, after, strict=True):
@@ -42,7 +42,7 @@
     return max(by_rank, default=0)
 
 
-def copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
+def total_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
     """Count the experts that any rank has to copy."""
     return sum(
         evening.copies(old, new) for old, new in zip(before, after, strict=True)
--- a/tamarackthread/control/site/maps/watched.py
+++ b/tamarackthread/control/site/maps/group_state.py
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False)
-class Watched:
+class GroupState:
     """A group as its reports, its counts and this owner's orders tell.
 
     ``placement`` is the map of ``version`` in ``epoch``.  ``highest`` is the
@@ -69,7 +69,7 @@
     shape: configuration.Experts
     service: str = ''
     gap: float = 0
-    least_step: float = 0
+    min_step: float = 0
     group: switching.Group | None = None
     held: switching.Group | None = None
     epoch: int = -1
@@ -89,16 +89,16 @@
     _step_at: float = 0
     _pressed_at: float = -WATCH_SECONDS
 
-    def see(self, group: switching.Group, now: float) -> None:
+    def update(self, group: switching.Group, now: float) -> None:
         """Take a look's reports."""
         self.group = group
-        self.highest = max(self.highest, group.newest_version)
-        reports = group.busy_reports
+        self.highest = max(self.highest, group.highest_version)
+        reports = group.serving_reports
         self._time_step(group.epoch, reports[0].step, now)
         self.calls = sum(map(_calls_of, reports)) / len(reports)
         self._note_pressure(self.calls, now)
 
-    def hear(self, report: ranks.RankReport, now: float) -> None:
+    def update_from(self, report: ranks.RankReport, now: float) -> None:
         """Take one rank's report, which times the steps of all."""
         self._time_step(report.epoch, report.step, now)
         calls = _calls_of(report)
@@ -129,10 +129,10 @@
         return staging.Cost(
             copy_seconds=self.shape.copy_seconds * self.copy_slack,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=self.demand.lasts(now),
+            lasts_seconds=self.demand.remaining_seconds(now),
         )
 
-    def readable(self, rest_seconds: float) -> int | None:
+    def max_parallel_reads(self, stall_seconds: float) -> int | None:
         """Return how many ranks may be read at once, ``None`` for all.
 
         ``rest_seconds`` is how long all ranks rest for each.  The failure:
@@ -142,20 +142,20 @@
         take nearly all of the pause some is read all the same: it is the way to
         an evener map, without which they stay so.
         """
-        if not self.gap or not rest_seconds:
+        if not self.gap or not stall_seconds:
             return None
         left = max(self.gap - self.step_seconds, self.gap * LEAST_LEFT_SHARE)
-        return max(1, int(left * REST_SHARE / rest_seconds))
+        return max(1, int(left * REST_SHARE / stall_seconds))
 
     @property
-    def between_reads(self) -> float:
+    def read_spacing(self) -> float:
         """Return how long to wait so that two readings meet no one step.
 
         Steps of a group that has been idle seem to take as long as that was.
         """
         return min(self.step_seconds, self.gap)
 
-    def is_pressed(self, now: float) -> bool:
+    def needs_balancing(self, now: float) -> bool:
         """Tell whether evener ranks would be felt by anybody.
 
         Reading counts rests the group and is charged for, so it is left
@@ -165,7 +165,7 @@
             return False
         return now - self._pressed_at < WATCH_SECONDS
 
-    def switched(
+    def record_switch(
         self,
         version: int,
         placement: ranks.GroupMap,
@@ -175,14 +175,14 @@
         """Take it that the group was let go into a new map at a step."""
         self.version = version
         self.placement = placement
-        self.let_go(step, now)
+        self.record_release(step, now)
 
-    def let_go(self, step: int, now: float) -> None:
+    def record_release(self, step: int, now: float) -> None:
         """Take it that the group was let go at a step at which it was held."""
         self._let_go = step
         self._let_go_at = now
 
-    def has_let_go(self, step: int, now: float) -> bool:
+    def is_stale_hold(self, step: int, now: float) -> bool:
         """Tell whether a report that a group is held is only a late one.
 
         Holding the group once more, to bring a switch to its end that has
@@ -193,12 +193,12 @@
         is_same = step == self._let_go
         return is_same and now - self._let_go_at < LATE_REPORT_SECONDS
 
-    def failed(self, now: float) -> None:
+    def back_off(self, now: float) -> None:
         """Take it that a switch had to be taken back."""
         self.copy_slack = min(MOST_COPY_SLACK, 2 * self.copy_slack)
         self._rests_until = now + REST_SECONDS
 
-    def step_at(self, moment: float) -> int:
+    def estimate_step(self, moment: float) -> int:
         """Estimate the step that the group has begun by a moment."""
         since = moment - self._step_at + REPORT_SECONDS
         return self._step + int(since / self.step_seconds)
@@ -243,7 +243,7 @@
             is_soon = steps < TIMED_STEPS or since < REPORT_SECONDS
             if steps <= 0 or (is_soon and since < TIMED_SECONDS):
                 return
-            self.step_seconds = max(self.least_step, since / steps)
+            self.step_seconds = max(self.min_step, since / steps)
         self._step_epoch = epoch
         self._step = step
         self._step_at = now
--- a/tamarackthread/control/site/maps/changing.py
+++ b/tamarackthread/control/site/maps/map_change.py
@@ -6,10 +6,10 @@
 import logging
 
 from tamarackthread.control.site.maps import (
-    planning,
+    group_maps,
+    group_state,
     ranks,
     switching,
-    watched,
 )
 from tamarackthread.shared import log_events
 from tamarackthread.shared.site import figures
@@ -29,14 +29,14 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Change:
+class MapChange:
     """One change of a group's map."""
 
     def __init__(
         self,
         asked: ranks.Ranks,
         switcher: switching.Switcher,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
     ) -> None:
         """Order with ``switcher``; what becomes of it is noted in ``known``."""
@@ -57,7 +57,7 @@
         if not await self._switcher.prepare(self._group, version, wanted):
             return True
         took = loop.time() - began
-        copies = planning.most_copies(known.placement, wanted)
+        copies = group_maps.max_copies(known.placement, wanted)
         await asyncio.sleep(
             copies * known.shape.copy_seconds * known.copy_slack
         )
@@ -68,9 +68,9 @@
         if not await self._switcher.finish(
             self._group, ranks.Armed(version, step), self._group.members[:1]
         ):
-            known.failed(loop.time())
+            known.back_off(loop.time())
             return False
-        known.switched(version, wanted, step, loop.time())
+        known.record_switch(version, wanted, step, loop.time())
         self._tell(version, step, took, loop.time() - held_at)
         return True
 
@@ -80,7 +80,7 @@
         await time_step(self._ranks, self._known, self._group)
         ahead = _ahead(took)
         for tries in range(HOLD_TRIES):
-            begun = self._known.step_at(loop.time() + ahead)
+            begun = self._known.estimate_step(loop.time() + ahead)
             step = begun + 1 + tries * 2
             if await self._switcher.hold(self._group, step):
                 return step
@@ -117,14 +117,14 @@
 
 async def time_step(
     asked: ranks.Ranks,
-    known: watched.Watched,
+    known: group_state.GroupState,
     group: switching.Group,
 ) -> None:
     """Time steps anew: since a shift they may take three times as long."""
-    report = await asked.report(group.busy[0])
+    report = await asked.report(group.serving[0])
     if report is None or report.epoch != group.epoch:
         return
-    known.hear(report, asyncio.get_running_loop().time())
+    known.update_from(report, asyncio.get_running_loop().time())
 
 
 def _ahead(took: float) -> float:
--- a/tamarackthread/control/site/maps/deciding.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -6,10 +6,10 @@
 import logging
 
 from tamarackthread.control.site.maps import (
-    planning,
+    group_maps,
+    group_state,
     ranks,
     switching,
-    watched,
 )
 from tamarackthread.policy import evening, staging
 from tamarackthread.shared import log_events, offload
@@ -31,7 +31,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Decider:
+class MapPlanner:
     """Plan maps that serve callers better, each by as few copies as do."""
 
     def __init__(self, work: offload.Offload) -> None:
@@ -40,7 +40,7 @@
 
     async def plan(
         self,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
     ) -> ranks.GroupMap | None:
         """Return a better map, ``None`` where none pays."""
@@ -52,13 +52,13 @@
             return None
         tokens = known.demand.tokens
         paces = [report.pace for report in group.reports]
-        now = planning.skew(known.placement, tokens, paces)
+        now = group_maps.skew(known.placement, tokens, paces)
         figures.GROUP_SKEW.labels(group.name).set(now)
         if now < LEAST_SKEW:
             return None
         wanted, planned = await self._even(known, tokens, paces, now)
-        copies = planning.copies(known.placement, wanted)
-        most = planning.most_copies(known.placement, wanted)
+        copies = group_maps.total_copies(known.placement, wanted)
+        most = group_maps.max_copies(known.placement, wanted)
         log_events.tell(
             _log,
             log_events.Event.PLAN,
@@ -80,9 +80,9 @@
 
     async def _even(
         self,
-        known: watched.Watched,
-        tokens: planning.Tokens,
-        paces: planning.Paces,
+        known: group_state.GroupState,
+        tokens: group_maps.Tokens,
+        paces: group_maps.Paces,
         now: float,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map that makes steps short, with few copies if these do.
@@ -99,9 +99,9 @@
                 known.shape.places, known.shape.spare, least
             )
             wanted = await self._work.run(
-                planning.plan, known.placement, tokens, bounds, paces
+                group_maps.plan, known.placement, tokens, bounds, paces
             )
-            planned = planning.skew(wanted, tokens, paces)
+            planned = group_maps.skew(wanted, tokens, paces)
             is_short = known.step_seconds * planned / now < SHORT_STEP_SECONDS
             if is_short and not known.is_full:
                 break
@@ -109,9 +109,9 @@
 
     async def _stage(
         self,
-        known: watched.Watched,
-        tokens: planning.Tokens,
-        paces: planning.Paces,
+        known: group_state.GroupState,
+        tokens: group_maps.Tokens,
+        paces: group_maps.Paces,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
         bounds = evening.Bounds(known.shape.places, known.shape.spare)
@@ -123,4 +123,4 @@
             paces,
             known.cost(asyncio.get_running_loop().time()),
         )
-        return wanted, planning.skew(wanted, tokens, paces)
+        return wanted, group_maps.skew(wanted, tokens, paces)
--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -7,15 +7,15 @@
 import math
 
 from tamarackthread.control.site.maps import (
-    changing,
-    deciding,
-    groups,
-    learning,
+    group_discovery,
+    group_state,
+    map_change,
+    map_planner,
     membership,
     ranks,
-    releasing,
+    readings,
+    recovery,
     switching,
-    watched,
 )
 from tamarackthread.shared import offload
 from tamarackthread.shared.site import configuration, figures
@@ -25,7 +25,7 @@
 # their counts in between.  Demand shifts every two to four seconds and makes
 # steps two to three times as long at once, so each tenth of a second until the
 # switch is waited for by every caller of the group.
-LOOK_SECONDS = 1.0
+DISCOVERY_SECONDS = 1.0
 READ_SECONDS = 0.2
 # While steps are short they are timed as often, which costs a report, and counts
 # are read half as often: a shift shows in the steps as soon.
@@ -47,7 +47,7 @@
 MOST_REPORTS_CALM = 300
 MOST_REPORTS_EAGER = 1500
 Members = collections.abc.Callable[[str], list[ranks.Rank]]
-NotePace = collections.abc.Callable[[str, float], None]
+RecordPace = collections.abc.Callable[[str, float], None]
 
 
 class Owner:
@@ -61,19 +61,19 @@
         self,
         asked: ranks.Ranks,
         members: Members,
-        note_pace: NotePace,
+        record_pace: RecordPace,
         work: offload.Offload,
     ) -> None:
         """Find a service's targets with ``members``; tell how fast they are.
 
         Plans are made by ``work``, so that heartbeats go on meanwhile.
         """
-        self._decider = deciding.Decider(work)
-        self._note_pace = note_pace
+        self._decider = map_planner.MapPlanner(work)
+        self._record_pace = record_pace
         self._ranks = asked
         self._members = members
-        self._watched: dict[str, watched.Watched] = {}
-        self._fences = releasing.Fences()
+        self._watched: dict[str, group_state.GroupState] = {}
+        self._fences = recovery.OwnerFences()
         self._has_released = False
         self._is_missing = False
         self._asked = 0
@@ -87,7 +87,7 @@
         return self._has_released
 
     @property
-    def look_seconds(self) -> float:
+    def discovery_interval(self) -> float:
         """Return how long to wait before the next look.
 
         After a group was found held its ranks are asked again at once: what
@@ -104,10 +104,10 @@
             return EAGER_SECONDS, MOST_REPORTS_EAGER
         if self._membership.has_closed:
             return CLOSED_LOOK_SECONDS, MOST_REPORTS_EAGER
-        return LOOK_SECONDS, MOST_REPORTS_CALM
+        return DISCOVERY_SECONDS, MOST_REPORTS_CALM
 
     @property
-    def read_seconds(self) -> float:
+    def read_interval(self) -> float:
         """Return how long to wait before the next reading of counts."""
         for known in self._watched.values():
             if known.group is not None and not known.demand.tokens:
@@ -121,14 +121,14 @@
         """Tell whether a rank has seen the orders of a later owner."""
         return self._fences.is_outdated
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Forget what an earlier time as owner has left.
 
         What it had under way must have ended.
         """
         self._watched = {}
         self._busy = set()
-        self._fences = releasing.Fences()
+        self._fences = recovery.OwnerFences()
         self._began_at = asyncio.get_running_loop().time()
 
     @property
@@ -141,21 +141,23 @@
         """List the groups that have no work under way."""
         return [name for name in self._watched if name not in self._busy]
 
-    async def look(
+    async def discover_and_release(
         self,
         services: collections.abc.Iterable[configuration.Service],
         term: int,
     ) -> None:
         """Look at the services' groups and let go those that are held."""
-        await self.find(services)
+        await self.discover(services)
         held = [name for name in self.idle if self._watched[name].held]
-        await asyncio.gather(*(self.work(name, term) for name in held))
+        await asyncio.gather(*(self.reconcile(name, term) for name in held))
 
-    async def read(self, term: int) -> None:
+    async def reconcile_all(self, term: int) -> None:
         """Do what is due for each group, side by side."""
-        await asyncio.gather(*(self.work(name, term) for name in self.idle))
+        await asyncio.gather(
+            *(self.reconcile(name, term) for name in self.idle)
+        )
 
-    async def find(
+    async def discover(
         self,
         services: collections.abc.Iterable[configuration.Service],
     ) -> None:
@@ -176,7 +178,7 @@
                 elif group.name not in self._busy:
                     known.held = group
 
-    async def work(self, name: str, term: int) -> None:
+    async def reconcile(self, name: str, term: int) -> None:
         """Do what is due for one group, as owner of a term.
 
         A group that is held is let go.  Else the counts of a pressed one are
@@ -198,22 +200,22 @@
 
     async def _read_group(
         self,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
         term: int,
     ) -> None:
         if not await self._is_due(known, group):
             return
-        if not await learning.learn_placement(self._ranks, known, group):
+        if not await readings.read_placement(self._ranks, known, group):
             return
-        await learning.learn_demand(self._ranks, known, group)
+        await readings.read_demand(self._ranks, known, group)
         if known.awaits_demand:
             self._alert(known)
         wanted = await self._decider.plan(known, group)
         if wanted is not None:
             await self._switch(known, group, wanted, term)
 
-    def _alert(self, shifted: watched.Watched) -> None:
+    def _alert(self, shifted: group_state.GroupState) -> None:
         """Have the other groups of a service read at once.
 
         Callers are spread over all of them, so demand shifts for all alike.
@@ -222,17 +224,17 @@
             if known is not shifted and known.service == shifted.service:
                 known.read_at = -math.inf
 
-    async def _presses(self, known: watched.Watched) -> bool:
+    async def _presses(self, known: group_state.GroupState) -> bool:
         """Tell whether a group's steps are long, as one rank tells."""
         now = asyncio.get_running_loop().time()
-        if known.is_pressed(now):
+        if known.needs_balancing(now):
             return True
-        await changing.time_step(self._ranks, known, known.group)
-        return known.is_pressed(now)
+        await map_change.time_step(self._ranks, known, known.group)
+        return known.needs_balancing(now)
 
     async def _is_due(
         self,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
     ) -> bool:
         """Tell whether counts are worth reading again.
@@ -244,9 +246,9 @@
         if is_long_ago or known.awaits_demand:
             known.read_at = now
             return True
-        await changing.time_step(self._ranks, known, group)
+        await map_change.time_step(self._ranks, known, group)
         if (
-            known.step_seconds < deciding.SHORT_STEP_SECONDS
+            known.step_seconds < map_planner.SHORT_STEP_SECONDS
             and known.demand.is_settled
             and not known.is_full
         ):
@@ -257,72 +259,76 @@
     async def _find(self, service: str) -> list[switching.Group]:
         members = self._members(service)
         self._asked += len(members)
-        found = await groups.reports(self._ranks, members)
+        found = await group_discovery.fetch_reports(self._ranks, members)
         self._membership.learn(service, members, found)
         for member, report in zip(members, found, strict=True):
             if report is not None:
-                self._note_pace(member.target, report.pace)
+                self._record_pace(member.target, report.pace)
         for known in self._watched.values():
-            if known.group is not None and groups.is_over(known.group, found):
+            if known.group is not None and group_discovery.has_ended(
+                known.group, found
+            ):
                 known.group = None
-        return groups.whole(members, found)
+        return group_discovery.complete_groups(members, found)
 
     async def _release(
         self,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
         term: int,
     ) -> None:
         loop = asyncio.get_running_loop()
         known.held = None
         step = group.held
-        if step is None or known.has_let_go(step, loop.time()):
+        if step is None or known.is_stale_hold(step, loop.time()):
             return
-        if await releasing.bring_to_end(
+        if await recovery.complete_switch(
             self._ranks, self._fences, term, group, step
         ):
-            known.let_go(step, loop.time())
+            known.record_release(step, loop.time())
         self._has_released = True
 
     def _know(
         self,
         service: configuration.Service,
         group: switching.Group,
-    ) -> watched.Watched:
+    ) -> group_state.GroupState:
         known = self._watched.get(group.name)
         if known is None:
-            known = watched.Watched(service.experts, service=service.name)
+            known = group_state.GroupState(
+                service.experts, service=service.name
+            )
             self._watched[group.name] = known
         known.shape = service.experts
         known.gap = service.gap
         if service.passes is not None:
-            known.least_step = service.passes.empty
+            known.min_step = service.passes.empty
         return known
 
     async def _switch(
         self,
-        known: watched.Watched,
+        known: group_state.GroupState,
         group: switching.Group,
         wanted: ranks.GroupMap,
         term: int,
     ) -> None:
-        switcher = switching.Switcher(self._ranks, self._fences.of(term))
-        change = changing.Change(self._ranks, switcher, known, group)
-        version = known.next_version(term * releasing.FENCES_OF_TERM)
+        switcher = switching.Switcher(self._ranks, self._fences.current(term))
+        change = map_change.MapChange(self._ranks, switcher, known, group)
+        version = known.next_version(term * recovery.FENCES_PER_TERM)
         is_sound = await change.run(version, wanted)
-        self._fences.learn(switcher)
+        self._fences.observe(switcher)
         if not is_sound:
             # A copy of an arm that got no answer may still be carried out, and
             # would switch one rank alone once the group was let go.  What
             # brings this switch to its end has a higher fence, which every
             # rank is given first, so that they refuse such a copy.
-            self._fences.raise_one()
+            self._fences.advance()
 
 
-def _see(known: watched.Watched, group: switching.Group) -> None:
+def _see(known: group_state.GroupState, group: switching.Group) -> None:
     # Reports lag by different times, so that right after a switch some
     # ranks seem to have the map before it.
-    if group.armed is not None or group.is_between:
+    if group.armed is not None or group.has_mixed_versions:
         return
-    known.see(group, asyncio.get_running_loop().time())
+    known.update(group, asyncio.get_running_loop().time())
     figures.STEP_SECONDS.labels(group.name).set(known.step_seconds)
--- a/tamarackthread/control/site/maps/duty.py
+++ b/tamarackthread/control/site/maps/owner_loop.py
@@ -7,7 +7,7 @@
 import logging
 
 from tamarackthread.control import consensus
-from tamarackthread.control.site import book, roster
+from tamarackthread.control.site import site_directory, target_registry
 from tamarackthread.control.site.maps import owner
 from tamarackthread.shared import errors
 
@@ -22,7 +22,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Duty:
+class OwnerLoop:
     """Look after the groups while this host leads.
 
     The term of the log is the fence of this owner's orders: it is higher with
@@ -42,18 +42,18 @@
     def __init__(
         self,
         group: consensus.Consensus,
-        targets: book.Book,
-        known: roster.Roster,
+        targets: target_registry.TargetRegistry,
+        known: site_directory.SiteDirectory,
         maps: owner.Owner,
         *,
-        goes_on: bool,
+        outlives_lease: bool,
     ) -> None:
         """Look at the services of ``known`` with ``maps``."""
         self._group = group
         self._targets = targets
         self._known = known
         self._maps = maps
-        self._goes_on = goes_on
+        self._outlives_lease = outlives_lease
         self._term = 0
         self._led_at = -ALONE_SECONDS
         self._looked_at = -ALONE_SECONDS
@@ -68,7 +68,7 @@
                     continue
                 self._begin_due()
                 await asyncio.sleep(
-                    min(self._maps.read_seconds, self._maps.look_seconds)
+                    min(self._maps.read_interval, self._maps.discovery_interval)
                 )
         finally:
             self._cancel()
@@ -79,12 +79,12 @@
             if self._term != self._group.term:
                 self._term = self._group.term
                 self._cancel()
-                self._maps.begin()
+                self._maps.reset()
                 self._looked_at = -ALONE_SECONDS
             self._led_at = now
             return True
         # A later term was voted for: its leader has the higher fence.
-        is_last = self._goes_on and self._group.term == self._term
+        is_last = self._outlives_lease and self._group.term == self._term
         is_recent = now - self._led_at < ALONE_SECONDS
         return is_last and is_recent and not self._maps.is_outdated
 
@@ -95,7 +95,7 @@
                 self._under_way.pop(name)
                 _tell_failure(name, task)
         now = asyncio.get_running_loop().time()
-        is_due = now - self._looked_at >= self._maps.look_seconds
+        is_due = now - self._looked_at >= self._maps.discovery_interval
         if is_due and _LOOK not in self._under_way:
             self._looked_at = now
             self._begin(_LOOK, self._look())
@@ -116,8 +116,8 @@
         Read right after a switch, counts hold choices from before it, for which
         another switch would follow.
         """
-        await self._maps.work(name, term)
-        await asyncio.sleep(self._maps.read_seconds)
+        await self._maps.reconcile(name, term)
+        await asyncio.sleep(self._maps.read_interval)
 
     def _cancel(self) -> None:
         for task in self._under_way.values():
@@ -125,11 +125,11 @@
         self._under_way = {}
 
     async def _look(self) -> None:
-        for said in self._targets.after(0):
+        for said in self._targets.changed_since(0):
             self._known.learn_target(said)
-        await self._maps.find(self._known.services())
+        await self._maps.discover(self._known.services())
         if self._maps.groups:
-            self._targets.note_groups(self._term, self._maps.groups)
+            self._targets.record_groups(self._term, self._maps.groups)
 
 
 def _tell_failure(name: str, task: asyncio.Task[None]) -> None:
--- a/tamarackthread/control/site/maps/asking.py
+++ b/tamarackthread/control/site/maps/rank_client.py
@@ -11,7 +11,7 @@
 OK = 200
 
 
-class Asking:
+class RankClient:
     """Hold the connections; a target that is silent is no failure here."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         url: str,
         headers: dict[str, str],
         body: bytes,
-        patience: float,
+        timeout_seconds: float,
     ) -> int | None:
         """Send an object once; return the status, ``None`` without an answer.
 
@@ -47,7 +47,7 @@
                 url,
                 data=body,
                 headers={**headers, 'Content-Type': 'application/json'},
-                timeout=aiohttp.ClientTimeout(total=patience),
+                timeout=aiohttp.ClientTimeout(total=timeout_seconds),
             ) as answer:
                 await answer.read()
                 return answer.status
@@ -65,6 +65,8 @@
             # target takes.
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=4),
-                timeout=aiohttp.ClientTimeout(total=ranks.PATIENCE_SECONDS),
+                timeout=aiohttp.ClientTimeout(
+                    total=ranks.ANSWER_TIMEOUT_SECONDS
+                ),
             )
         return self._session
--- a/tamarackthread/control/site/maps/ranks.py
+++ b/tamarackthread/control/site/maps/ranks.py
@@ -14,7 +14,7 @@
 Placement = tuple[int, tuple[tuple[int, ...], ...]]
 # A rank answers within some milliseconds, and one whose link has lost a packet
 # after a fifth of a second.
-PATIENCE_SECONDS = 0.15
+ANSWER_TIMEOUT_SECONDS = 0.15
 
 
 class Outcome(enum.Enum):
@@ -74,7 +74,7 @@
     by_set: tuple[tuple[int, ...], ...]
     born: int = 0
 
-    def is_of_start(self, other: Counts) -> bool:
+    def is_same_start(self, other: Counts) -> bool:
         """Tell whether two readings are of one start, so that they differ."""
         return self.epoch == other.epoch and self.born == other.born
 
@@ -106,7 +106,7 @@
     version: int = 0
     step: int = 0
     placement: GroupMap = ()
-    patience: float = PATIENCE_SECONDS
+    timeout_seconds: float = ANSWER_TIMEOUT_SECONDS
 
 
 PREPARE = 'prepare'
@@ -132,7 +132,7 @@
         """Ask for the version in force and the rank's experts by set."""
 
     @abc.abstractmethod
-    def rest_seconds(self, numbers: int) -> float:
+    def stall_seconds(self, numbers: int) -> float:
         """Return how long a group rests while so many numbers are read.
 
         All its ranks rest for each rank that is read, one after the other.
--- a/tamarackthread/control/site/maps/learning.py
+++ b/tamarackthread/control/site/maps/readings.py
@@ -7,10 +7,10 @@
 import math
 
 from tamarackthread.control.site.maps import (
-    groups,
+    group_discovery,
+    group_state,
     ranks,
     switching,
-    watched,
 )
 
 # Ranks whose counts are read.  Calls are spread evenly, so what one rank chooses
@@ -23,9 +23,9 @@
 LEAST_ALERT = 3
 
 
-async def learn_placement(
+async def read_placement(
     asked: ranks.Ranks,
-    known: watched.Watched,
+    known: group_state.GroupState,
     group: switching.Group,
 ) -> bool:
     """Read the map in force unless the owner has put it there.
@@ -46,17 +46,17 @@
     return True
 
 
-async def learn_demand(
+async def read_demand(
     asked: ranks.Ranks,
-    known: watched.Watched,
+    known: group_state.GroupState,
     group: switching.Group,
 ) -> None:
     """Read the counts of some ranks into what is known of the demand."""
-    sample = group.busy[: _sample_size(asked, known, group)]
+    sample = group.serving[: _sample_size(asked, known, group)]
     found = await asyncio.gather(
         *(asked.counts(member, len(known.placement)) for member in sample)
     )
-    known.demand.take(
+    known.demand.add_counts(
         {
             member.target: counts
             for member, counts in zip(sample, found, strict=True)
@@ -68,17 +68,17 @@
 
 async def _placements(
     asked: ranks.Ranks,
-    known: watched.Watched,
+    known: group_state.GroupState,
     group: switching.Group,
 ) -> list[ranks.Placement | None]:
     """Read what each rank holds, a few ranks at a time."""
     numbers = known.shape.sets * known.shape.places
-    at_once = known.readable(asked.rest_seconds(numbers))
+    at_once = known.max_parallel_reads(asked.stall_seconds(numbers))
     found: list[ranks.Placement | None] = []
     for members in _batches(group.members, at_once):
         if found:
-            await asyncio.sleep(known.between_reads)
-        found.extend(await groups.answers(asked.placement, members))
+            await asyncio.sleep(known.read_spacing)
+        found.extend(await group_discovery.ask_all(asked.placement, members))
     return found
 
 
@@ -93,7 +93,7 @@
 
 def _sample_size(
     asked: ranks.Ranks,
-    known: watched.Watched,
+    known: group_state.GroupState,
     group: switching.Group,
 ) -> int:
     """Return how many ranks to read."""
@@ -102,4 +102,6 @@
     if known.demand.is_settled:
         wanted = math.ceil(size * CALM_SHARE)
     numbers = known.shape.sets * known.shape.experts
-    return min(wanted, known.readable(asked.rest_seconds(numbers)) or size)
+    return min(
+        wanted, known.max_parallel_reads(asked.stall_seconds(numbers)) or size
+    )
--- a/tamarackthread/control/site/maps/releasing.py
+++ b/tamarackthread/control/site/maps/recovery.py
@@ -5,16 +5,16 @@
 import asyncio
 import logging
 
-from tamarackthread.control.site.maps import groups, ranks, switching
+from tamarackthread.control.site.maps import group_discovery, ranks, switching
 from tamarackthread.shared import log_events
 
 # A term has this many fences, one more for each switch that is taken back, and as
 # many versions of maps: at one switch a second, those of eleven days.
-FENCES_OF_TERM = 1_000_000
+FENCES_PER_TERM = 1_000_000
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Fences:
+class OwnerFences:
     """Give out the fences of one owner: higher with each term and taking back."""
 
     def __init__(self) -> None:
@@ -27,22 +27,22 @@
         """Tell whether a rank has seen the orders of a later owner."""
         return self._is_outdated
 
-    def of(self, term: int) -> int:
+    def current(self, term: int) -> int:
         """Return the fence in use."""
-        return term * FENCES_OF_TERM + self._taken_back
+        return term * FENCES_PER_TERM + self._taken_back
 
-    def raise_one(self) -> None:
+    def advance(self) -> None:
         """Have all that is ordered from now on shut out what was before."""
         self._taken_back += 1
 
-    def learn(self, switcher: switching.Switcher) -> None:
+    def observe(self, switcher: switching.Switcher) -> None:
         """Take what the ranks have said to a switcher."""
         self._is_outdated |= switcher.is_outdated
 
 
-async def bring_to_end(
+async def complete_switch(
     asked: ranks.Ranks,
-    fences: Fences,
+    fences: OwnerFences,
     term: int,
     group: switching.Group,
     step: int,
@@ -61,22 +61,22 @@
         group=group.name,
         step=step,
     )
-    switcher = switching.Switcher(asked, fences.of(term))
+    switcher = switching.Switcher(asked, fences.current(term))
     is_fenced = await switcher.fence(group, step)
-    fences.learn(switcher)
+    fences.observe(switcher)
     if not is_fenced:
         return False
     await asyncio.sleep(switching.LAG_SECONDS)
-    fenced = await groups.again(asked, group)
+    fenced = await group_discovery.refresh(asked, group)
     if fenced is None:
         return False
     if fenced.armed is None:
-        return await switcher.go(fenced, step, fenced.members)
+        return await switcher.release(fenced, step, fenced.members)
     if await switcher.finish(fenced, fenced.armed, fenced.members):
         return True
-    fences.raise_one()
-    higher = switching.Switcher(asked, fences.of(term))
-    is_back = await higher.take_back(fenced, fenced.armed)
+    fences.advance()
+    higher = switching.Switcher(asked, fences.current(term))
+    is_back = await higher.roll_back(fenced, fenced.armed)
     _log.warning(
         'control: the switch of group %s at step %d was %s',
         group.name,
--- a/tamarackthread/control/site/maps/switching.py
+++ b/tamarackthread/control/site/maps/switching.py
@@ -34,8 +34,8 @@
 # All callers of a held group wait for the slowest answer.  Ranks answer within
 # 10 ms, so an order without one is sent anew after this, some times; a rank that
 # is slow or behind a slow link is then given the usual time.
-HELD_PATIENCE_SECONDS = 0.04
-HELD_TRIES = 5
+HELD_TIMEOUT_SECONDS = 0.04
+FAST_TRIES = 5
 # A rank whose copies take longer than worked out refuses to be armed until it
 # has them.  Each try is 20 ms for which all callers of the group wait.
 ARM_TRIES = 12
@@ -44,14 +44,14 @@
 FREE_TRIES = 20
 # A report tells of a map once its experts are copied, some hundred milliseconds
 # after it was taken; it is asked for so often, with such pauses.
-TWIN_ASKS = 8
-TWIN_PAUSE_SECONDS = 0.08
+REPORT_READS = 8
+REPORT_PAUSE_SECONDS = 0.08
 # Ranks that are sent a map at once.  The failure: the map of a large group is
 # 26 KB, which to 129 ranks at once takes the owner's link longer than an answer
 # is waited for; most are sent again, which takes it longer still, and a map is
 # there after two seconds and not after a third of one.  So many go over a small
 # host's link within the patience for one of them.
-PREPARED_AT_ONCE = 32
+MAX_PARALLEL_PREPARES = 32
 # Steps are reported some hundred milliseconds late.
 LAG_SECONDS = 0.3
 _DISARMED = frozenset((ranks.Outcome.DONE, ranks.Outcome.REFUSED))
@@ -68,7 +68,7 @@
     reports: tuple[ranks.RankReport, ...]
 
     @property
-    def busy(self) -> tuple[ranks.Rank, ...]:
+    def serving(self) -> tuple[ranks.Rank, ...]:
         """Return the ranks that take calls; all if none does.
 
         Only these tell of the demand and of how many calls a rank has.
@@ -77,9 +77,9 @@
         return found or self.members
 
     @property
-    def busy_reports(self) -> tuple[ranks.RankReport, ...]:
+    def serving_reports(self) -> tuple[ranks.RankReport, ...]:
         """Return the reports of the ranks in ``busy``."""
-        chosen = frozenset(self.busy)
+        chosen = frozenset(self.serving)
         return tuple(
             report
             for rank, report in zip(self.members, self.reports, strict=True)
@@ -97,12 +97,12 @@
         return max(report.version for report in self.reports)
 
     @property
-    def is_between(self) -> bool:
+    def has_mixed_versions(self) -> bool:
         """Tell whether ranks report different maps."""
         return len({report.version for report in self.reports}) > 1
 
     @property
-    def newest_version(self) -> int:
+    def highest_version(self) -> int:
         """Return the highest version that any rank is known to have had."""
         known = [self.version]
         for report in self.reports:
@@ -156,26 +156,28 @@
         # Ranks that are armed refuse, and stay armed until the step of the last
         # switch has begun, some steps after the group was let go.  One rank is
         # asked until it is free, which costs one order a try and not one a rank.
-        first = await self._until_taken(group.members[0], order, FREE_TRIES)
+        first = await self._send_until_accepted(
+            group.members[0], order, FREE_TRIES
+        )
         if first is not ranks.Outcome.DONE:
-            _tell_unprepared(group, version, [first])
+            _log_unprepared(group, version, [first])
             return False
-        places = asyncio.Semaphore(PREPARED_AT_ONCE)
+        places = asyncio.Semaphore(MAX_PARALLEL_PREPARES)
         outcomes = await asyncio.gather(
             *(
-                self._until_known(rank, order, places)
+                self._send_until_answered(rank, order, places)
                 for rank in group.members[1:]
             )
         )
         if all(found is ranks.Outcome.DONE for found in outcomes):
             return True
-        _tell_unprepared(group, version, outcomes)
+        _log_unprepared(group, version, outcomes)
         return False
 
     async def hold(self, group: Group, step: int) -> bool:
         """Hold a group at a step; ``False`` if it had begun it."""
         order = self._order(ranks.HOLD, group, step=step)
-        found = await self._until_known(group.members[0], order)
+        found = await self._send_until_answered(group.members[0], order)
         return found is ranks.Outcome.DONE
 
     async def fence(self, group: Group, step: int) -> bool:
@@ -187,7 +189,7 @@
         """
         outcomes = await asyncio.gather(
             *(
-                self._hold_at(group, rank, report.held, step)
+                self._hold_only_at(group, rank, report.held, step)
                 for rank, report in zip(
                     group.members, group.reports, strict=True
                 )
@@ -195,7 +197,7 @@
         )
         return all(found is ranks.Outcome.DONE for found in outcomes)
 
-    async def _hold_at(
+    async def _hold_only_at(
         self,
         group: Group,
         rank: ranks.Rank,
@@ -210,8 +212,8 @@
         """
         if held is not None and held != step:
             let_go = self._order(ranks.GO, group, step=held)
-            await self._until_known(rank, let_go)
-        return await self._until_known(
+            await self._send_until_answered(rank, let_go)
+        return await self._send_until_answered(
             rank, self._order(ranks.HOLD, group, step=step)
         )
 
@@ -230,7 +232,7 @@
         )
         outcomes = await asyncio.gather(
             *(
-                self._until_taken(rank, order, ARM_TRIES)
+                self._send_until_accepted(rank, order, ARM_TRIES)
                 for rank in group.members
             )
         )
@@ -244,9 +246,9 @@
                 [found.value for found in outcomes],
             )
             return False
-        return await self.go(group, armed.step, holding)
+        return await self.release(group, armed.step, holding)
 
-    async def take_back(self, group: Group, armed: ranks.Armed) -> bool:
+    async def roll_back(self, group: Group, armed: ranks.Armed) -> bool:
         """Disarm every rank of a held group and let it go on as it was.
 
         Only for an owner with a higher fence than any that has armed.
@@ -255,14 +257,14 @@
             return False
         order = self._order(ranks.DISARM, group, version=armed.version)
         outcomes = await asyncio.gather(
-            *(self._until_known(rank, order) for rank in group.members)
+            *(self._send_until_answered(rank, order) for rank in group.members)
         )
         # A rank that was not armed may refuse; that it is not is what counts.
         if not _DISARMED.issuperset(outcomes):
             return False
-        return await self.go(group, armed.step, group.members)
+        return await self.release(group, armed.step, group.members)
 
-    async def go(
+    async def release(
         self,
         group: Group,
         step: int,
@@ -271,7 +273,7 @@
         """Let a group begin the step at which ranks hold it."""
         order = self._order(ranks.GO, group, step=step)
         outcomes = await asyncio.gather(
-            *(self._until_known(rank, order) for rank in holding)
+            *(self._send_until_answered(rank, order) for rank in holding)
         )
         return ranks.Outcome.DONE in outcomes
 
@@ -293,7 +295,7 @@
             placement=placement,
         )
 
-    async def _until_taken(
+    async def _send_until_accepted(
         self,
         rank: ranks.Rank,
         order: ranks.Order,
@@ -304,15 +306,15 @@
         It can't be armed while it still copies experts, and can't prepare a
         map while it is armed.
         """
-        found = await self._until_known(rank, order)
+        found = await self._send_until_answered(rank, order)
         for _ in range(tries):
             if found is not ranks.Outcome.REFUSED:
                 break
             await asyncio.sleep(PAUSE_SECONDS)
-            found = await self._until_known(rank, order)
+            found = await self._send_until_answered(rank, order)
         return found
 
-    async def _until_known(
+    async def _send_until_answered(
         self,
         rank: ranks.Rank,
         order: ranks.Order,
@@ -325,19 +327,19 @@
         """
         hurried = order
         if order.operation != ranks.PREPARE:
-            hurried = attrs.evolve(order, patience=HELD_PATIENCE_SECONDS)
+            hurried = attrs.evolve(order, timeout_seconds=HELD_TIMEOUT_SECONDS)
         for tries in range(ORDER_TRIES):
-            is_hurried = tries < HELD_TRIES
+            is_hurried = tries < FAST_TRIES
             async with places or contextlib.nullcontext():
                 found = await self._send(rank, hurried if is_hurried else order)
             if tries and found is ranks.Outcome.REFUSED:
-                return await self._refused_twin(rank, order)
+                return await self._resolve_refused_retry(rank, order)
             if found is not ranks.Outcome.UNKNOWN:
                 return found
             await asyncio.sleep(PAUSE_SECONDS)
         return ranks.Outcome.UNKNOWN
 
-    async def _refused_twin(
+    async def _resolve_refused_retry(
         self,
         rank: ranks.Rank,
         order: ranks.Order,
@@ -352,11 +354,11 @@
         """
         if order.operation != ranks.PREPARE:
             return ranks.Outcome.REFUSED
-        for _ in range(TWIN_ASKS):
+        for _ in range(REPORT_READS):
             report = await self._ranks.report(rank)
             if report is not None and report.prepared == order.version:
                 return ranks.Outcome.DONE
-            await asyncio.sleep(TWIN_PAUSE_SECONDS)
+            await asyncio.sleep(REPORT_PAUSE_SECONDS)
         return ranks.Outcome.REFUSED
 
     async def _send(
@@ -371,7 +373,7 @@
         return found
 
 
-def _tell_unprepared(
+def _log_unprepared(
     group: Group,
     version: int,
     outcomes: list[ranks.Outcome],
--- a/tamarackthread/control/site/strangers.py
+++ b/tamarackthread/control/site/rejection_log.py
@@ -14,7 +14,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Strangers:
+class RejectionLog:
     """Remember who was refused.
 
     A writer that repeats itself several times a second would else fill the log
--- a/tamarackthread/control/site/roster.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -22,7 +22,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class Roster(following.Pupil):
+class SiteDirectory(following.Pupil):
     """Join what this host heard with what the others tell.
 
     Targets announce themselves to one host at a time, and only all hosts
@@ -104,7 +104,7 @@
     def learn_document(self, held: document.Document) -> None:
         """Leave it: this host's own log brings it."""
 
-    def said(self) -> list[announcements.Announcement]:
+    def known_targets(self) -> list[announcements.Announcement]:
         """List what is known of each target."""
         return list(self._said.values())
 
--- a/tamarackthread/control/site/book.py
+++ b/tamarackthread/control/site/target_registry.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from tamarackthread.control.site import strangers
+from tamarackthread.control.site import rejection_log
 from tamarackthread.shared import errors, fields
 from tamarackthread.shared.site import announcements, groups
 
@@ -63,7 +63,7 @@
     noted_at: float
 
 
-class Book:
+class TargetRegistry:
     """Hold the newest announcement of the latest start of each target.
 
     Soft state: nothing here is written to disk or agreed on.  A host that
@@ -77,7 +77,7 @@
         self._paces: dict[str, _Pace] = {}
         self._serial = 0
         self._on_change: list[collections.abc.Callable[[], None]] = []
-        self._strangers = strangers.Strangers()
+        self._strangers = rejection_log.RejectionLog()
         self._groups = groups.Groups()
 
     @property
@@ -90,7 +90,7 @@
         """Return the groups of targets, as this host found them as owner."""
         return self._groups
 
-    def note_groups(self, term: int, rows: list[groups.Group]) -> None:
+    def record_groups(self, term: int, rows: list[groups.Group]) -> None:
         """Note which targets make a group, as owner of a term."""
         if self._groups.learn(term, rows):
             self._change()
@@ -100,7 +100,7 @@
         self._on_change.append(listener)
 
     @contextlib.contextmanager
-    def hearing(self, writer: str) -> collections.abc.Iterator[None]:
+    def validating(self, writer: str) -> collections.abc.Iterator[None]:
         """Read and take a word of ``writer`` within this.
 
         Raises ``AnnouncementInvalid`` for one that can't be read.  It names no
@@ -112,7 +112,7 @@
             self._strangers.note(writer, str(exc))
             raise AnnouncementInvalid(f'{writer}: {exc}') from exc
 
-    def take(self, said: announcements.Announcement) -> None:
+    def record(self, said: announcements.Announcement) -> None:
         """Take an announcement unless a later one is held.
 
         Raises ``StartMissing`` where the target names its starts and this does
@@ -150,7 +150,7 @@
         unheard = (BEATS_MISSED - BEATS_TRUSTED) * self._beat
         self._tell(_Row(said, now - unheard, now, 0), now)
 
-    def farewell(self, target: str, born: int = 0) -> None:
+    def mark_gone(self, target: str, born: int = 0) -> None:
         """Note that a start of a target takes no more work, known or not.
 
         A farewell that names no start is taken for that of the one that is
@@ -172,9 +172,9 @@
                 state=announcements.State.GONE,
                 born=born or row.said.born,
             )
-        self.take(gone)
+        self.record(gone)
 
-    def note_pace(self, target: str, pace: float) -> None:
+    def record_pace(self, target: str, pace: float) -> None:
         """Note how much longer than usual a target takes; 1 is usual.
 
         Followers are told of a clear change only: a figure that flickers
@@ -202,7 +202,7 @@
             if held.pace > 1 and now - held.noted_at < PACE_SECONDS
         }
 
-    def after(self, serial: int) -> list[announcements.Announcement]:
+    def changed_since(self, serial: int) -> list[announcements.Announcement]:
         """List what has changed since a serial."""
         return [row.said for row in self._rows.values() if row.serial > serial]
 
--- a/tamarackthread/platform/door.py
+++ b/tamarackthread/platform/door.py
@@ -8,11 +8,11 @@
 from aiohttp import web
 
 from tamarackthread.control.site import (
-    answering,
     api,
-    book,
     evacuation,
     host,
+    http_errors,
+    target_registry,
 )
 from tamarackthread.platform import wire
 from tamarackthread.shared import fields
@@ -27,7 +27,7 @@
 )
 
 
-class PlatformDoor(host.Door):
+class PlatformDoor(host.HttpServer):
     """Translate between the platform's paths and the product's calls."""
 
     def __init__(self) -> None:
@@ -38,21 +38,21 @@
         self,
         address: str,
         site: api.SiteApi,
-        targets: book.Book,
+        targets: target_registry.TargetRegistry,
         zones: evacuation.Evacuation,
     ) -> str:
         """Serve at HOST:PORT and return the address in use."""
         app = web.Application(client_max_size=BODY_BYTES)
-        app.router.add_post(wire.REPLACE, answering.coded(_replace, site))
-        app.router.add_get(wire.READ, answering.coded(_read, site))
+        app.router.add_post(wire.REPLACE, http_errors.bind(_replace, site))
+        app.router.add_get(wire.READ, http_errors.bind(_read, site))
         for path, is_evacuated in (
             (wire.EVACUATE, True),
             (wire.RESTORE, False),
         ):
             handler = functools.partial(_set_zone, is_evacuated)
-            app.router.add_post(path, answering.coded(handler, zones))
-        app.router.add_post(wire.ANNOUNCE, answering.coded(_announce, targets))
-        app.router.add_post(wire.FAREWELL, answering.coded(_farewell, targets))
+            app.router.add_post(path, http_errors.bind(handler, zones))
+        app.router.add_post(wire.ANNOUNCE, http_errors.bind(_announce, targets))
+        app.router.add_post(wire.FAREWELL, http_errors.bind(_farewell, targets))
         self._runner = web.AppRunner(
             app, access_log=None, handle_signals=False, shutdown_timeout=0.5
         )
@@ -87,7 +87,7 @@
     zones: evacuation.Evacuation,
     request: web.Request,
 ) -> web.StreamResponse:
-    await zones.ask(
+    await zones.request(
         request.match_info['zone'],
         f'an operator at {request.remote}',
         is_evacuated=is_evacuated,
@@ -96,25 +96,25 @@
 
 
 async def _announce(
-    targets: book.Book,
+    targets: target_registry.TargetRegistry,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.hearing(_writer(request)):
+    with targets.validating(_writer(request)):
         said = read_announcement(request.match_info['target'], body)
-        targets.take(said)
+        targets.record(said)
     return web.json_response({})
 
 
 async def _farewell(
-    targets: book.Book,
+    targets: target_registry.TargetRegistry,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.hearing(_writer(request)):
+    with targets.validating(_writer(request)):
         row = fields.parse(body) if body.strip() else {}
         born = fields.whole(row, wire.BORN, default=0)
-        targets.farewell(request.match_info['target'], born)
+        targets.mark_gone(request.match_info['target'], born)
     return web.json_response({})
 
 
--- a/tamarackthread/platform/ranks.py
+++ b/tamarackthread/platform/ranks.py
@@ -6,7 +6,7 @@
 import json
 import types
 
-from tamarackthread.control.site.maps import asking, ranks
+from tamarackthread.control.site.maps import rank_client, ranks
 from tamarackthread.platform import wire
 from tamarackthread.shared import fields
 
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         """Open no connection yet."""
-        self._asking = asking.Asking()
+        self._asking = rank_client.RankClient()
 
     async def report(self, rank: ranks.Rank) -> ranks.RankReport | None:
         """Ask a rank of itself."""
@@ -60,7 +60,7 @@
         except _UNREADABLE:
             return None
 
-    def rest_seconds(self, numbers: int) -> float:
+    def stall_seconds(self, numbers: int) -> float:
         """Return how long a group rests while so many numbers are read."""
         return numbers * REST_SECONDS / REST_NUMBERS
 
@@ -74,7 +74,7 @@
             f'http://{rank.address}{wire.ORDER}',
             {wire.EXPECTED_TARGET: rank.target},
             _encoded(asked),
-            asked.patience,
+            asked.timeout_seconds,
         )
         if status is None:
             return ranks.Outcome.UNKNOWN
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from tamarackthread.control.site import book
+from tamarackthread.control.site import target_registry
 from tamarackthread.entry.direct import targets
 from tamarackthread.policy import cold, fleets
 from tamarackthread.shared.site import announcements, zones
@@ -146,13 +146,13 @@
         self.run_paused(self._again())
 
     async def _again(self):
-        held = book.Book(1)
-        held.take(said('t0', sequence=1))
+        held = target_registry.TargetRegistry(1)
+        held.record(said('t0', sequence=1))
         before = held.serial
-        held.take(said('t0', cold=3, sequence=2))
+        held.record(said('t0', cold=3, sequence=2))
         self.assertGreater(held.serial, before)
         before = held.serial
-        held.take(said('t0', cold=2, sequence=3))
+        held.record(said('t0', cold=2, sequence=3))
         self.assertEqual(held.serial, before)
-        held.take(said('t0', sequence=4))
+        held.record(said('t0', sequence=4))
         self.assertGreater(held.serial, before)
--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -3,7 +3,7 @@
 import asyncio
 import types
 
-from tamarackthread.control.site import book, feeding, machine
+from tamarackthread.control.site import feed, machine, target_registry
 from tamarackthread.generated import settings
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, identity
@@ -29,7 +29,9 @@
         )
         self.machines = {host: machine.SiteMachine() for host in HOSTS}
         self.feeds = {
-            host: feeding.Feeding(held, book.Book(1), _members, 5)
+            host: feed.Feed(
+                held, target_registry.TargetRegistry(1), _members, 5
+            )
             for host, held in self.machines.items()
         }
         self.silent = set()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -7,12 +7,12 @@
 
 from tamarackthread.cli import client
 from tamarackthread.control.site import (
-    book,
     committing,
     evacuation,
-    feeding,
+    feed,
     handler,
     machine,
+    target_registry,
 )
 from tamarackthread.control.site.maps import ranks, switching
 from tamarackthread.entry.direct import targets
@@ -53,10 +53,10 @@
         """
         site = machine.SiteMachine()
         late = command('east', 0)
-        self.assertEqual(machine.TOOK_EFFECT, site.apply(1, late))
+        self.assertEqual(machine.APPLIED, site.apply(1, late))
         back = command('east', 1, is_evacuated=False)
-        self.assertEqual(machine.TOOK_EFFECT, site.apply(2, back))
-        self.assertEqual(machine.OVERTAKEN, site.apply(3, late))
+        self.assertEqual(machine.APPLIED, site.apply(2, back))
+        self.assertEqual(machine.SUPERSEDED, site.apply(3, late))
         self.assertFalse(site.zones.is_evacuated('east'))
 
     def test_sent_again(self):
@@ -65,7 +65,7 @@
         site.apply(1, command('east', 0))
         told = []
         site.on_change(lambda: told.append(1))
-        self.assertEqual(machine.TOOK_EFFECT, site.apply(2, command('east', 1)))
+        self.assertEqual(machine.APPLIED, site.apply(2, command('east', 1)))
         self.assertEqual([], told)
         self.assertEqual(1, site.zones.changes)
 
@@ -90,7 +90,7 @@
         """A command that can't be read is left by every member alike."""
         site = machine.SiteMachine()
         unreadable = b'%b%b' % (command('east', 0)[:9], b'\xff')
-        self.assertEqual(machine.OVERTAKEN, site.apply(1, unreadable))
+        self.assertEqual(machine.SUPERSEDED, site.apply(1, unreadable))
 
 
 class ForgetfulMachine(machine.SiteMachine):
@@ -150,7 +150,7 @@
             node = self.random.choice(sorted(self.net.processes))
             self._hold_up(node, name, is_evacuated=is_evacuated)
             try:
-                await self._of(node).ask(
+                await self._of(node).request(
                     name, AUTHOR, is_evacuated=is_evacuated
                 )
             except errors.CodedError:
@@ -180,7 +180,7 @@
             while True:
                 node = self.random.choice(sorted(self.net.processes))
                 try:
-                    rows = await self._of(node).newest()
+                    rows = await self._of(node).list_zones()
                 except errors.CodedError:
                     await asyncio.sleep(0.1)
                     continue
@@ -246,8 +246,8 @@
         asked = evacuation.Evacuation(
             net.processes[follower], net.machines[follower], ZONES
         )
-        await asked.ask('east', AUTHOR, is_evacuated=True)
-        await asked.ask('east', AUTHOR, is_evacuated=True)
+        await asked.request('east', AUTHOR, is_evacuated=True)
+        await asked.request('east', AUTHOR, is_evacuated=True)
         self.assertTrue(net.machines[leader].zones.is_evacuated('east'))
         net.kill(*consensus_net.NODES)
         await net.start(*consensus_net.NODES)
@@ -255,7 +255,7 @@
         again = evacuation.Evacuation(
             net.processes[leader], net.machines[leader], ZONES
         )
-        rows = await again.newest()
+        rows = await again.list_zones()
         self.assertEqual(
             {'east': True, 'west': False},
             {row.name: row.is_evacuated for row in rows},
@@ -264,7 +264,7 @@
     async def _unknown(self):
         asked = evacuation.Evacuation(None, machine.SiteMachine(), ZONES)
         with self.assertRaises(evacuation.ZoneUnknown):
-            await asked.ask('north', AUTHOR, is_evacuated=True)
+            await asked.request('north', AUTHOR, is_evacuated=True)
         self.assertEqual(422, evacuation.ZoneUnknown.status)
 
     async def _without_quorum(self):
@@ -275,11 +275,11 @@
         asked = evacuation.Evacuation(
             net.processes[cut], net.machines[cut], ZONES
         )
-        await asked.ask('east', AUTHOR, is_evacuated=True)
+        await asked.request('east', AUTHOR, is_evacuated=True)
         await net.until(lambda: net.machines[cut].zones.changes)
         net.isolate(cut)
         with self.assertRaises(committing.ChangeUnsettled):
-            await asked.ask('east', AUTHOR, is_evacuated=True)
+            await asked.request('east', AUTHOR, is_evacuated=True)
 
 
 class FeedCase(policy_case.PausedCase):
@@ -289,7 +289,7 @@
 
     async def _woken(self):
         site = machine.SiteMachine()
-        followers = feeding.Feeding(site, book.Book(1), list, 11)
+        followers = feed.Feed(site, target_registry.TargetRegistry(1), list, 11)
         peer = types.SimpleNamespace(
             peer=types.SimpleNamespace(role=messages.Role.ENTRY, address='e')
         )
@@ -376,8 +376,8 @@
         group = switching.Group(
             name='g', epoch=1, members=members, reports=reports
         )
-        self.assertEqual(members[2:], group.busy)
-        self.assertEqual([2, 3], [row.rank for row in group.busy_reports])
+        self.assertEqual(members[2:], group.serving)
+        self.assertEqual([2, 3], [row.rank for row in group.serving_reports])
 
 
 class Asked:
@@ -387,13 +387,13 @@
         self.rows = {name: zones.Zone(name) for name in ZONES}
         self.authors = []
 
-    async def ask(self, zone, author, *, is_evacuated):
+    async def request(self, zone, author, *, is_evacuated):
         if zone not in self.rows:
             raise evacuation.ZoneUnknown(zone)
         self.authors.append(author)
         self.rows[zone] = zones.Zone(zone, is_evacuated, 1)
 
-    async def newest(self):
+    async def list_zones(self):
         return list(self.rows.values())
 
 
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tamarackthread.control.site import book, feeding, machine
+from tamarackthread.control.site import feed, machine, target_registry
 from tamarackthread.control.site.maps import membership, ranks
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
@@ -184,8 +184,8 @@
         self.run_paused(self._told())
 
     async def _told(self):
-        held = book.Book(1)
-        followers = feeding.Feeding(machine.SiteMachine(), held, list, 11)
+        held = target_registry.TargetRegistry(1)
+        followers = feed.Feed(machine.SiteMachine(), held, list, 11)
         peer = types.SimpleNamespace(
             peer=types.SimpleNamespace(role=messages.Role.ENTRY, address='e')
         )
@@ -195,11 +195,11 @@
         waiting = asyncio.create_task(followers.answer(peer, asked))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
-        held.note_groups(7, rows())
+        held.record_groups(7, rows())
         reply = await waiting
         self.assertEqual(7, reply.groups_term)
         self.assertEqual(rows(), groups.of_messages(reply.groups))
-        held.note_groups(7, rows())
+        held.record_groups(7, rows())
         asked.serial = reply.serial
         asked.groups_serial = reply.groups_serial
         asked.wait_ms = 0
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -11,12 +11,12 @@
 from bench.engines import several
 from bench.experiments import groups
 from tamarackthread.control.site.maps import (
-    deciding,
     demand,
-    duty,
-    planning,
+    group_maps,
+    group_state,
+    map_planner,
+    owner_loop,
     ranks,
-    watched,
 )
 from tamarackthread.policy import evening, staging
 from tamarackthread.shared.site import configuration
@@ -55,7 +55,7 @@
 class Told(test_site_maps.NoNews):
     """Hold the groups that an owner has told of."""
 
-    def note_groups(self, term, rows):
+    def record_groups(self, term, rows):
         self.rows = rows
 
 
@@ -113,12 +113,12 @@
         return [asyncio.create_task(one) for one in work]
 
     def _duty(self, asked):
-        return duty.Duty(
+        return owner_loop.OwnerLoop(
             test_site_maps.Leading(),
             Told(),
             test_site_maps.OneService(),
             test_site_maps.owner_of(asked),
-            goes_on=True,
+            outlives_lease=True,
         )
 
     async def _end(self, asked, tasks):
@@ -157,8 +157,8 @@
             switch_seconds=SWITCH_SECONDS,
             lasts_seconds=SHIFT_SECONDS / 2,
         )
-        before = planning.skew(self.current, self.tokens, ())
-        evenest = planning.plan(self.current, self.tokens, self.bounds, ())
+        before = group_maps.skew(self.current, self.tokens, ())
+        evenest = group_maps.plan(self.current, self.tokens, self.bounds, ())
         staged = self.plan(cost)
         self.assertLess(
             self.lost(cost, before, staged), self.lost(cost, before, evenest)
@@ -172,10 +172,10 @@
         cost = staging.Cost(
             copy_seconds=COPY_SECONDS, switch_seconds=0, lasts_seconds=1000
         )
-        evenest = planning.plan(self.current, self.tokens, self.bounds, ())
+        evenest = group_maps.plan(self.current, self.tokens, self.bounds, ())
         self.assertAlmostEqual(
-            planning.skew(evenest, self.tokens, ()),
-            planning.skew(self.plan(cost), self.tokens, ()),
+            group_maps.skew(evenest, self.tokens, ()),
+            group_maps.skew(self.plan(cost), self.tokens, ()),
             delta=0.05,
         )
 
@@ -194,7 +194,7 @@
         for most in (1, 2):
             stages.improve(most)
             self.assertEqual(
-                most, planning.most_copies(self.current, stages.result)
+                most, group_maps.max_copies(self.current, stages.result)
             )
             self.assertEqual(most, stages.most_copies)
 
@@ -204,8 +204,8 @@
     def lost(self, cost, before, wanted):
         return cost.lost(
             before,
-            planning.skew(wanted, self.tokens, ()),
-            planning.most_copies(self.current, wanted),
+            group_maps.skew(wanted, self.tokens, ()),
+            group_maps.max_copies(self.current, wanted),
         )
 
 
@@ -217,12 +217,14 @@
         for reading in range(60):
             now = reading / 10
             counts[int(now / SHIFT_SECONDS) % 4] += 50
-            known.take({'t': ranks.Counts(1, (tuple(counts),))}, now)
+            known.add_counts({'t': ranks.Counts(1, (tuple(counts),))}, now)
         shifted_at = 2 * SHIFT_SECONDS
         self.assertAlmostEqual(
-            SHIFT_SECONDS - 1, known.lasts(shifted_at + 1), delta=0.2
+            SHIFT_SECONDS - 1,
+            known.remaining_seconds(shifted_at + 1),
+            delta=0.2,
         )
-        self.assertGreater(known.lasts(shifted_at + 10), 0)
+        self.assertGreater(known.remaining_seconds(shifted_at + 10), 0)
 
 
 class MixedCase(policy_case.PausedCase):
@@ -235,10 +237,10 @@
         self.run_paused(self._mixed())
 
     async def _mixed(self):
-        decider = deciding.Decider(test_site_maps.timed_work.TimedWork(0))
+        decider = map_planner.MapPlanner(test_site_maps.timed_work.TimedWork(0))
         group = _group()
         for shape in (SHARED, attrs.evolve(SHARED, copy_seconds=0.001)):
-            known = watched.Watched(shape, version=1)
+            known = group_state.GroupState(shape, version=1)
             held, tokens = uneven()
             known.placement = held
             known.step_seconds = 0.2
@@ -247,7 +249,7 @@
                 (tokens, tokens, tuple(reversed(tokens)))
             ):
                 counts = _added(counts, more)
-                known.demand.take({'t0': ranks.Counts(1, counts)}, now)
+                known.demand.add_counts({'t0': ranks.Counts(1, counts)}, now)
             self.assertTrue(known.demand.is_mixed)
             wanted = await decider.plan(known, group)
             self.assertEqual(shape is SHARED, wanted is None)
@@ -308,12 +310,12 @@
 
     async def _paused(self):
         maps = Slow()
-        working = duty.Duty(
+        working = owner_loop.OwnerLoop(
             test_site_maps.Leading(),
             Told(),
             test_site_maps.OneService(),
             maps,
-            goes_on=True,
+            outlives_lease=True,
         )
         owning = asyncio.create_task(working.run())
         await asyncio.sleep(5)
@@ -323,14 +325,14 @@
             later[0] - earlier[1]
             for earlier, later in itertools.pairwise(maps.worked)
         ]
-        self.assertGreaterEqual(min(pauses), maps.read_seconds)
+        self.assertGreaterEqual(min(pauses), maps.read_interval)
 
 
 class Slow:
     """An owner whose work takes longer than the pace of its readings."""
 
-    read_seconds = 0.2
-    look_seconds = 1.0
+    read_interval = 0.2
+    discovery_interval = 1.0
     is_outdated = False
     groups = ()
     idle = ('g',)
@@ -338,13 +340,13 @@
     def __init__(self):
         self.worked = []
 
-    def begin(self):
+    def reset(self):
         """Forget nothing."""
 
-    async def find(self, services):
+    async def discover(self, services):
         """Find nothing new."""
 
-    async def work(self, name, term):
+    async def reconcile(self, name, term):
         began = asyncio.get_running_loop().time()
         await asyncio.sleep(0.55)
         self.worked.append((began, asyncio.get_running_loop().time()))
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -5,10 +5,10 @@
 import asyncio
 
 from tamarackthread.control.site.maps import (
-    deciding,
+    group_state,
+    map_planner,
     ranks,
     switching,
-    watched,
 )
 from tamarackthread.shared import offload
 from tamarackthread.shared.site import configuration
@@ -31,8 +31,8 @@
         self.sent += 1
         self._free_at = max(loop.time(), self._free_at) + MAP_SECONDS
         takes = self._free_at - loop.time()
-        await asyncio.sleep(min(takes, asked.patience))
-        if takes > asked.patience:
+        await asyncio.sleep(min(takes, asked.timeout_seconds))
+        if takes > asked.timeout_seconds:
             return ranks.Outcome.UNKNOWN
         return ranks.Outcome.DONE
 
@@ -91,32 +91,32 @@
         """Short steps of a group with free places delay nobody."""
         known = self._known(calls=1)
         self.assertFalse(known.is_full)
-        self.assertFalse(known.is_pressed(10))
+        self.assertFalse(known.needs_balancing(10))
 
     async def _pressed(self):
         known = self._known(calls=7)
         self.assertTrue(known.is_full)
-        self.assertTrue(known.is_pressed(0.5))
+        self.assertTrue(known.needs_balancing(0.5))
 
     async def _evened(self):
         group = _group(4, calls=7)
         full, roomy = (self._known(calls) for calls in (7, 3))
-        decider = deciding.Decider(AtOnce())
+        decider = map_planner.MapPlanner(AtOnce())
         for known in (full, roomy):
             known.version = 1
             known.placement = (((0,), (1,), (2,), (3,)),)
             for count in (0, 1, 2):
                 row = tuple(count * choices for choices in (90, 10, 12, 8))
-                known.demand.take({'t0': ranks.Counts(1, (row,))}, 0)
+                known.demand.add_counts({'t0': ranks.Counts(1, (row,))}, 0)
             known.step_seconds = 0.02
         found = await decider.plan(full, group)
         self.assertGreater(_copies(found), 1)
         self.assertIsNone(await decider.plan(roomy, group))
 
     def _known(self, calls):
-        known = watched.Watched(self.SHAPE, gap=0.12, version=1)
+        known = group_state.GroupState(self.SHAPE, gap=0.12, version=1)
         known.step_seconds = 0.03
-        known.see(_group(4, calls), 0)
+        known.update(_group(4, calls), 0)
         known.step_seconds = 0.03
         return known
 
--- a/tests/test_lossy_ranks.py
+++ b/tests/test_lossy_ranks.py
@@ -6,11 +6,11 @@
 import random
 
 from tamarackthread.control.site.maps import (
-    groups,
-    learning,
+    group_discovery,
+    group_state,
     ranks,
+    readings,
     switching,
-    watched,
 )
 from tamarackthread.shared.site import configuration
 from tests import policy_case, test_site_maps
@@ -40,7 +40,7 @@
     async def _unless_lost(self, answer):
         self.asked += 1
         if self.random.random() < LOST_SHARE:
-            await asyncio.sleep(ranks.PATIENCE_SECONDS)
+            await asyncio.sleep(ranks.ANSWER_TIMEOUT_SECONDS)
             return None
         await asyncio.sleep(0.003)
         return answer
@@ -76,17 +76,17 @@
         known = 0
         for seed in range(TRIES):
             lossy = LossyRanks(random.Random(seed))
-            known += await learning.learn_placement(lossy, _watched(), _group())
+            known += await readings.read_placement(lossy, _watched(), _group())
         self.assertGreaterEqual(known, KNOWN_SHARE * TRIES)
 
     async def _asks_few(self):
         lossy = LossyRanks(random.Random(1))
-        await groups.reports(lossy, _group().members)
+        await group_discovery.fetch_reports(lossy, _group().members)
         self.assertLess(lossy.asked, RANKS * (1 + 3 * LOST_SHARE))
 
 
 def _watched():
-    return watched.Watched(
+    return group_state.GroupState(
         configuration.Experts(sets=2, experts=8, places=2, spare=1), gap=0.15
     )
 
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -5,7 +5,12 @@
 
 import attrs
 
-from tamarackthread.control.site import book, feeding, machine, roster
+from tamarackthread.control.site import (
+    feed,
+    machine,
+    site_directory,
+    target_registry,
+)
 from tamarackthread.control.site.maps import owner, ranks
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared.site import announcements, configuration, groups
@@ -42,7 +47,7 @@
 class RosterCase(policy_case.PausedCase):
     def test_one_announcement(self):
         """Guards against a look at all targets for each announcement."""
-        known = roster.Roster(machine.SiteMachine(), None)
+        known = site_directory.SiteDirectory(machine.SiteMachine(), None)
         for number in range(TARGETS):
             known.learn_target(said(number))
         held = known._said
@@ -56,12 +61,12 @@
 
     def test_address_that_changes(self):
         """Guards against a target that is lost with its former address."""
-        known = roster.Roster(machine.SiteMachine(), None)
+        known = site_directory.SiteDirectory(machine.SiteMachine(), None)
         known.learn_target(said(1))
         known.learn_target(attrs.evolve(said(1, 2), address=said(2).address))
         known.learn_target(said(3))
         known.learn_target(attrs.evolve(said(4), address=said(1).address))
-        names = sorted(row.target for row in known.said())
+        names = sorted(row.target for row in known.known_targets())
         self.assertEqual(['t1', 't3', 't4'], names)
 
 
@@ -75,7 +80,7 @@
         self.run_paused(self._urgent())
 
     async def _replies(self, followers):
-        targets = book.Book(1.2)
+        targets = target_registry.TargetRegistry(1.2)
         fed = self._feeding(targets, followers)
         replies = []
 
@@ -88,7 +93,7 @@
 
         following = asyncio.create_task(follow())
         for number in range(1000):
-            targets.take(said(number))
+            targets.record(said(number))
             await asyncio.sleep(0.01)
         following.cancel()
         self.assertGreater(sum(replies), 900)
@@ -96,17 +101,17 @@
 
     async def _urgent(self):
         loop = asyncio.get_running_loop()
-        targets = book.Book(1.2)
+        targets = target_registry.TargetRegistry(1.2)
         fed = self._feeding(targets, FOLLOWERS)
         asking = asyncio.create_task(fed.answer(_peer(0), _asked(0)))
         await asyncio.sleep(0.1)
         began = loop.time()
-        targets.note_groups(1, [_group()])
+        targets.record_groups(1, [_group()])
         await asking
         self.assertEqual(began, loop.time())
 
     def _feeding(self, targets, followers):
-        fed = feeding.Feeding(machine.SiteMachine(), targets, list, 1)
+        fed = feed.Feed(machine.SiteMachine(), targets, list, 1)
         now = asyncio.get_running_loop().time() + 1000
         fed._followers = {f'e{number}': now for number in range(followers)}
         return fed
@@ -130,7 +135,7 @@
     async def order(self, rank, asked):
         return ranks.Outcome.UNKNOWN
 
-    def rest_seconds(self, numbers):
+    def stall_seconds(self, numbers):
         return 0
 
     async def close(self):
@@ -148,12 +153,12 @@
         found = owner.Owner(
             asked, lambda service: rows, print, test_large_maps.AtOnce()
         )
-        found.begin()
+        found.reset()
         shape = types.SimpleNamespace()
         service = configuration.Service(name=SERVICE, experts=shape)
-        await found.find([service])
+        await found.discover([service])
         self.assertGreaterEqual(
-            found.look_seconds, TARGETS / owner.MOST_REPORTS_EAGER
+            found.discovery_interval, TARGETS / owner.MOST_REPORTS_EAGER
         )
 
 
--- a/tests/test_new_owner.py
+++ b/tests/test_new_owner.py
@@ -8,7 +8,12 @@
 import random
 import statistics
 
-from tamarackthread.control.site.maps import demand, duty, ranks, switching
+from tamarackthread.control.site.maps import (
+    demand,
+    owner_loop,
+    ranks,
+    switching,
+)
 from tests import policy_case, test_site_maps
 
 # Longest that an owner may take from its first look until the group steps: the
@@ -39,7 +44,7 @@
 
     async def order(self, rank, asked):
         if self.random.random() < self.share:
-            await asyncio.sleep(asked.patience)
+            await asyncio.sleep(asked.timeout_seconds)
             return ranks.Outcome.UNKNOWN
         await asyncio.sleep(0.003)
         return ranks.Outcome.DONE
@@ -186,12 +191,12 @@
         self.assertLess(statistics.mean(took), 0.45)
 
     def _begin(self, group):
-        working = duty.Duty(
+        working = owner_loop.OwnerLoop(
             test_site_maps.Leading(),
             test_site_maps.NoNews(),
             test_site_maps.OneService(),
             test_site_maps.owner_of(group),
-            goes_on=True,
+            outlives_lease=True,
         )
         return asyncio.create_task(working.run())
 
@@ -222,4 +227,4 @@
 def _read(held, total, chosen):
     for expert, count in enumerate(chosen):
         total[expert] += count
-    held.take({'t': ranks.Counts(1, (tuple(total),))}, 0)
+    held.add_counts({'t': ranks.Counts(1, (tuple(total),))}, 0)
--- a/tests/test_reading_rest.py
+++ b/tests/test_reading_rest.py
@@ -5,10 +5,10 @@
 import asyncio
 
 from tamarackthread.control.site.maps import (
-    learning,
+    group_state,
     ranks,
+    readings,
     switching,
-    watched,
 )
 from tamarackthread.shared.site import configuration
 from tests import policy_case
@@ -50,16 +50,16 @@
             name='g', epoch=1, members=members, reports=reports
         )
 
-    def rest_seconds(self, numbers):
+    def stall_seconds(self, numbers):
         return numbers * 0.0005 / 400
 
     async def counts(self, rank, sets):
-        await self._rest(self.rest_seconds(16 * 258))
+        await self._rest(self.stall_seconds(16 * 258))
         row = tuple(range(258))
         return ranks.Counts(1, tuple(row for _ in range(sets)))
 
     async def placement(self, rank):
-        await self._rest(self.rest_seconds(16 * 3))
+        await self._rest(self.stall_seconds(16 * 3))
         return 1, tuple((0, 1, 2) for _ in range(16))
 
     async def report(self, rank):
@@ -92,10 +92,10 @@
 
     def test_any_size(self):
         """The bound holds for any steps; one rank is always read."""
-        known = watched.Watched(LargeGroup.SHAPE, gap=0.15)
+        known = group_state.GroupState(LargeGroup.SHAPE, gap=0.15)
         for milliseconds in range(10, 300, 10):
             known.step_seconds = milliseconds / 1000
-            count = known.readable(0.005)
+            count = known.max_parallel_reads(0.005)
             left = max(0.15 - known.step_seconds, 0.03)
             self.assertLessEqual(count * 0.005, max(0.005, left / 4))
             self.assertGreaterEqual(count, 1)
@@ -110,17 +110,17 @@
 
     async def _read_from_afar(self):
         group = LargeGroup()
-        known = watched.Watched(group.SHAPE, gap=0.15, step_seconds=0.1)
-        await learning.learn_placement(group, known, group.group())
+        known = group_state.GroupState(group.SHAPE, gap=0.15, step_seconds=0.1)
+        await readings.read_placement(group, known, group.group())
         for _ in range(3):
-            await learning.learn_demand(group, known, group.group())
+            await readings.read_demand(group, known, group.group())
         self.assertLessEqual(group.most_rest, (0.15 - 0.1) / 4)
         self.assertGreater(group.most_rest, 0)
 
     async def _idle_group(self):
         group = LargeGroup()
-        known = watched.Watched(group.SHAPE, gap=0.15, step_seconds=4)
+        known = group_state.GroupState(group.SHAPE, gap=0.15, step_seconds=4)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await learning.learn_placement(group, known, group.group())
+        await readings.read_placement(group, known, group.group())
         self.assertLess(loop.time() - began, 1)
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -113,7 +113,7 @@
         await one.exchange()
         await two.exchange()
         self.assertEqual(2, second.get('t0').others)
-        await asyncio.sleep(loads.SILENT_SECONDS + 0.1)
+        await asyncio.sleep(loads.ENTRY_TIMEOUT_SECONDS + 0.1)
         await two.exchange()
         self.assertEqual(0, second.get('t0').others)
 
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tamarackthread.control import failures
-from tamarackthread.control.site import api, book, feeding, machine
+from tamarackthread.control.site import api, feed, machine, target_registry
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.platform import configuration as reading
 from tamarackthread.shared import findings
@@ -51,9 +51,9 @@
         """
         site = machine.SiteMachine()
         newer = document.pack(7, b'seven')
-        self.assertEqual(machine.TOOK_EFFECT, site.apply(1, newer.encode()))
+        self.assertEqual(machine.APPLIED, site.apply(1, newer.encode()))
         older = document.pack(5, b'five')
-        self.assertEqual(machine.OVERTAKEN, site.apply(2, older.encode()))
+        self.assertEqual(machine.SUPERSEDED, site.apply(2, older.encode()))
         restored = machine.SiteMachine()
         restored.restore(site.snapshot())
         self.assertEqual(b'seven', restored.held.body)
@@ -104,35 +104,35 @@
         self.run_paused(self._woken())
 
     async def _silent(self):
-        held = book.Book(1)
-        held.take(said(sequence=1))
+        held = target_registry.TargetRegistry(1)
+        held.record(said(sequence=1))
         await asyncio.sleep(3)
         held.sweep()
-        self.assertEqual(State.READY, held.after(0)[0].state)
+        self.assertEqual(State.READY, held.changed_since(0)[0].state)
         await asyncio.sleep(1)
         held.sweep()
-        self.assertEqual(State.SILENT, held.after(0)[0].state)
-        held.take(said(sequence=2))
-        self.assertEqual(State.READY, held.after(0)[0].state)
+        self.assertEqual(State.SILENT, held.changed_since(0)[0].state)
+        held.record(said(sequence=2))
+        self.assertEqual(State.READY, held.changed_since(0)[0].state)
 
     async def _refreshed(self):
-        held = book.Book(1)
+        held = target_registry.TargetRegistry(1)
         for sequence in range(6):
-            held.take(said(sequence=sequence))
+            held.record(said(sequence=sequence))
             await asyncio.sleep(1)
         self.assertGreaterEqual(held.serial, 2)
 
     async def _woken(self):
-        held = book.Book(1)
-        held.take(said())
-        followers = feeding.Feeding(machine.SiteMachine(), held, list, 11)
+        held = target_registry.TargetRegistry(1)
+        held.record(said())
+        followers = feed.Feed(machine.SiteMachine(), held, list, 11)
         asked = messages.SiteFeedRequest(
             version=0, epoch=11, serial=held.serial, wait_ms=60_000
         )
         waiting = asyncio.create_task(followers.answer(_Peer(), asked))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
-        held.farewell('t1')
+        held.mark_gone('t1')
         reply = await waiting
         self.assertEqual(State.GONE, reply.targets[0].state)
 
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -15,11 +15,11 @@
 from bench.engines import timed_work
 from tamarackthread.control.site.maps import (
     demand,
-    duty,
+    group_state,
     owner,
+    owner_loop,
     ranks,
     switching,
-    watched,
 )
 from tamarackthread.policy import evening
 from tamarackthread.shared.site import configuration
@@ -43,7 +43,7 @@
     return owner.Owner(
         group,
         group.members,
-        group.note_pace,
+        group.record_pace,
         timed_work.TimedWork(timed_work.SMALL_PLAN_SECONDS),
     )
 
@@ -110,7 +110,7 @@
             self._counted[expert] += 1000 if expert == self._favoured else 100
         return ranks.Counts(self.epoch, (tuple(self._counted),))
 
-    def rest_seconds(self, numbers):
+    def stall_seconds(self, numbers):
         return 0
 
     def favour(self, expert):
@@ -138,7 +138,7 @@
         found = self._carry_out(self.rows[row], asked)
         return ranks.Outcome.DONE if found else ranks.Outcome.REFUSED
 
-    def note_pace(self, target, pace):
+    def record_pace(self, target, pace):
         """Take how fast a target is, which no test here looks at."""
 
     async def close(self):
@@ -258,10 +258,10 @@
 async def look_and_read(owning, term):
     """Look once and read counts three times, as an owner does for ever."""
     service = configuration.Service(name='s', experts=SHAPE)
-    await owning.look([service], term)
+    await owning.discover_and_release([service], term)
     for _ in range(3):
         await asyncio.sleep(0.1)
-        await owning.read(term)
+        await owning.reconcile_all(term)
 
 
 class Leading:
@@ -279,7 +279,7 @@
 
 
 class NoNews:
-    def after(self, serial):
+    def changed_since(self, serial):
         return []
 
 
@@ -396,7 +396,9 @@
             await asyncio.wait_for(look_and_read(calm, 9), 60)
             await asyncio.sleep(1)
         await asyncio.sleep(7)
-        await calm.look([configuration.Service(name='s', experts=SHAPE)], 9)
+        await calm.discover_and_release(
+            [configuration.Service(name='s', experts=SHAPE)], 9
+        )
         await asyncio.sleep(1)
         stepping.cancel()
         await group.close()
@@ -439,7 +441,7 @@
 
         arriving = asyncio.create_task(late())
         await asyncio.sleep(1.5)
-        await owner_of(group).look(
+        await owner_of(group).discover_and_release(
             [configuration.Service(name='s', experts=SHAPE)], 2
         )
         await arriving
@@ -467,7 +469,7 @@
         stepping = asyncio.create_task(group.run())
         owning = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
-        await owning.look([service], 1)
+        await owning.discover_and_release([service], 1)
         group.silent = 'a3'
         for _ in range(3):
             await look_and_read(owning, 1)
@@ -487,7 +489,7 @@
         group.rows[0].held = group.step + 20
         await asyncio.sleep(1)
         before = group.step
-        await owner_of(group).look(
+        await owner_of(group).discover_and_release(
             [configuration.Service(name='s', experts=SHAPE)], 2
         )
         await asyncio.sleep(2)
@@ -517,26 +519,30 @@
         stepping = asyncio.create_task(group.run())
         owning = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
-        await owning.look([service], 1)
+        await owning.discover_and_release([service], 1)
         while owning._watched['g'].version <= 0:
-            await owning.read(1)
+            await owning.reconcile_all(1)
         while group.seen[0][0].held is None:
             await asyncio.sleep(0.01)
         self.assertIsNone(group.rows[0].held)
         before = group.step
-        await owning.look([service], 1)
+        await owning.discover_and_release([service], 1)
         await asyncio.sleep(0.4)
         stepping.cancel()
         self.assertFalse(owning.has_released)
         self.assertGreater(group.step, before + 6)
 
     async def _leaderless(self):
-        for goes_on in (True, False):
+        for outlives_lease in (True, False):
             group = FakeGroup(random.Random(1))
             maps = owner_of(group)
             leading = Leading()
-            working = duty.Duty(
-                leading, NoNews(), OneService(), maps, goes_on=goes_on
+            working = owner_loop.OwnerLoop(
+                leading,
+                NoNews(),
+                OneService(),
+                maps,
+                outlives_lease=outlives_lease,
             )
             tasks = [
                 asyncio.create_task(group.run()),
@@ -544,13 +550,13 @@
             ]
             await asyncio.sleep(3)
             switched = group.rows[0].version
-            self.assertEqual(goes_on, switched > 0)
+            self.assertEqual(outlives_lease, switched > 0)
             for row in group.rows:
                 row.fence = 5_000_000
             group.favour(7)
             await asyncio.sleep(3)
             self.assertEqual(switched, group.rows[0].version)
-            self.assertEqual(goes_on, maps.is_outdated)
+            self.assertEqual(outlives_lease, maps.is_outdated)
             for task in tasks:
                 task.cancel()
             self.assertEqual([], group.mixed)
@@ -577,11 +583,11 @@
         Doubled each time without an end, some days of lost orders would have
         the owner wait for minutes, and look at no group meanwhile.
         """
-        known = watched.Watched(SHAPE)
+        known = group_state.GroupState(SHAPE)
         for _ in range(20):
-            known.failed(0)
-        self.assertLess(known.copy_slack, 10 * watched.COPY_SLACK)
-        self.assertGreater(known.copy_slack, watched.COPY_SLACK)
+            known.back_off(0)
+        self.assertLess(known.copy_slack, 10 * group_state.COPY_SLACK)
+        self.assertGreater(known.copy_slack, group_state.COPY_SLACK)
 
 
 class EveningCase(unittest.TestCase):
@@ -667,11 +673,11 @@
         """Have one rank choose its experts so many times more."""
         for expert, count in enumerate(more):
             self._sums[expert] += count
-        self.known.take({'t': ranks.Counts(2, (tuple(self._sums),))}, 0)
+        self.known.add_counts({'t': ranks.Counts(2, (tuple(self._sums),))}, 0)
 
     def test_restart_is_no_demand(self):
         """Counts that began anew with an epoch are not taken for choices."""
-        self.known.take({'t': ranks.Counts(1, ((900, 900, 9),))}, 0)
+        self.known.add_counts({'t': ranks.Counts(1, ((900, 900, 9),))}, 0)
         self.choose(5, 0, 0)
         self.assertEqual([], self.known.tokens)
         for _ in range(2):
@@ -717,6 +723,6 @@
         for _ in range(3):
             self.choose(10, 0, 0)
         before = [list(row) for row in self.known.tokens]
-        self.known.take({'u': ranks.Counts(2, ((0, 0, 900),))}, 0)
-        self.known.take({'t': ranks.Counts(2, ((900, 0, 0),))}, 0)
+        self.known.add_counts({'u': ranks.Counts(2, ((0, 0, 900),))}, 0)
+        self.known.add_counts({'t': ranks.Counts(2, ((900, 0, 0),))}, 0)
         self.assertEqual(before, self.known.tokens)
--- a/tests/test_step_times.py
+++ b/tests/test_step_times.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tamarackthread.control.site.maps import ranks, switching, watched
+from tamarackthread.control.site.maps import group_state, ranks, switching
 from tamarackthread.shared.site import configuration
 
 SHAPE = configuration.Experts(sets=1, experts=8, places=4, spare=2)
@@ -30,9 +30,9 @@
 
 class StepCase(unittest.TestCase):
     def setUp(self):
-        self.known = watched.Watched(SHAPE, gap=0.15, least_step=EMPTY)
-        self.known.hear(report(0, 100), 1.0)
-        self.known.hear(report(0, 105), 1.0 + 5 * STEP)
+        self.known = group_state.GroupState(SHAPE, gap=0.15, min_step=EMPTY)
+        self.known.update_from(report(0, 100), 1.0)
+        self.known.update_from(report(0, 105), 1.0 + 5 * STEP)
 
     def test_usual(self):
         """Two reports of one rank, far enough apart, tell the step."""
@@ -46,20 +46,20 @@
         the next switch is armed for a step that comes ten seconds late; until
         then the ranks refuse every other map.
         """
-        self.known.see(group(105, 109), 1.312)
+        self.known.update(group(105, 109), 1.312)
         self.assertAlmostEqual(STEP, self.known.step_seconds)
 
     def test_report_made_anew(self):
         """The rank's report is made anew between two questions, four steps on."""
-        self.known.hear(report(0, 109), 1.312)
+        self.known.update_from(report(0, 109), 1.312)
         self.assertAlmostEqual(STEP, self.known.step_seconds)
 
     def test_least(self):
         """No step is shorter than one of a group without calls."""
-        self.known.hear(report(0, 205), 2.0)
+        self.known.update_from(report(0, 205), 2.0)
         self.assertAlmostEqual(EMPTY, self.known.step_seconds)
 
     def test_longer_steps(self):
         """Demand has shifted: the next two reports tell of longer steps."""
-        self.known.hear(report(0, 109), 1.3 + 4 * 0.15)
+        self.known.update_from(report(0, 109), 1.3 + 4 * 0.15)
         self.assertAlmostEqual(0.15, self.known.step_seconds)
--- a/tests/test_target_file.py
+++ b/tests/test_target_file.py
@@ -11,7 +11,7 @@
 
 from bench.history import disks
 from tamarackthread.control import failures
-from tamarackthread.control.site import book, target_file
+from tamarackthread.control.site import target_file, target_registry
 from tamarackthread.shared.site import announcements
 from tests import policy_case
 
@@ -85,16 +85,18 @@
             self.assertFalse(found[0].follows(held))
 
     async def _forgotten(self):
-        known = book.Book(BEAT)
+        known = target_registry.TargetRegistry(BEAT)
         known.restore(READY)
         known.restore(attrs.evolve(READY, target='t2'))
         running = asyncio.create_task(known.run())
         await asyncio.sleep(BEAT * 0.9)
-        known.take(attrs.evolve(READY, target='t2', sequence=1))
-        self.assertEqual(announcements.State.READY, known.after(0)[0].state)
+        known.record(attrs.evolve(READY, target='t2', sequence=1))
+        self.assertEqual(
+            announcements.State.READY, known.changed_since(0)[0].state
+        )
         await asyncio.sleep(BEAT * 1.3)
         running.cancel()
-        states = {said.target: said.state for said in known.after(0)}
+        states = {said.target: said.state for said in known.changed_since(0)}
         self.assertEqual(announcements.State.SILENT, states['t1'])
         self.assertEqual(announcements.State.READY, states['t2'])
 
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -10,7 +10,12 @@
 
 import aiohttp
 
-from tamarackthread.control.site import api, book, machine, roster
+from tamarackthread.control.site import (
+    api,
+    machine,
+    site_directory,
+    target_registry,
+)
 from tamarackthread.control.site.maps import demand, ranks
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
@@ -18,7 +23,7 @@
 from tamarackthread.platform import door
 from tamarackthread.shared import wire
 from tamarackthread.shared.site import announcements
-from tests import policy_case, direct_case
+from tests import direct_case, policy_case
 
 State = announcements.State
 BORN = 1_780_000_000_000
@@ -99,25 +104,25 @@
         self.run_paused(self._slow_no_more())
 
     async def _late_farewell(self):
-        held = book.Book(BEAT)
-        held.take(said(born=LATER))
-        held.farewell('t1', BORN)
-        self.assertEqual(State.READY, held.after(0)[0].state)
-        held.farewell('t1', LATER)
-        self.assertEqual(State.GONE, held.after(0)[0].state)
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(said(born=LATER))
+        held.mark_gone('t1', BORN)
+        self.assertEqual(State.READY, held.changed_since(0)[0].state)
+        held.mark_gone('t1', LATER)
+        self.assertEqual(State.GONE, held.changed_since(0)[0].state)
 
     async def _word_of_nobody(self):
-        held = book.Book(BEAT)
-        held.take(said())
-        with self.assertRaises(book.StartMissing):
-            held.take(said(born=0, sequence=99))
-        self.assertEqual([said()], held.after(0))
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(said())
+        with self.assertRaises(target_registry.StartMissing):
+            held.record(said(born=0, sequence=99))
+        self.assertEqual([said()], held.changed_since(0))
 
     async def _slow_no_more(self):
-        held = book.Book(BEAT)
-        held.take(said())
-        held.note_pace('t1', 3.0)
-        held.take(said(born=LATER))
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(said())
+        held.record_pace('t1', 3.0)
+        held.record(said(born=LATER))
         self.assertEqual({}, held.paces())
 
 
@@ -128,7 +133,9 @@
         Taken for the newer one, it would take a living rank out of its group
         until that speaks again, a beat later.
         """
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(said(born=LATER, target='t2'))
         known.learn_target(said(born=BORN, target='t1', sequence=9))
         names = [member.target for member in known.members('s')]
@@ -141,7 +148,9 @@
         The rank at the address is the new one, and each order that is meant
         for the old one would be refused: no map would be changed any more.
         """
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(said(born=0, target='old'))
         known.learn_target(said(born=0, target='new'))
         known.learn_target(said(State.SILENT, born=0, target='old'))
@@ -150,7 +159,9 @@
 
     def test_both_silent(self):
         """Of two silent targets the later start is at the address."""
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(said(State.SILENT, born=LATER, target='t2'))
         known.learn_target(said(State.SILENT, born=BORN, target='t1'))
         names = [member.target for member in known.members('s')]
@@ -164,10 +175,10 @@
         Their difference to those of the earlier start is nobody's demand.
         """
         known = demand.Demand()
-        known.take({'t1': ranks.Counts(1, ((0, 9),), BORN)}, 0)
-        known.take({'t1': ranks.Counts(1, ((50, 10),), LATER)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((0, 9),), BORN)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((50, 10),), LATER)}, 0)
         self.assertEqual([], known.tokens)
-        known.take({'t1': ranks.Counts(1, ((51, 10),), LATER)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((51, 10),), LATER)}, 0)
         self.assertEqual([[1, 0]], known.tokens)
 
 
@@ -185,7 +196,7 @@
                 self.run_paused(self._history(random.Random(seed)))
 
     async def _history(self, rng):
-        hosts = [book.Book(BEAT) for _ in range(3)]
+        hosts = [target_registry.TargetRegistry(BEAT) for _ in range(3)]
         entries = [_Entry(rng, hosts) for _ in range(2)]
         words, last = _lives(rng)
         rng.shuffle(words)
@@ -214,7 +225,7 @@
 
     def ask(self):
         for number, host in enumerate(self._hosts):
-            for row in host.after(self._serials[number]):
+            for row in host.changed_since(self._serials[number]):
                 passed = wire.decode(
                     messages.SiteTarget,
                     wire.encode(announcements.to_message(row)),
@@ -225,9 +236,9 @@
 
 def _deliver(host, word):
     if word.state == State.GONE:
-        host.farewell(word.target, word.born)
+        host.mark_gone(word.target, word.born)
         return
-    host.take(word)
+    host.record(word)
 
 
 def _lives(rng):
@@ -338,7 +349,7 @@
     }
 
     async def asyncSetUp(self):
-        self.targets = book.Book(BEAT)
+        self.targets = target_registry.TargetRegistry(BEAT)
         self.door = door.PlatformDoor()
         self.address = await self.door.open(
             '127.0.0.1:0', _NoApi(), self.targets, _NoApi()
@@ -360,7 +371,7 @@
                 self.assertEqual(400, await self._post(f'x{number}', body))
         await self._post('x0', b'')
         self.assertEqual(len(_strange(self.GOOD)), len(logged.records))
-        known = [row.target for row in self.targets.after(0)]
+        known = [row.target for row in self.targets.changed_since(0)]
         self.assertEqual(['t1'], known)
 
     async def test_farewell_of_a_start(self):
@@ -368,10 +379,10 @@
         await self._beat('t1', {**self.GOOD, 'born': LATER})
         early = json.dumps({'born': BORN}).encode()
         self.assertEqual(200, await self._post('t1', early, 'deregister'))
-        self.assertEqual(State.READY, self.targets.after(0)[0].state)
+        self.assertEqual(State.READY, self.targets.changed_since(0)[0].state)
         self.assertEqual(400, await self._post('t1', b'[', 'deregister'))
         self.assertEqual(200, await self._post('t1', b'', 'deregister'))
-        self.assertEqual(State.GONE, self.targets.after(0)[0].state)
+        self.assertEqual(State.GONE, self.targets.changed_since(0)[0].state)
 
     async def _beat(self, target, row):
         return await self._post(target, json.dumps(row).encode())
