--- a/tamarackthread/control/site/maps/__init__.py
+++ b/tamarackthread/control/site/maps/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the ranks of a site's groups even, by one owner at a time."""
+"""Balance the expert maps of a site's groups, under one owner at a time."""
--- a/tamarackthread/control/site/maps/demand.py
+++ b/tamarackthread/control/site/maps/demand.py
@@ -1,4 +1,4 @@
-"""Know how often the experts of a group are chosen, from a few ranks."""
+"""Estimate the demand for a group's experts from the counts of some ranks."""
 
 from __future__ import annotations
 
@@ -9,125 +9,129 @@
 
 from tamarackthread.control.site.maps import ranks
 
-# Of what was seen before, so much counts beside what is new; a sample of few
-# ranks is noisy, and at five readings a second this remembers half a second.
-KEPT = 0.7
-# Two readings of the same demand are alike (cosine) by more than the first, but
-# for the rare one of a rank with few calls, and those of two demands by less than
-# the second.  In between the next reading is waited for.
-ALIKE = 0.86
-SHIFTED = 0.78
-# Before two shifts were seen, demand is taken to stay for so long; of those that
-# were seen the middle one of some counts.
-ASSUMED_SECONDS = 4.0
-REMEMBERED = 5
-# Demand that has stayed for longer than it mostly does may change at any time; it
-# is planned for so much of that time again.
-OVERDUE_SHARE = 0.5
+# Decay of the earlier counts at each reading: a memory of about half a second,
+# which smooths the noise of a small sample of ranks.
+DECAY = 0.7
+# Cosine similarity above which two readings are of the same demand, and below
+# which demand has shifted; in between the next reading decides.
+SAME_SIMILARITY = 0.86
+SHIFT_SIMILARITY = 0.78
+# Expected duration of a demand until two shifts were seen; afterwards the median
+# of the last ``MAX_SPANS`` durations.
+DEFAULT_SPAN_SECONDS = 4.0
+MAX_SPANS = 5
+# Expected remainder, as a fraction of the usual duration, of a demand that has
+# already lasted longer.
+OVERDUE_FRACTION = 0.5
 _Tokens = list[list[float]]
 
 
 class Demand:
-    """Keep a decayed sum of choices by set and expert.
+    """Keep an exponentially decayed sum of expert choices by set.
 
-    Demand shifts at once and then stays for seconds.  What was seen before a
-    shift is worth nothing after it, so it is forgotten at the first reading
-    that is quite unlike it, and at the second of two that are somewhat so.
+    Demand shifts abruptly, so the sum restarts at the first reading that is
+    unlike it, or at the second of two that differ somewhat.
     """
 
     def __init__(self) -> None:
-        """Begin without having seen any."""
-        self._seen: dict[str, ranks.Counts] = {}
+        """Start without readings."""
+        self._last_counts: dict[str, ranks.Counts] = {}
         self._tokens: _Tokens = []
-        self._odd: _Tokens = []
+        self._outlier: _Tokens = []
         self._is_mixed = False
         self._shifted_at: float | None = None
         self._spans: collections.deque[float] = collections.deque(
-            maxlen=REMEMBERED
+            maxlen=MAX_SPANS
         )
 
     @property
     def is_mixed(self) -> bool:
-        """Tell whether the choices are in part of before the last shift."""
+        """Return whether the last reading includes choices before a shift."""
         return self._is_mixed
 
     def remaining_seconds(self, now: float) -> float:
-        """Return for how many seconds demand is expected to stay as it is."""
-        usual = ASSUMED_SECONDS
+        """Return how long the current demand is expected to last."""
+        usual = DEFAULT_SPAN_SECONDS
         if self._spans:
             usual = statistics.median(self._spans)
         age = 0 if self._shifted_at is None else now - self._shifted_at
-        return max(usual - age, usual * OVERDUE_SHARE)
+        return max(usual - age, usual * OVERDUE_FRACTION)
 
     @property
     def tokens(self) -> _Tokens:
-        """Return the choices by set and expert; empty before the first."""
+        """Return the choices by set and expert; empty before any reading."""
         return self._tokens
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the last reading looked like what was seen before."""
-        return bool(self._tokens) and not self._odd
+        """Return whether the last reading matched the earlier ones."""
+        return bool(self._tokens) and not self._outlier
 
     def add_counts(
         self,
-        found: collections.abc.Mapping[str, ranks.Counts],
+        counts_by_target: collections.abc.Mapping[str, ranks.Counts],
         now: float,
     ) -> None:
-        """Take readings by target.
+        """Add the counts by target, as differences from the last reading.
 
-        A reading counts where the one before it had the same target in it.
+        Targets that were not part of the last reading add nothing.
         """
-        fresh: _Tokens = []
-        for target, counts in found.items():
-            before = self._seen.get(target)
+        increments: _Tokens = []
+        for target, counts in counts_by_target.items():
+            before = self._last_counts.get(target)
             if before is not None and before.is_same_start(counts):
-                _add(fresh, _difference(before.by_set, counts.by_set))
-        self._seen = dict(found)
-        if any(map(any, fresh)):
-            self._mix(fresh, now)
-
-    def _mix(self, fresh: _Tokens, now: float) -> None:
-        # The first reading after a shift holds choices from before it as well.
-        # It is good enough for a first map; kept beside later ones it would
-        # make the second map uneven too, and a third one would follow.
+                _accumulate(
+                    increments, _difference(before.by_set, counts.by_set)
+                )
+        self._last_counts = dict(counts_by_target)
+        if any(map(any, increments)):
+            self._merge(increments, now)
+
+    def _merge(self, increments: _Tokens, now: float) -> None:
+        # The first reading after a shift includes earlier choices: good enough
+        # for a first map, but it must not distort the next one.
         if self._is_mixed:
-            self._tokens = fresh
+            self._tokens = increments
             self._is_mixed = False
             return
-        alike = likeness(self._tokens, fresh)
-        if alike >= ALIKE:
-            self._tokens = _sum(self._tokens, fresh)
-            self._odd = []
+        similarity = mean_cosine(self._tokens, increments)
+        if similarity >= SAME_SIMILARITY:
+            self._tokens = _decayed_sum(self._tokens, increments)
+            self._outlier = []
             return
-        if alike < SHIFTED or likeness(self._odd, fresh) >= ALIKE:
+        if (
+            similarity < SHIFT_SIMILARITY
+            or mean_cosine(self._outlier, increments) >= SAME_SIMILARITY
+        ):
             self._is_mixed = bool(self._tokens)
             if self._is_mixed:
-                self._note_shift(now)
-            self._tokens = fresh
-            self._odd = []
+                self._record_shift(now)
+            self._tokens = increments
+            self._outlier = []
             return
-        self._odd = fresh
+        self._outlier = increments
 
-    def _note_shift(self, now: float) -> None:
+    def _record_shift(self, now: float) -> None:
         if self._shifted_at is not None:
             self._spans.append(now - self._shifted_at)
         self._shifted_at = now
 
 
-def likeness(before: _Tokens, after: _Tokens) -> float:
-    """Return the mean cosine over the sets; 0 without any before."""
+def mean_cosine(before: _Tokens, after: _Tokens) -> float:
+    """Return the mean cosine similarity over the sets; 0 without ``before``."""
     if not before:
         return 0
-    found = [_cosine(old, new) for old, new in zip(before, after, strict=True)]
-    return sum(found) / len(found)
+    cosines = [
+        _cosine(old, new) for old, new in zip(before, after, strict=True)
+    ]
+    return sum(cosines) / len(cosines)
 
 
-def _sum(held: _Tokens, fresh: _Tokens) -> _Tokens:
-    """Add what is new to what is held, of which a part is forgotten."""
+def _decayed_sum(held: _Tokens, increments: _Tokens) -> _Tokens:
+    """Add ``increments`` to the decayed ``held`` counts."""
     return [
-        [old * KEPT + new for old, new in zip(olds, news, strict=True)]
-        for olds, news in zip(held, fresh, strict=True)
+        [old * DECAY + new for old, new in zip(olds, news, strict=True)]
+        for olds, news in zip(held, increments, strict=True)
     ]
 
 
@@ -149,7 +153,7 @@
     ]
 
 
-def _add(total: _Tokens, more: _Tokens) -> None:
+def _accumulate(total: _Tokens, more: _Tokens) -> None:
     if not total:
         total.extend(more)
         return
--- a/tamarackthread/control/site/maps/group_discovery.py
+++ b/tamarackthread/control/site/maps/group_discovery.py
@@ -1,4 +1,4 @@
-"""Find the groups of a service in what its ranks report."""
+"""Find the complete groups among the reports of a service's ranks."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from tamarackthread.control.site.maps import ranks, switching
 
-# With one answer in ten lost, one rank of a hundred is silent as often.
-ASKED_TIMES = 3
-# All callers of a group wait while it is held, and it is asked for all anew where
-# one rank stays silent.
-HELD_ASKED_TIMES = 6
+# With 10 % of answers lost, about 0.1 % of ranks stay silent after three attempts.
+MAX_ATTEMPTS = 3
+# More attempts for a held group: its callers wait, and one silent rank means that
+# all are asked again.
+HELD_MAX_ATTEMPTS = 6
 _Row = tuple[ranks.Rank, ranks.RankReport]
 _Answer = typing.TypeVar('_Answer')
 
 
 async def fetch_reports(
-    asked: ranks.Ranks,
+    client: ranks.Ranks,
     members: collections.abc.Sequence[ranks.Rank],
 ) -> list[ranks.RankReport | None]:
-    """Ask ranks of themselves, all at once, and the silent ones again."""
-    return await ask_all(asked.report, members)
+    """Fetch the reports of all ranks concurrently, retrying silent ones."""
+    return await ask_all(client.report, members)
 
 
 async def ask_all(
@@ -30,31 +30,28 @@
         [ranks.Rank], collections.abc.Awaitable[_Answer | None]
     ],
     members: collections.abc.Sequence[ranks.Rank],
-    times: int = ASKED_TIMES,
+    attempts: int = MAX_ATTEMPTS,
 ) -> list[_Answer | None]:
-    """Ask all ranks at once, and the silent ones again, some ``times``.
-
-    The failure: over a link that loses one packet in twenty one of sixty ranks
-    is silent nearly each time.  Whatever needs the answers of all is then not
-    done for seconds, although a rank that is asked again answers.
-    """
-    found: list[_Answer | None] = [None for _ in members]
-    for _ in range(times):
-        silent = [place for place, row in enumerate(found) if row is None]
-        again = await asyncio.gather(*(ask(members[place]) for place in silent))
-        for place, row in zip(silent, again, strict=True):
-            found[place] = row
-    return found
+    """Ask all ranks concurrently, retrying silent ones up to ``attempts``."""
+    answers: list[_Answer | None] = [None for _ in members]
+    for _ in range(attempts):
+        silent = [index for index, row in enumerate(answers) if row is None]
+        retried = await asyncio.gather(
+            *(ask(members[index]) for index in silent)
+        )
+        for index, row in zip(silent, retried, strict=True):
+            answers[index] = row
+    return answers
 
 
 async def refresh(
-    asked: ranks.Ranks,
+    client: ranks.Ranks,
     group: switching.Group,
 ) -> switching.Group | None:
-    """Return a group as it is now, ``None`` unless it is whole and the same."""
-    found = await ask_all(asked.report, group.members, HELD_ASKED_TIMES)
-    known = [report for report in found if report is not None]
-    if len(known) != len(found):
+    """Return the group's current state, ``None`` if incomplete or replaced."""
+    answers = await ask_all(client.report, group.members, HELD_MAX_ATTEMPTS)
+    known = [report for report in answers if report is not None]
+    if len(known) != len(answers):
         return None
     if any(report.epoch != group.epoch for report in known):
         return None
@@ -68,11 +65,11 @@
 
 def complete_groups(
     members: list[ranks.Rank],
-    found: list[ranks.RankReport | None],
+    answers: list[ranks.RankReport | None],
 ) -> list[switching.Group]:
-    """List the groups of which every rank reports the same epoch."""
+    """List the groups of which all ranks report the same, open epoch."""
     by_epoch: dict[tuple[str, int], dict[int, _Row]] = {}
-    for member, report in zip(members, found, strict=True):
+    for member, report in zip(members, answers, strict=True):
         if report is None:
             continue
         rows = by_epoch.setdefault((report.group, report.epoch), {})
@@ -80,19 +77,16 @@
     return [
         _group_of(name, epoch, rows)
         for (name, epoch), rows in by_epoch.items()
-        if _is_whole(rows)
+        if _is_complete(rows)
     ]
 
 
 def has_ended(
     group: switching.Group,
-    found: list[ranks.RankReport | None],
+    answers: list[ranks.RankReport | None],
 ) -> bool:
-    """Tell whether a rank reports that an epoch of a group has ended.
-
-    A rank that is silent says nothing of the kind.
-    """
-    for report in found:
+    """Return whether any rank reports that this epoch of the group is over."""
+    for report in answers:
         if report is None or report.group != group.name:
             continue
         if report.epoch != group.epoch or not report.is_open:
@@ -100,7 +94,7 @@
     return False
 
 
-def _is_whole(rows: dict[int, _Row]) -> bool:
+def _is_complete(rows: dict[int, _Row]) -> bool:
     sizes = {report.size for _, report in rows.values()}
     if len(sizes) != 1 or sorted(rows) != list(range(sizes.pop())):
         return False
--- a/tamarackthread/control/site/maps/group_maps.py
+++ b/tamarackthread/control/site/maps/group_maps.py
@@ -1,4 +1,4 @@
-"""Plan the maps of all sets of a group."""
+"""Plan and compare the maps of a group, over all of its expert sets."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def skew(placement: ranks.GroupMap, tokens: Tokens, paces: Paces) -> float:
-    """Return the mean over the sets: each set's busiest rank is waited for."""
-    found = [
-        evening.skew(held, counts, paces)
-        for held, counts in zip(placement, tokens, strict=True)
+    """Return the mean over the sets of the busiest rank's load to the mean."""
+    skews = [
+        evening.skew(experts, counts, paces)
+        for experts, counts in zip(placement, tokens, strict=True)
     ]
-    return sum(found) / max(1, len(found))
+    return sum(skews) / max(1, len(skews))
 
 
 def plan(
@@ -26,15 +26,15 @@
     bounds: evening.Bounds,
     paces: Paces,
 ) -> ranks.GroupMap:
-    """Return a map that is evener in each set."""
+    """Return a map that balances each set."""
     return tuple(
-        evening.even(held, counts, bounds, paces)
-        for held, counts in zip(placement, tokens, strict=True)
+        evening.even(experts, counts, bounds, paces)
+        for experts, counts in zip(placement, tokens, strict=True)
     )
 
 
 def max_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
-    """Return the most experts that one rank has to copy."""
+    """Return the largest number of experts that a single rank must copy."""
     by_rank = [0 for _ in before[0]] if before else []
     for old, new in zip(before, after, strict=True):
         for rank, (had, has) in enumerate(zip(old, new, strict=True)):
@@ -43,7 +43,7 @@
 
 
 def total_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
-    """Count the experts that any rank has to copy."""
+    """Return how many experts all ranks together must copy."""
     return sum(
         evening.copies(old, new) for old, new in zip(before, after, strict=True)
     )
--- a/tamarackthread/control/site/maps/map_change.py
+++ b/tamarackthread/control/site/maps/map_change.py
@@ -1,4 +1,4 @@
-"""Change a group's map: copies, then the step at which all ranks switch."""
+"""Run one change of a group's map, from the copies to the switch."""
 
 from __future__ import annotations
 
@@ -14,84 +14,79 @@
 from tamarackthread.shared import log_events
 from tamarackthread.shared.site import figures
 
-# Time from the order to hold a step to the step: the way there, and the arms.
-# Preparing took as many answers, and three times as long for the maps to get
-# there.  Where an order was lost, which shows by its limit, an arm will be too,
-# and a step that comes before all ranks are armed is waited for by all callers.
-LEAST_AHEAD_SECONDS = 0.05
-AHEAD_SHARE = 0.6
-LOST_ORDER_SECONDS = 0.15
-LOST_AHEAD_SHARE = 1.2
-MOST_AHEAD_SECONDS = 0.8
-# A step that has begun can't be held; a later one is tried, so many times.
+# Lead time from the hold order to the held step, scaled by the time that
+# preparing took.  If the step is reached before all ranks are armed, calls wait.
+MIN_LEAD_SECONDS = 0.05
+LEAD_FACTOR = 0.6
+SLOW_PREPARE_SECONDS = 0.15
+SLOW_LEAD_FACTOR = 1.2
+MAX_LEAD_SECONDS = 0.8
+# Attempts to hold; each one after a step that had already begun is a later step.
 HOLD_TRIES = 4
 MILLISECONDS = 1000
 _log = logging.getLogger('tamarackthread.control')
 
 
 class MapChange:
-    """One change of a group's map."""
+    """A change of a group's map to a new version."""
 
     def __init__(
         self,
-        asked: ranks.Ranks,
+        client: ranks.Ranks,
         switcher: switching.Switcher,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
     ) -> None:
-        """Order with ``switcher``; what becomes of it is noted in ``known``."""
-        self._ranks = asked
+        """Send orders through ``switcher`` and record the result in ``state``."""
+        self._ranks = client
         self._switcher = switcher
-        self._known = known
+        self._state = state
         self._group = group
 
     async def run(self, version: int, wanted: ranks.GroupMap) -> bool:
-        """Make the change; ``False`` if the group may be left held.
-
-        A change that comes to nothing before the group is held is no failure.
-        """
+        """Switch the group; return ``False`` only if it may be left held."""
         loop = asyncio.get_running_loop()
-        known = self._known
+        state = self._state
         began = loop.time()
-        await time_step(self._ranks, known, self._group)
+        await refresh_step_time(self._ranks, state, self._group)
         if not await self._switcher.prepare(self._group, version, wanted):
             return True
-        took = loop.time() - began
-        copies = group_maps.max_copies(known.placement, wanted)
+        prepare_seconds = loop.time() - began
+        copies = group_maps.max_copies(state.placement, wanted)
         await asyncio.sleep(
-            copies * known.shape.copy_seconds * known.copy_slack
+            copies * state.shape.copy_seconds * state.copy_slack
         )
-        step = await self._hold(took)
+        step = await self._hold(prepare_seconds)
         if step is None:
             return True
         held_at = loop.time()
         if not await self._switcher.finish(
             self._group, ranks.Armed(version, step), self._group.members[:1]
         ):
-            known.back_off(loop.time())
+            state.back_off(loop.time())
             return False
-        known.record_switch(version, wanted, step, loop.time())
-        self._tell(version, step, took, loop.time() - held_at)
+        state.record_switch(version, wanted, step, loop.time())
+        self._log_switch(version, step, prepare_seconds, loop.time() - held_at)
         return True
 
-    async def _hold(self, took: float) -> int | None:
-        """Hold the group at a step soon to come, and return the step."""
+    async def _hold(self, prepare_seconds: float) -> int | None:
+        """Hold the group at an upcoming step; return it, or ``None``."""
         loop = asyncio.get_running_loop()
-        await time_step(self._ranks, self._known, self._group)
-        ahead = _ahead(took)
+        await refresh_step_time(self._ranks, self._state, self._group)
+        lead = _lead_seconds(prepare_seconds)
         for tries in range(HOLD_TRIES):
-            begun = self._known.estimate_step(loop.time() + ahead)
+            begun = self._state.estimate_step(loop.time() + lead)
             step = begun + 1 + tries * 2
             if await self._switcher.hold(self._group, step):
                 return step
         _log.info(
-            'control: group %s could not be held, it was past step %d',
+            'control: group %s could not be held, step %d had already begun',
             self._group.name,
             step,
         )
         return None
 
-    def _tell(
+    def _log_switch(
         self,
         version: int,
         step: int,
@@ -109,29 +104,26 @@
             group=self._group.name,
             map_version=version,
             step=step,
-            step_ms=round(self._known.step_seconds * MILLISECONDS),
+            step_ms=round(self._state.step_seconds * MILLISECONDS),
             prepare_ms=round(prepared * MILLISECONDS),
             arm_ms=round(armed * MILLISECONDS),
         )
 
 
-async def time_step(
-    asked: ranks.Ranks,
-    known: group_state.GroupState,
+async def refresh_step_time(
+    client: ranks.Ranks,
+    state: group_state.GroupState,
     group: switching.Group,
 ) -> None:
-    """Time steps anew: since a shift they may take three times as long."""
-    report = await asked.report(group.serving[0])
+    """Update the step time, which a demand shift may have changed."""
+    report = await client.report(group.serving[0])
     if report is None or report.epoch != group.epoch:
         return
-    known.update_from(report, asyncio.get_running_loop().time())
-
+    state.update_from(report, asyncio.get_running_loop().time())
 
-def _ahead(took: float) -> float:
-    """Return how far ahead the step of a switch lies, in seconds.
 
-    ``took`` is how long it took until all ranks had a map.
-    """
-    if took >= LOST_ORDER_SECONDS:
-        return min(MOST_AHEAD_SECONDS, took * LOST_AHEAD_SHARE)
-    return max(LEAST_AHEAD_SECONDS, took * AHEAD_SHARE)
+def _lead_seconds(prepare_seconds: float) -> float:
+    """Return how far ahead to schedule the switch, in seconds."""
+    if prepare_seconds >= SLOW_PREPARE_SECONDS:
+        return min(MAX_LEAD_SECONDS, prepare_seconds * SLOW_LEAD_FACTOR)
+    return max(MIN_LEAD_SECONDS, prepare_seconds * LEAD_FACTOR)
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -1,4 +1,4 @@
-"""Decide whether another map pays for a group, and which."""
+"""Decide whether a group needs a new map, and compute it."""
 
 from __future__ import annotations
 
@@ -15,112 +15,108 @@
 from tamarackthread.shared import log_events, offload
 from tamarackthread.shared.site import figures
 
-# A switch pays where the busiest rank has this much more than the mean; below,
-# the copies cost more than the steps they shorten.
-LEAST_SKEW = 1.45
-LEAST_GAIN = 0.25
-# It must also take so much off each step, an eighth of the pause that callers of
-# a stream take, unless the group is full: each switch costs copies and an order
-# to every rank twice over, and callers notice no less.
-LEAST_SAVED_SECONDS = 0.015
-# Steps that are expected to take less than this are short enough: less than half
-# of the pause that callers of a stream take, so that one that reads a prompt and
-# has a tenth of the group's work more is short of it too.
+# Minimum ratio of the busiest rank's load to the mean; below it the copies cost
+# more than the shorter steps save.
+MIN_SKEW = 1.45
+MIN_GAIN = 0.25
+# Minimum time saved per step, unless the group is full: each switch costs copies
+# and two orders per rank.
+MIN_SAVED_SECONDS = 0.015
+# Steps expected to be shorter than this need no further balancing; the margin
+# covers steps that read a prompt.
 SHORT_STEP_SECONDS = 0.05
 MILLISECONDS = 1000
 _log = logging.getLogger('tamarackthread.control')
 
 
 class MapPlanner:
-    """Plan maps that serve callers better, each by as few copies as do."""
+    """Plan maps that shorten the steps with few copies."""
 
     def __init__(self, work: offload.Offload) -> None:
-        """Plan by ``work``, so that heartbeats go on meanwhile."""
+        """Run the computation in ``work`` to keep heartbeats on time."""
         self._work = work
 
     async def plan(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
     ) -> ranks.GroupMap | None:
-        """Return a better map, ``None`` where none pays."""
-        if not known.demand.is_settled:
+        """Return a better map, or ``None`` if no change pays off."""
+        if not state.demand.is_settled:
             return None
-        # Made from choices of two demands, a map whose copies take long keeps the
-        # group from the one that it needs until that is nearly over.
-        if known.awaits_demand:
+        # Long copies for a demand that mixes two would delay the map that the
+        # new demand needs.
+        if state.awaits_demand:
             return None
-        tokens = known.demand.tokens
+        tokens = state.demand.tokens
         paces = [report.pace for report in group.reports]
-        now = group_maps.skew(known.placement, tokens, paces)
-        figures.GROUP_SKEW.labels(group.name).set(now)
-        if now < LEAST_SKEW:
+        current = group_maps.skew(state.placement, tokens, paces)
+        figures.GROUP_SKEW.labels(group.name).set(current)
+        if current < MIN_SKEW:
             return None
-        wanted, planned = await self._even(known, tokens, paces, now)
-        copies = group_maps.total_copies(known.placement, wanted)
-        most = group_maps.max_copies(known.placement, wanted)
+        wanted, planned = await self._balance(state, tokens, paces, current)
+        copies = group_maps.total_copies(state.placement, wanted)
+        max_per_rank = group_maps.max_copies(state.placement, wanted)
         log_events.tell(
             _log,
             log_events.Event.PLAN,
             'control: group %s is uneven by %.2f, a map of %d copies has %.2f',
             group.name,
-            now,
+            current,
             copies,
             planned,
             group=group.name,
-            skew=round(now, 2),
+            skew=round(current, 2),
             planned=round(planned, 2),
             copies=copies,
-            most_copies=most,
-            step_ms=round(known.step_seconds * MILLISECONDS),
+            most_copies=max_per_rank,
+            step_ms=round(state.step_seconds * MILLISECONDS),
+        )
+        saved = state.step_seconds * (1 - planned / current)
+        is_worthwhile = state.is_full or saved >= MIN_SAVED_SECONDS
+        return (
+            wanted if is_worthwhile and current - planned >= MIN_GAIN else None
         )
-        saved = known.step_seconds * (1 - planned / now)
-        is_felt = known.is_full or saved >= LEAST_SAVED_SECONDS
-        return wanted if is_felt and now - planned >= LEAST_GAIN else None
 
-    async def _even(
+    async def _balance(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         tokens: group_maps.Tokens,
         paces: group_maps.Paces,
-        now: float,
+        current: float,
     ) -> tuple[ranks.GroupMap, float]:
-        """Plan a map that makes steps short, with few copies if these do.
-
-        Returns the map and its skew.
-
-        Past the capacity steps are long with any map, and the last tenth of
-        evenness is felt by every caller; else half of the copies are enough.
-        """
-        if known.has_long_copies:
-            return await self._stage(known, tokens, paces)
+        """Plan a map with as few copies as needed; return it and its skew."""
+        if state.has_long_copies:
+            return await self._plan_staged(state, tokens, paces)
         for least in (evening.COARSE_STEP, evening.FINE_STEP):
             bounds = evening.Bounds(
-                known.shape.places, known.shape.spare, least
+                state.shape.places, state.shape.spare, least
             )
             wanted = await self._work.run(
-                group_maps.plan, known.placement, tokens, bounds, paces
+                group_maps.plan, state.placement, tokens, bounds, paces
             )
             planned = group_maps.skew(wanted, tokens, paces)
-            is_short = known.step_seconds * planned / now < SHORT_STEP_SECONDS
-            if is_short and not known.is_full:
+            is_short = (
+                state.step_seconds * planned / current < SHORT_STEP_SECONDS
+            )
+            if is_short and not state.is_full:
                 break
         return wanted, planned
 
-    async def _stage(
+    async def _plan_staged(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         tokens: group_maps.Tokens,
         paces: group_maps.Paces,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
-        bounds = evening.Bounds(known.shape.places, known.shape.spare)
+        bounds = evening.Bounds(state.shape.places, state.shape.spare)
         wanted = await self._work.run(
             staging.plan,
-            known.placement,
+            state.placement,
             tokens,
             bounds,
             paces,
-            known.cost(asyncio.get_running_loop().time()),
+            state.cost(asyncio.get_running_loop().time()),
         )
         return wanted, group_maps.skew(wanted, tokens, paces)
--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -102,7 +102,7 @@
         is_eager = self._is_missing and owned < MOST_EAGER_SECONDS
         if self._has_released or is_eager or owned < SETTLE_SECONDS:
             return EAGER_SECONDS, MOST_REPORTS_EAGER
-        if self._membership.has_closed:
+        if self._membership.has_closed_group:
             return CLOSED_LOOK_SECONDS, MOST_REPORTS_EAGER
         return DISCOVERY_SECONDS, MOST_REPORTS_CALM
 
@@ -229,7 +229,7 @@
         now = asyncio.get_running_loop().time()
         if known.needs_balancing(now):
             return True
-        await map_change.time_step(self._ranks, known, known.group)
+        await map_change.refresh_step_time(self._ranks, known, known.group)
         return known.needs_balancing(now)
 
     async def _is_due(
@@ -246,7 +246,7 @@
         if is_long_ago or known.awaits_demand:
             known.read_at = now
             return True
-        await map_change.time_step(self._ranks, known, group)
+        await map_change.refresh_step_time(self._ranks, known, group)
         if (
             known.step_seconds < map_planner.SHORT_STEP_SECONDS
             and known.demand.is_settled
--- a/tamarackthread/control/site/maps/rank_client.py
+++ b/tamarackthread/control/site/maps/rank_client.py
@@ -1,4 +1,4 @@
-"""Speak HTTP with the targets that are ranks of groups."""
+"""Send HTTP requests to the targets that are ranks of groups."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from tamarackthread.control.site.maps import ranks
 from tamarackthread.shared import fields
 
-_LOST = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
-OK = 200
+_CONNECTION_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
+HTTP_OK = 200
 
 
 class RankClient:
-    """Hold the connections; a target that is silent is no failure here."""
+    """Send requests over pooled connections; return ``None`` on failure."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Start without a session; the first request opens it."""
         self._session: aiohttp.ClientSession | None = None
 
     async def get(
@@ -23,12 +23,12 @@
         url: str,
         headers: dict[str, str],
     ) -> fields.Row | None:
-        """Read an object, ``None`` without one."""
+        """Fetch a JSON object; return ``None`` unless the status is 200."""
         try:
-            async with self._opened().get(url, headers=headers) as answer:
+            async with self._get_session().get(url, headers=headers) as answer:
                 body = await answer.read()
-                return fields.parse(body) if answer.status == OK else None
-        except _LOST:
+                return fields.parse(body) if answer.status == HTTP_OK else None
+        except _CONNECTION_ERRORS:
             return None
 
     async def post(
@@ -38,12 +38,9 @@
         body: bytes,
         timeout_seconds: float,
     ) -> int | None:
-        """Send an object once; return the status, ``None`` without an answer.
-
-        The answer is waited for up to ``patience`` seconds.
-        """
+        """Post a JSON body once; return the status, ``None`` on a timeout."""
         try:
-            async with self._opened().post(
+            async with self._get_session().post(
                 url,
                 data=body,
                 headers={**headers, 'Content-Type': 'application/json'},
@@ -51,7 +48,7 @@
             ) as answer:
                 await answer.read()
                 return answer.status
-        except _LOST:
+        except _CONNECTION_ERRORS:
             return None
 
     async def close(self) -> None:
@@ -59,10 +56,9 @@
         if self._session is not None:
             await self._session.close()
 
-    def _opened(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # Connections that are kept would each hold one of the few that a
-            # target takes.
+            # A target accepts few connections, so idle ones are closed soon.
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=4),
                 timeout=aiohttp.ClientTimeout(
--- a/tamarackthread/control/site/maps/ranks.py
+++ b/tamarackthread/control/site/maps/ranks.py
@@ -1,4 +1,4 @@
-"""Define what an adapter asks and orders of the ranks of a group."""
+"""Define the interface for querying the ranks of a group and ordering them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,17 @@
 GroupMap = tuple[evening.SetMap, ...]
 # The version in force and a rank's experts by set.
 Placement = tuple[int, tuple[tuple[int, ...], ...]]
-# A rank answers within some milliseconds, and one whose link has lost a packet
-# after a fifth of a second.
+# A rank answers within milliseconds; after a lost packet it takes longer, and the
+# request is sent again.
 ANSWER_TIMEOUT_SECONDS = 0.15
 
 
 class Outcome(enum.Enum):
-    """Say what became of an order.
+    """Result of an order.
 
-    ``DONE``: carried out, begun or the state holds already.  ``REFUSED``: the
-    rank said no and does nothing.  ``OUTDATED``: the same, because it has
-    seen a later owner's fence.  ``UNKNOWN``: no answer, so the rank may
-    carry it out now, seconds later, or never.
+    ``DONE``: carried out, begun, or in effect already.  ``REFUSED``: rejected
+    without effect.  ``OUTDATED``: rejected, as the rank has seen a higher fence.
+    ``UNKNOWN``: no response; the rank may still carry it out later.
     """
 
     DONE = 'done'
@@ -34,7 +33,7 @@
 
 @attrs.frozen
 class Armed:
-    """A switch that a rank makes as a step begins."""
+    """A switch that a rank makes at the start of a step."""
 
     version: int
     step: int
@@ -42,12 +41,11 @@
 
 @attrs.frozen(kw_only=True)
 class RankReport:
-    """What a rank tells of itself, as of some hundred milliseconds ago.
+    """Status of a rank, some hundred milliseconds old.
 
-    ``prepared`` is the version whose experts it has whole, ``held`` the step
-    that its group does not begin, both ``None`` if there is none.  A ``pace``
-    of 2 means that it takes twice as long as usual.  ``born`` tells its starts
-    apart, 0 where it does not say.
+    ``prepared`` is the version whose experts are all copied, and ``held`` the
+    step that the group must not begin.  A ``pace`` of 2 means twice the usual
+    time.  ``born`` identifies the start of the target, 0 if unknown.
     """
 
     group: str
@@ -68,23 +66,22 @@
 
 @attrs.frozen
 class Counts:
-    """How often a rank's calls chose each expert, by set, since a start."""
+    """Number of choices of each expert, by set, since a rank's start."""
 
     epoch: int
     by_set: tuple[tuple[int, ...], ...]
     born: int = 0
 
     def is_same_start(self, other: Counts) -> bool:
-        """Tell whether two readings are of one start, so that they differ."""
+        """Return whether both readings are of the same start and epoch."""
         return self.epoch == other.epoch and self.born == other.born
 
 
 @attrs.frozen
 class Rank:
-    """Where a rank is reached, and which start of it is meant.
+    """Address of a rank, and whether it takes calls.
 
-    A rank whose zone is evacuated goes on in its group, which needs its experts,
-    but ``takes_calls`` no longer.
+    A rank in an evacuated zone takes no calls but still serves its experts.
     """
 
     target: str
@@ -94,11 +91,7 @@
 
 @attrs.frozen(kw_only=True)
 class Order:
-    """One order; ``fence`` grows with each owner.
-
-    ``operation`` is one of the constants below.  An answer is waited for up to
-    ``patience`` seconds.
-    """
+    """An order to a rank, valid only under the highest ``fence`` seen."""
 
     operation: str
     epoch: int
@@ -117,30 +110,27 @@
 
 
 class Ranks(abc.ABC):
-    """Ask and order ranks; no method raises for a rank that is silent."""
+    """Query ranks and send orders; a silent rank raises no exception."""
 
     @abc.abstractmethod
     async def report(self, rank: Rank) -> RankReport | None:
-        """Ask a rank of itself, ``None`` without an answer."""
+        """Return the rank's report, ``None`` without a response."""
 
     @abc.abstractmethod
     async def counts(self, rank: Rank, sets: int) -> Counts | None:
-        """Ask for the choices in so many sets, ``None`` without an answer."""
+        """Return the choices in ``sets`` sets, ``None`` without a response."""
 
     @abc.abstractmethod
     async def placement(self, rank: Rank) -> Placement | None:
-        """Ask for the version in force and the rank's experts by set."""
+        """Return the version in force and the rank's experts by set."""
 
     @abc.abstractmethod
     def stall_seconds(self, numbers: int) -> float:
-        """Return how long a group rests while so many numbers are read.
-
-        All its ranks rest for each rank that is read, one after the other.
-        """
+        """Return how long reading ``numbers`` values of a rank stalls its group."""
 
     @abc.abstractmethod
-    async def order(self, rank: Rank, asked: Order) -> Outcome:
-        """Send an order once and tell what is known of it."""
+    async def order(self, rank: Rank, order: Order) -> Outcome:
+        """Send an order once and return what is known of its outcome."""
 
     @abc.abstractmethod
     async def close(self) -> None:
--- a/tamarackthread/control/site/maps/readings.py
+++ b/tamarackthread/control/site/maps/readings.py
@@ -1,4 +1,4 @@
-"""Learn a group's map and the demand for its experts from its ranks."""
+"""Read a group's map and its experts' demand from the ranks."""
 
 from __future__ import annotations
 
@@ -13,50 +13,44 @@
     switching,
 )
 
-# Ranks whose counts are read.  Calls are spread evenly, so what one rank chooses
-# in a second is like the choices of the rest, and a few show that nothing has
-# shifted.  Reading is charged for and rests the group, so more
-# are read only while demand is not known well.  A large group needs more: its
-# even maps are made for more experts, each of which is chosen less often.
-CALM_SHARE = 0.03
-ALERT_SHARE = 0.08
-LEAST_ALERT = 3
+# Fraction of ranks sampled while demand is stable and otherwise.  Reading stalls
+# the group, and calls spread evenly, so a small sample is representative.
+SETTLED_FRACTION = 0.03
+UNSETTLED_FRACTION = 0.08
+MIN_UNSETTLED_RANKS = 3
 
 
 async def read_placement(
-    asked: ranks.Ranks,
-    known: group_state.GroupState,
+    client: ranks.Ranks,
+    state: group_state.GroupState,
     group: switching.Group,
 ) -> bool:
-    """Read the map in force unless the owner has put it there.
-
-    Returns whether it is known.
-    """
-    if known.epoch == group.epoch and known.version >= group.version:
+    """Read the map in force if it is unknown; return whether it is known."""
+    if state.epoch == group.epoch and state.version >= group.version:
         return True
-    found = await _placements(asked, known, group)
+    found = await _placements(client, state, group)
     if None in found or len({row[0] for row in found}) != 1:
         return False
-    known.epoch = group.epoch
-    known.version = found[0][0]
+    state.epoch = group.epoch
+    state.version = found[0][0]
     by_rank = [row[1] for row in found]
-    known.placement = tuple(
+    state.placement = tuple(
         tuple(experts) for experts in zip(*by_rank, strict=True)
     )
     return True
 
 
 async def read_demand(
-    asked: ranks.Ranks,
-    known: group_state.GroupState,
+    client: ranks.Ranks,
+    state: group_state.GroupState,
     group: switching.Group,
 ) -> None:
-    """Read the counts of some ranks into what is known of the demand."""
-    sample = group.serving[: _sample_size(asked, known, group)]
+    """Add the counts of a sample of ranks to the group's demand."""
+    sample = group.serving[: _rank_count(client, state, group)]
     found = await asyncio.gather(
-        *(asked.counts(member, len(known.placement)) for member in sample)
+        *(client.counts(member, len(state.placement)) for member in sample)
     )
-    known.demand.add_counts(
+    state.demand.add_counts(
         {
             member.target: counts
             for member, counts in zip(sample, found, strict=True)
@@ -67,41 +61,41 @@
 
 
 async def _placements(
-    asked: ranks.Ranks,
-    known: group_state.GroupState,
+    client: ranks.Ranks,
+    state: group_state.GroupState,
     group: switching.Group,
 ) -> list[ranks.Placement | None]:
-    """Read what each rank holds, a few ranks at a time."""
-    numbers = known.shape.sets * known.shape.places
-    at_once = known.max_parallel_reads(asked.stall_seconds(numbers))
+    """Read the experts of each rank, in batches that bound the stall."""
+    numbers = state.shape.sets * state.shape.places
+    batch_size = state.max_parallel_reads(client.stall_seconds(numbers))
     found: list[ranks.Placement | None] = []
-    for members in _batches(group.members, at_once):
+    for members in _batches(group.members, batch_size):
         if found:
-            await asyncio.sleep(known.read_spacing)
-        found.extend(await group_discovery.ask_all(asked.placement, members))
+            await asyncio.sleep(state.read_spacing)
+        found.extend(await group_discovery.ask_all(client.placement, members))
     return found
 
 
 def _batches(
     members: tuple[ranks.Rank, ...],
-    at_once: int | None,
+    batch_size: int | None,
 ) -> collections.abc.Iterator[tuple[ranks.Rank, ...]]:
-    size = at_once or len(members)
+    size = batch_size or len(members)
     for first in range(0, len(members), size):
         yield members[first : first + size]
 
 
-def _sample_size(
-    asked: ranks.Ranks,
-    known: group_state.GroupState,
+def _rank_count(
+    client: ranks.Ranks,
+    state: group_state.GroupState,
     group: switching.Group,
 ) -> int:
-    """Return how many ranks to read."""
+    """Return the size of the sample."""
     size = len(group.members)
-    wanted = max(LEAST_ALERT, math.ceil(size * ALERT_SHARE))
-    if known.demand.is_settled:
-        wanted = math.ceil(size * CALM_SHARE)
-    numbers = known.shape.sets * known.shape.experts
+    wanted = max(MIN_UNSETTLED_RANKS, math.ceil(size * UNSETTLED_FRACTION))
+    if state.demand.is_settled:
+        wanted = math.ceil(size * SETTLED_FRACTION)
+    numbers = state.shape.sets * state.shape.experts
     return min(
-        wanted, known.max_parallel_reads(asked.stall_seconds(numbers)) or size
+        wanted, state.max_parallel_reads(client.stall_seconds(numbers)) or size
     )
--- a/tamarackthread/control/site/maps/recovery.py
+++ b/tamarackthread/control/site/maps/recovery.py
@@ -1,4 +1,4 @@
-"""Let go groups that an earlier owner, or a late order, has left held."""
+"""Release groups that an earlier owner or a late order has left held."""
 
 from __future__ import annotations
 
@@ -8,49 +8,46 @@
 from tamarackthread.control.site.maps import group_discovery, ranks, switching
 from tamarackthread.shared import log_events
 
-# A term has this many fences, one more for each switch that is taken back, and as
-# many versions of maps: at one switch a second, those of eleven days.
+# Fences and map versions available to one term.  A fence is used for each rolled
+# back switch, a version for each map.
 FENCES_PER_TERM = 1_000_000
 _log = logging.getLogger('tamarackthread.control')
 
 
 class OwnerFences:
-    """Give out the fences of one owner: higher with each term and taking back."""
+    """Issue the owner's fences, which rise with each term and rollback."""
 
     def __init__(self) -> None:
-        """Begin with nothing taken back."""
-        self._taken_back = 0
+        """Start without rollbacks."""
+        self._rollbacks = 0
         self._is_outdated = False
 
     @property
     def is_outdated(self) -> bool:
-        """Tell whether a rank has seen the orders of a later owner."""
+        """Return whether a rank has seen a later owner's orders."""
         return self._is_outdated
 
     def current(self, term: int) -> int:
-        """Return the fence in use."""
-        return term * FENCES_PER_TERM + self._taken_back
+        """Return the current fence."""
+        return term * FENCES_PER_TERM + self._rollbacks
 
     def advance(self) -> None:
-        """Have all that is ordered from now on shut out what was before."""
-        self._taken_back += 1
+        """Raise the fence, so that ranks refuse all earlier orders."""
+        self._rollbacks += 1
 
     def observe(self, switcher: switching.Switcher) -> None:
-        """Take what the ranks have said to a switcher."""
+        """Record whether a rank refused the switcher's fence as outdated."""
         self._is_outdated |= switcher.is_outdated
 
 
 async def complete_switch(
-    asked: ranks.Ranks,
+    client: ranks.Ranks,
     fences: OwnerFences,
     term: int,
     group: switching.Group,
     step: int,
 ) -> bool:
-    """Bring a switch to its end, or take it back, at a step that is held.
-
-    Returns whether the group was let go.
-    """
+    """Complete or roll back a held switch; return whether it was released."""
     log_events.tell(
         _log,
         log_events.Event.HELD,
@@ -61,13 +58,13 @@
         group=group.name,
         step=step,
     )
-    switcher = switching.Switcher(asked, fences.current(term))
+    switcher = switching.Switcher(client, fences.current(term))
     is_fenced = await switcher.fence(group, step)
     fences.observe(switcher)
     if not is_fenced:
         return False
     await asyncio.sleep(switching.LAG_SECONDS)
-    fenced = await group_discovery.refresh(asked, group)
+    fenced = await group_discovery.refresh(client, group)
     if fenced is None:
         return False
     if fenced.armed is None:
@@ -75,12 +72,12 @@
     if await switcher.finish(fenced, fenced.armed, fenced.members):
         return True
     fences.advance()
-    higher = switching.Switcher(asked, fences.current(term))
-    is_back = await higher.roll_back(fenced, fenced.armed)
+    rollback = switching.Switcher(client, fences.current(term))
+    is_rolled_back = await rollback.roll_back(fenced, fenced.armed)
     _log.warning(
         'control: the switch of group %s at step %d was %s',
         group.name,
         step,
-        'taken back' if is_back else 'left to the next look',
+        'rolled back' if is_rolled_back else 'left to the next look',
     )
-    return is_back
+    return is_rolled_back
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -171,7 +171,7 @@
             report('b', 1),
         )
         self.assertEqual((False, True), (found['a'][1], found['b'][1]))
-        self.assertTrue(self.held.has_closed)
+        self.assertTrue(self.held.has_closed_group)
 
     def test_one_group(self):
         """Of a service with one group nothing is told."""
