--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -1,4 +1,4 @@
-"""Own the expert maps of a site's groups while this host leads."""
+"""Balance the expert maps of a site's groups while this host owns them."""
 
 from __future__ import annotations
 
@@ -21,115 +21,103 @@
 from tamarackthread.shared.site import configuration, figures
 from tamarackthread.shared.site import groups as site_groups
 
-# Ranks are asked for their reports so often, and those of pressed groups for
-# their counts in between.  Demand shifts every two to four seconds and makes
-# steps two to three times as long at once, so each tenth of a second until the
-# switch is waited for by every caller of the group.
+# Intervals at which groups are discovered and, under load, their counts are read.
+# Demand shifts every few seconds, and all callers wait until the map follows.
 DISCOVERY_SECONDS = 1.0
 READ_SECONDS = 0.2
-# While steps are short they are timed as often, which costs a report, and counts
-# are read half as often: a shift shows in the steps as soon.
-CALM_READ_SECONDS = 0.39
-# A new owner knows neither the groups nor their demand, and may have been left a
-# group that is held.  It looks and reads so often until it knows them: reports
-# lag by some tenths of a second, and the first look may tell of before the hold.
-EAGER_SECONDS = 0.1
-# So long a new owner looks for a hold at least: the lag of reports, and a look.
-SETTLE_SECONDS = 0.4
-# A group that stays incomplete, because a rank is down, is looked for eagerly so
-# long at most after this owner began.
-MOST_EAGER_SECONDS = 3.0
-# A group that is closed opens again within a second or two, and callers go to others
-# until it is seen to be open.
-CLOSED_LOOK_SECONDS = 0.3
-# Reports that an owner asks for in a second: each takes a third of a millisecond
-# of its host, which has the log to keep beside it.
-MOST_REPORTS_CALM = 300
-MOST_REPORTS_EAGER = 1500
+# Interval of readings while steps are short.  Step times, which are checked more
+# often, show a shift as soon and are cheaper to read.
+SHORT_STEP_READ_SECONDS = 0.39
+# Interval while a new owner lacks groups or demand: it may have taken over a held
+# group, and reports lag, so the first ones may predate the hold.
+FAST_INTERVAL_SECONDS = 0.1
+# Minimum duration of the fast interval after a start, to cover the lag of reports.
+MIN_FAST_SECONDS = 0.4
+# Maximum duration of the fast interval while a group stays incomplete.
+MAX_FAST_SECONDS = 3.0
+# Interval while a group is closed: its callers use other groups until it is seen
+# to have reopened.
+CLOSED_DISCOVERY_SECONDS = 0.3
+# Reports requested per second, normally and in the fast interval, which bound the
+# processor time that discovery takes from the consensus log.
+MAX_REPORTS_PER_SECOND = 300
+MAX_FAST_REPORTS_PER_SECOND = 1500
 Members = collections.abc.Callable[[str], list[ranks.Rank]]
 RecordPace = collections.abc.Callable[[str, float], None]
 
 
 class Owner:
-    """Look at all groups and switch the map of each where that pays.
+    """Discover the groups, release held ones and balance their maps.
 
-    Nothing that is done for one group waits for another: each may have one piece
-    of ``work`` under way.
+    Groups are reconciled independently, each by one task at a time.
     """
 
     def __init__(
         self,
-        asked: ranks.Ranks,
+        client: ranks.Ranks,
         members: Members,
         record_pace: RecordPace,
         work: offload.Offload,
     ) -> None:
-        """Find a service's targets with ``members``; tell how fast they are.
-
-        Plans are made by ``work``, so that heartbeats go on meanwhile.
-        """
-        self._decider = map_planner.MapPlanner(work)
+        """Plan in ``work``; report each target's pace to ``record_pace``."""
+        self._planner = map_planner.MapPlanner(work)
         self._record_pace = record_pace
-        self._ranks = asked
+        self._ranks = client
         self._members = members
-        self._watched: dict[str, group_state.GroupState] = {}
+        self._states: dict[str, group_state.GroupState] = {}
         self._fences = recovery.OwnerFences()
         self._has_released = False
-        self._is_missing = False
-        self._asked = 0
+        self._has_incomplete_service = False
+        self._report_count = 0
         self._busy: set[str] = set()
         self._membership = membership.Membership()
-        self._began_at = -math.inf
+        self._started_at = -math.inf
 
     @property
     def has_released(self) -> bool:
-        """Tell whether the last look found a group held."""
+        """Return whether a held group was found since the last discovery."""
         return self._has_released
 
     @property
     def discovery_interval(self) -> float:
-        """Return how long to wait before the next look.
+        """Return the seconds until the next discovery.
 
-        After a group was found held its ranks are asked again at once: what
-        it waited for is over, and its demand has not been read meanwhile.
+        It is short after a release: the group's demand is out of date.
         """
-        usual, most_reports = self._usual_look()
-        return max(usual, self._asked / most_reports)
-
-    def _usual_look(self) -> tuple[float, int]:
-        """Return the time between looks, and the most reports a second."""
-        owned = asyncio.get_running_loop().time() - self._began_at
-        is_eager = self._is_missing and owned < MOST_EAGER_SECONDS
-        if self._has_released or is_eager or owned < SETTLE_SECONDS:
-            return EAGER_SECONDS, MOST_REPORTS_EAGER
+        usual, max_reports = self._base_interval()
+        return max(usual, self._report_count / max_reports)
+
+    def _base_interval(self) -> tuple[float, int]:
+        """Return the interval and the maximum number of reports per second."""
+        owned = asyncio.get_running_loop().time() - self._started_at
+        is_fast = self._has_incomplete_service and owned < MAX_FAST_SECONDS
+        if self._has_released or is_fast or owned < MIN_FAST_SECONDS:
+            return FAST_INTERVAL_SECONDS, MAX_FAST_REPORTS_PER_SECOND
         if self._membership.has_closed_group:
-            return CLOSED_LOOK_SECONDS, MOST_REPORTS_EAGER
-        return DISCOVERY_SECONDS, MOST_REPORTS_CALM
+            return CLOSED_DISCOVERY_SECONDS, MAX_FAST_REPORTS_PER_SECOND
+        return DISCOVERY_SECONDS, MAX_REPORTS_PER_SECOND
 
     @property
     def read_interval(self) -> float:
-        """Return how long to wait before the next reading of counts."""
-        for known in self._watched.values():
-            if known.group is not None and not known.demand.tokens:
-                return EAGER_SECONDS
-            if known.awaits_demand:
-                return EAGER_SECONDS
+        """Return the seconds until the next reading of counts."""
+        for state in self._states.values():
+            if state.group is not None and not state.demand.tokens:
+                return FAST_INTERVAL_SECONDS
+            if state.awaits_demand:
+                return FAST_INTERVAL_SECONDS
         return READ_SECONDS
 
     @property
     def is_outdated(self) -> bool:
-        """Tell whether a rank has seen the orders of a later owner."""
+        """Return whether a rank has seen a later owner's orders."""
         return self._fences.is_outdated
 
     def reset(self) -> None:
-        """Forget what an earlier time as owner has left.
-
-        What it had under way must have ended.
-        """
-        self._watched = {}
+        """Discard the state of an earlier ownership, whose tasks must be done."""
+        self._states = {}
         self._busy = set()
         self._fences = recovery.OwnerFences()
-        self._began_at = asyncio.get_running_loop().time()
+        self._started_at = asyncio.get_running_loop().time()
 
     @property
     def groups(self) -> list[site_groups.Group]:
@@ -138,21 +126,21 @@
 
     @property
     def idle(self) -> list[str]:
-        """List the groups that have no work under way."""
-        return [name for name in self._watched if name not in self._busy]
+        """List the groups that are not being reconciled."""
+        return [name for name in self._states if name not in self._busy]
 
     async def discover_and_release(
         self,
         services: collections.abc.Iterable[configuration.Service],
         term: int,
     ) -> None:
-        """Look at the services' groups and let go those that are held."""
+        """Discover the services' groups and release those that are held."""
         await self.discover(services)
-        held = [name for name in self.idle if self._watched[name].held]
+        held = [name for name in self.idle if self._states[name].held]
         await asyncio.gather(*(self.reconcile(name, term) for name in held))
 
     async def reconcile_all(self, term: int) -> None:
-        """Do what is due for each group, side by side."""
+        """Reconcile all idle groups concurrently."""
         await asyncio.gather(
             *(self.reconcile(name, term) for name in self.idle)
         )
@@ -161,174 +149,167 @@
         self,
         services: collections.abc.Iterable[configuration.Service],
     ) -> None:
-        """Ask all ranks of the services for reports."""
+        """Update the groups from the reports of all ranks of the services."""
         self._has_released = False
-        self._is_missing = False
-        self._asked = 0
+        self._has_incomplete_service = False
+        self._report_count = 0
         for service in services:
             if service.experts is None:
                 continue
-            found = await self._find(service.name)
-            self._is_missing |= not found
+            found = await self._discover_service(service.name)
+            self._has_incomplete_service |= not found
             for group in found:
-                known = self._know(service, group)
-                known.held = None
+                state = self._state_of(service, group)
+                state.held = None
                 if group.held is None:
-                    _see(known, group)
+                    _update_state(state, group)
                 elif group.name not in self._busy:
-                    known.held = group
+                    state.held = group
 
     async def reconcile(self, name: str, term: int) -> None:
-        """Do what is due for one group, as owner of a term.
-
-        A group that is held is let go.  Else the counts of a pressed one are
-        read, and its map is switched where that pays.
-        """
-        known = self._watched.get(name)
-        if known is None or name in self._busy:
+        """Release the group if it is held, else rebalance it if that pays off."""
+        state = self._states.get(name)
+        if state is None or name in self._busy:
             return
-        # Work of an earlier term ends only after the next one has begun.
+        # A cancelled task may end after ``reset`` has replaced the set.
         busy = self._busy
         busy.add(name)
         try:
-            if known.held is not None:
-                await self._release(known, known.held, term)
-            elif known.group is not None and await self._presses(known):
-                await self._read_group(known, known.group, term)
+            if state.held is not None:
+                await self._release(state, state.held, term)
+            elif state.group is not None and await self._needs_balancing(state):
+                await self._rebalance(state, state.group, term)
         finally:
             busy.discard(name)
 
-    async def _read_group(
+    async def _rebalance(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
         term: int,
     ) -> None:
-        if not await self._is_due(known, group):
+        if not await self._is_read_due(state, group):
             return
-        if not await readings.read_placement(self._ranks, known, group):
+        if not await readings.read_placement(self._ranks, state, group):
             return
-        await readings.read_demand(self._ranks, known, group)
-        if known.awaits_demand:
-            self._alert(known)
-        wanted = await self._decider.plan(known, group)
+        await readings.read_demand(self._ranks, state, group)
+        if state.awaits_demand:
+            self._expedite_others(state)
+        wanted = await self._planner.plan(state, group)
         if wanted is not None:
-            await self._switch(known, group, wanted, term)
+            await self._switch(state, group, wanted, term)
 
-    def _alert(self, shifted: group_state.GroupState) -> None:
-        """Have the other groups of a service read at once.
+    def _expedite_others(self, shifted: group_state.GroupState) -> None:
+        """Let the service's other groups be read at once.
 
-        Callers are spread over all of them, so demand shifts for all alike.
+        Calls are spread over all groups, so a shift affects them alike.
         """
-        for known in self._watched.values():
-            if known is not shifted and known.service == shifted.service:
-                known.read_at = -math.inf
+        for state in self._states.values():
+            if state is not shifted and state.service == shifted.service:
+                state.read_at = -math.inf
 
-    async def _presses(self, known: group_state.GroupState) -> bool:
-        """Tell whether a group's steps are long, as one rank tells."""
+    async def _needs_balancing(self, state: group_state.GroupState) -> bool:
+        """Return whether the group needs balancing, by a fresh report."""
         now = asyncio.get_running_loop().time()
-        if known.needs_balancing(now):
+        if state.needs_balancing(now):
             return True
-        await map_change.refresh_step_time(self._ranks, known, known.group)
-        return known.needs_balancing(now)
+        await map_change.refresh_step_time(self._ranks, state, state.group)
+        return state.needs_balancing(now)
 
-    async def _is_due(
+    async def _is_read_due(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
     ) -> bool:
-        """Tell whether counts are worth reading again.
-
-        While steps are short, nothing has shifted that anybody would feel.
-        """
+        """Return whether to read the counts, which short steps make needless."""
         now = asyncio.get_running_loop().time()
-        is_long_ago = known.read_at + CALM_READ_SECONDS <= now
-        if is_long_ago or known.awaits_demand:
-            known.read_at = now
+        is_long_ago = state.read_at + SHORT_STEP_READ_SECONDS <= now
+        if is_long_ago or state.awaits_demand:
+            state.read_at = now
             return True
-        await map_change.refresh_step_time(self._ranks, known, group)
+        await map_change.refresh_step_time(self._ranks, state, group)
         if (
-            known.step_seconds < map_planner.SHORT_STEP_SECONDS
-            and known.demand.is_settled
-            and not known.is_full
+            state.step_seconds < map_planner.SHORT_STEP_SECONDS
+            and state.demand.is_settled
+            and not state.is_full
         ):
             return False
-        known.read_at = now
+        state.read_at = now
         return True
 
-    async def _find(self, service: str) -> list[switching.Group]:
+    async def _discover_service(self, service: str) -> list[switching.Group]:
         members = self._members(service)
-        self._asked += len(members)
+        self._report_count += len(members)
         found = await group_discovery.fetch_reports(self._ranks, members)
         self._membership.learn(service, members, found)
         for member, report in zip(members, found, strict=True):
             if report is not None:
                 self._record_pace(member.target, report.pace)
-        for known in self._watched.values():
-            if known.group is not None and group_discovery.has_ended(
-                known.group, found
+        for state in self._states.values():
+            if state.group is not None and group_discovery.has_ended(
+                state.group, found
             ):
-                known.group = None
+                state.group = None
         return group_discovery.complete_groups(members, found)
 
     async def _release(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
         term: int,
     ) -> None:
         loop = asyncio.get_running_loop()
-        known.held = None
+        state.held = None
         step = group.held
-        if step is None or known.is_stale_hold(step, loop.time()):
+        if step is None or state.is_stale_hold(step, loop.time()):
             return
         if await recovery.complete_switch(
             self._ranks, self._fences, term, group, step
         ):
-            known.record_release(step, loop.time())
+            state.record_release(step, loop.time())
         self._has_released = True
 
-    def _know(
+    def _state_of(
         self,
         service: configuration.Service,
         group: switching.Group,
     ) -> group_state.GroupState:
-        known = self._watched.get(group.name)
-        if known is None:
-            known = group_state.GroupState(
+        state = self._states.get(group.name)
+        if state is None:
+            state = group_state.GroupState(
                 service.experts, service=service.name
             )
-            self._watched[group.name] = known
-        known.shape = service.experts
-        known.gap = service.gap
+            self._states[group.name] = state
+        state.shape = service.experts
+        state.gap = service.gap
         if service.passes is not None:
-            known.min_step = service.passes.empty
-        return known
+            state.min_step = service.passes.empty
+        return state
 
     async def _switch(
         self,
-        known: group_state.GroupState,
+        state: group_state.GroupState,
         group: switching.Group,
         wanted: ranks.GroupMap,
         term: int,
     ) -> None:
         switcher = switching.Switcher(self._ranks, self._fences.current(term))
-        change = map_change.MapChange(self._ranks, switcher, known, group)
-        version = known.next_version(term * recovery.FENCES_PER_TERM)
-        is_sound = await change.run(version, wanted)
+        change = map_change.MapChange(self._ranks, switcher, state, group)
+        version = state.next_version(term * recovery.FENCES_PER_TERM)
+        is_safe = await change.run(version, wanted)
         self._fences.observe(switcher)
-        if not is_sound:
-            # A copy of an arm that got no answer may still be carried out, and
-            # would switch one rank alone once the group was let go.  What
-            # brings this switch to its end has a higher fence, which every
-            # rank is given first, so that they refuse such a copy.
+        if not is_safe:
+            # An unanswered arm order may still be carried out, and would switch
+            # a single rank after the release.  A higher fence makes ranks refuse.
             self._fences.advance()
 
 
-def _see(known: group_state.GroupState, group: switching.Group) -> None:
-    # Reports lag by different times, so that right after a switch some
-    # ranks seem to have the map before it.
+def _update_state(
+    state: group_state.GroupState, group: switching.Group
+) -> None:
+    # Reports lag by different times: just after a switch they may disagree on
+    # the version.
     if group.armed is not None or group.has_mixed_versions:
         return
-    known.update(group, asyncio.get_running_loop().time())
-    figures.STEP_SECONDS.labels(group.name).set(known.step_seconds)
+    state.update(group, asyncio.get_running_loop().time())
+    figures.STEP_SECONDS.labels(group.name).set(state.step_seconds)
--- a/tamarackthread/control/site/maps/owner_loop.py
+++ b/tamarackthread/control/site/maps/owner_loop.py
@@ -1,4 +1,4 @@
-"""Own the groups' maps for as long as this host leads the site."""
+"""Run the owner of the expert maps while this host leads the site."""
 
 from __future__ import annotations
 
@@ -11,64 +11,61 @@
 from tamarackthread.control.site.maps import owner
 from tamarackthread.shared import errors
 
-# A new leader looks at once: the former one may have left a group held.
-LEAD_LOOK_SECONDS = 0.1
-# Where nobody leads, the last leader goes on for so long at most.  Halves of the
-# control hosts lose each other for some seconds; one that has been alone for
-# longer knows too little of who the targets are.
-ALONE_SECONDS = 10.0
-# Names the look among what is under way; no group has an empty name.
-_LOOK = ''
+# Interval at which a follower checks for the lease; short, as the former leader
+# may have left a group held.
+LEASE_CHECK_SECONDS = 0.1
+# Maximum time without a leader for which the last one keeps the maps; after that
+# its list of targets is too old.
+MAX_LEADERLESS_SECONDS = 10.0
+# Key of the discovery task; no group has an empty name.
+_DISCOVERY = ''
 _log = logging.getLogger('tamarackthread.control')
 
 
 class OwnerLoop:
-    """Look after the groups while this host leads.
+    """Discover groups and reconcile each one in a task of its own.
 
-    The term of the log is the fence of this owner's orders: it is higher with
-    each leader and survives every restart, so ranks refuse what a former
-    leader still has on its way.
+    The log's term is the fence of all orders: it rises with each leader and
+    survives restarts, so ranks refuse the late orders of former leaders.
 
-    Where they do, the lease guards nothing that the fence does not, and with
-    ``goes_on`` the last leader owns the maps until another leads.  Else a split
-    of the control hosts leaves every group with the map of a demand that is
-    over within seconds, and all its callers wait.
-
-    Each group has a task of its own, beside the one that looks at all.  The
-    failure: a rank of one group is silent, and while its owner waits for the
-    answer all other groups keep the map of a demand that is over.
+    With ``outlives_lease`` the last leader keeps the maps until a new one is
+    elected.  Fencing makes that safe, and a control host that is partitioned
+    does not leave groups with outdated maps.
     """
 
     def __init__(
         self,
         group: consensus.Consensus,
         targets: target_registry.TargetRegistry,
-        known: site_directory.SiteDirectory,
+        directory: site_directory.SiteDirectory,
         maps: owner.Owner,
         *,
         outlives_lease: bool,
     ) -> None:
-        """Look at the services of ``known`` with ``maps``."""
+        """Run ``maps`` for the services of ``directory``."""
         self._group = group
         self._targets = targets
-        self._known = known
-        self._maps = maps
+        self._directory = directory
+        self._owner = maps
         self._outlives_lease = outlives_lease
         self._term = 0
-        self._led_at = -ALONE_SECONDS
-        self._looked_at = -ALONE_SECONDS
-        self._under_way: dict[str, asyncio.Task[None]] = {}
+        self._leased_at = -MAX_LEADERLESS_SECONDS
+        self._discovered_at = -MAX_LEADERLESS_SECONDS
+        self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Begin what is due for ever, as owner."""
+        """Run until cancelled, starting due tasks while this host is owner."""
         try:
             while True:
                 if not self._owns():
-                    await asyncio.sleep(LEAD_LOOK_SECONDS)
+                    await asyncio.sleep(LEASE_CHECK_SECONDS)
                     continue
-                self._begin_due()
+                self._start_due()
                 await asyncio.sleep(
-                    min(self._maps.read_interval, self._maps.discovery_interval)
+                    min(
+                        self._owner.read_interval,
+                        self._owner.discovery_interval,
+                    )
                 )
         finally:
             self._cancel()
@@ -79,61 +76,61 @@
             if self._term != self._group.term:
                 self._term = self._group.term
                 self._cancel()
-                self._maps.reset()
-                self._looked_at = -ALONE_SECONDS
-            self._led_at = now
+                self._owner.reset()
+                self._discovered_at = -MAX_LEADERLESS_SECONDS
+            self._leased_at = now
             return True
-        # A later term was voted for: its leader has the higher fence.
+        # In a later term another leader may own the maps, with a higher fence.
         is_last = self._outlives_lease and self._group.term == self._term
-        is_recent = now - self._led_at < ALONE_SECONDS
-        return is_last and is_recent and not self._maps.is_outdated
+        is_recent = now - self._leased_at < MAX_LEADERLESS_SECONDS
+        return is_last and is_recent and not self._owner.is_outdated
 
-    def _begin_due(self) -> None:
-        """Begin a look if it is due, and work at each group that has none."""
-        for name, task in tuple(self._under_way.items()):
+    def _start_due(self) -> None:
+        """Start discovery if due, and a task for each idle group."""
+        for name, task in tuple(self._tasks.items()):
             if task.done():
-                self._under_way.pop(name)
-                _tell_failure(name, task)
+                self._tasks.pop(name)
+                _log_failure(name, task)
         now = asyncio.get_running_loop().time()
-        is_due = now - self._looked_at >= self._maps.discovery_interval
-        if is_due and _LOOK not in self._under_way:
-            self._looked_at = now
-            self._begin(_LOOK, self._look())
-        for name in self._maps.idle:
-            if name not in self._under_way:
-                self._begin(name, self._work(name, self._term))
-
-    def _begin(
+        is_due = now - self._discovered_at >= self._owner.discovery_interval
+        if is_due and _DISCOVERY not in self._tasks:
+            self._discovered_at = now
+            self._start(_DISCOVERY, self._discover())
+        for name in self._owner.idle:
+            if name not in self._tasks:
+                self._start(name, self._reconcile(name, self._term))
+
+    def _start(
         self,
         name: str,
         work: collections.abc.Coroutine[None, None, None],
     ) -> None:
-        self._under_way[name] = asyncio.get_running_loop().create_task(work)
+        self._tasks[name] = asyncio.get_running_loop().create_task(work)
 
-    async def _work(self, name: str, term: int) -> None:
-        """Work at a group, and leave it alone until its next reading.
+    async def _reconcile(self, name: str, term: int) -> None:
+        """Reconcile a group, then wait until its next reading.
 
-        Read right after a switch, counts hold choices from before it, for which
-        another switch would follow.
+        Counts read right after a switch would include choices from before it
+        and cause another switch.
         """
-        await self._maps.reconcile(name, term)
-        await asyncio.sleep(self._maps.read_interval)
+        await self._owner.reconcile(name, term)
+        await asyncio.sleep(self._owner.read_interval)
 
     def _cancel(self) -> None:
-        for task in self._under_way.values():
+        for task in self._tasks.values():
             task.cancel()
-        self._under_way = {}
+        self._tasks = {}
 
-    async def _look(self) -> None:
-        for said in self._targets.changed_since(0):
-            self._known.learn_target(said)
-        await self._maps.discover(self._known.services())
-        if self._maps.groups:
-            self._targets.record_groups(self._term, self._maps.groups)
+    async def _discover(self) -> None:
+        for announcement in self._targets.changed_since(0):
+            self._directory.learn_target(announcement)
+        await self._owner.discover(self._directory.services())
+        if self._owner.groups:
+            self._targets.record_groups(self._term, self._owner.groups)
 
 
-def _tell_failure(name: str, task: asyncio.Task[None]) -> None:
-    """Log what has ended a task; raise a fault of the program."""
+def _log_failure(name: str, task: asyncio.Task[None]) -> None:
+    """Log the failure of a task; raise any other than a ``CodedError``."""
     if task.cancelled():
         return
     failure = task.exception()
@@ -143,6 +140,6 @@
         raise failure
     _log.error(
         'control: %s failed, %s',
-        f'work at group {name}' if name else 'look at maps',
+        f'reconciling group {name}' if name else 'group discovery',
         failure,
     )
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -158,7 +158,8 @@
         service = configuration.Service(name=SERVICE, experts=shape)
         await found.discover([service])
         self.assertGreaterEqual(
-            found.discovery_interval, TARGETS / owner.MOST_REPORTS_EAGER
+            found.discovery_interval,
+            TARGETS / owner.MAX_FAST_REPORTS_PER_SECOND,
         )
 
 
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -520,7 +520,7 @@
         owning = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
         await owning.discover_and_release([service], 1)
-        while owning._watched['g'].version <= 0:
+        while owning._states['g'].version <= 0:
             await owning.reconcile_all(1)
         while group.seen[0][0].held is None:
             await asyncio.sleep(0.01)
