--- a/tamarackthread/control/site/maps/recovery.py
+++ b/tamarackthread/control/site/maps/recovery.py
@@ -63,7 +63,7 @@
     fences.observe(switcher)
     if not is_fenced:
         return False
-    await asyncio.sleep(switching.LAG_SECONDS)
+    await asyncio.sleep(switching.REPORT_LAG_SECONDS)
     fenced = await group_discovery.refresh(client, group)
     if fenced is None:
         return False
--- a/tamarackthread/control/site/maps/switching.py
+++ b/tamarackthread/control/site/maps/switching.py
@@ -1,22 +1,20 @@
-"""Switch all ranks of a group to one map at one step.
+"""Switch all ranks of a group to a new map at the same step.
 
-In every step all ranks must use one map.  What makes that hold:
+No step may run with two maps.  Two rules ensure that:
 
-1. Before anything is armed, the group is held at the step of the switch: it
-   can't begin that step until it is told to go on.
-2. It is told so only after each rank of the epoch has answered that it is
+1. Before any rank is armed, the group is held at the step of the switch and
+   can't begin it until it is released.
+2. It is released only after every rank of the epoch has confirmed that it is
    armed for the same version and step.
 
-An order without an answer may be carried out seconds later.  It does no harm:
-an arm for a step that has begun is refused, a late copy of an arm says what
-was confirmed already, and an order of another epoch is refused.  So a switch
-that was begun is brought to its end, by the next owner too, which finds the
-hold and the armed ranks in their reports.
+An unanswered order may still be carried out later.  That is harmless: ranks
+refuse an arm for a step that has begun and any order of another epoch, and a
+second copy of an arm changes nothing.  The next owner finds the hold and the
+armed ranks in the reports and completes the switch.
 
-Where that can't be, because two owners met and a rank has another version
-prepared by now, the switch is taken back under a higher fence.  Ranks that
-have seen it refuse every arm that may still be on its way, so the ranks stay
-disarmed until the group has begun the step.
+If it can't, because another owner has prepared a different version meanwhile,
+the switch is rolled back under a higher fence, which makes ranks refuse arms
+that are still on their way.
 """
 
 from __future__ import annotations
@@ -31,36 +29,32 @@
 
 ORDER_TRIES = 40
 PAUSE_SECONDS = 0.02
-# All callers of a held group wait for the slowest answer.  Ranks answer within
-# 10 ms, so an order without one is sent anew after this, some times; a rank that
-# is slow or behind a slow link is then given the usual time.
+# Timeout of the first attempts while callers wait for a held group; an order is
+# sent anew after it.  Slow ranks and links get the usual timeout afterwards.
 HELD_TIMEOUT_SECONDS = 0.04
 FAST_TRIES = 5
-# A rank whose copies take longer than worked out refuses to be armed until it
-# has them.  Each try is 20 ms for which all callers of the group wait.
+# Attempts to arm a rank that refuses because its copies are not complete; callers
+# of the held group wait meanwhile.
 ARM_TRIES = 12
-# The step of a switch lies two to four steps ahead, each of which takes 0.1 s
-# where a group is uneven.
-FREE_TRIES = 20
-# A report tells of a map once its experts are copied, some hundred milliseconds
-# after it was taken; it is asked for so often, with such pauses.
+# Attempts to prepare a rank that is still armed for the last switch, whose step
+# lies a few steps ahead.
+PREPARE_TRIES = 20
+# Reads of a rank's report, and the pause between them, until it shows that the
+# copies of a map are complete.
 REPORT_READS = 8
 REPORT_PAUSE_SECONDS = 0.08
-# Ranks that are sent a map at once.  The failure: the map of a large group is
-# 26 KB, which to 129 ranks at once takes the owner's link longer than an answer
-# is waited for; most are sent again, which takes it longer still, and a map is
-# there after two seconds and not after a third of one.  So many go over a small
-# host's link within the patience for one of them.
+# Maps sent concurrently.  Sent to all ranks of a large group at once, they would
+# fill the owner's link for longer than the timeout and be sent again.
 MAX_PARALLEL_PREPARES = 32
-# Steps are reported some hundred milliseconds late.
-LAG_SECONDS = 0.3
+# Maximum age of the step in a report.
+REPORT_LAG_SECONDS = 0.3
 _DISARMED = frozenset((ranks.Outcome.DONE, ranks.Outcome.REFUSED))
 _log = logging.getLogger('tamarackthread.control')
 
 
 @attrs.frozen(kw_only=True)
 class Group:
-    """The ranks of one epoch of a group, in the order of their numbers."""
+    """The ranks of one epoch of a group, in rank order."""
 
     name: str
     epoch: int
@@ -69,16 +63,13 @@
 
     @property
     def serving(self) -> tuple[ranks.Rank, ...]:
-        """Return the ranks that take calls; all if none does.
-
-        Only these tell of the demand and of how many calls a rank has.
-        """
+        """Return the ranks that take calls, or all if none does."""
         found = tuple(rank for rank in self.members if rank.takes_calls)
         return found or self.members
 
     @property
     def serving_reports(self) -> tuple[ranks.RankReport, ...]:
-        """Return the reports of the ranks in ``busy``."""
+        """Return the reports of the ranks in ``serving``."""
         chosen = frozenset(self.serving)
         return tuple(
             report
@@ -88,7 +79,7 @@
 
     @property
     def step(self) -> int:
-        """Return the newest step that was reported."""
+        """Return the latest step in any report."""
         return max(report.step for report in self.reports)
 
     @property
@@ -98,12 +89,12 @@
 
     @property
     def has_mixed_versions(self) -> bool:
-        """Tell whether ranks report different maps."""
+        """Return whether ranks report different versions."""
         return len({report.version for report in self.reports}) > 1
 
     @property
     def highest_version(self) -> int:
-        """Return the highest version that any rank is known to have had."""
+        """Return the highest version that any rank has had or prepared."""
         known = [self.version]
         for report in self.reports:
             known.append(report.prepared or 0)
@@ -113,10 +104,7 @@
 
     @property
     def held(self) -> int | None:
-        """Return the step at which the group is held, if any.
-
-        Ranks may be held at different steps; the first of them is in force.
-        """
+        """Return the first step at which any rank holds the group, if any."""
         held = (report.held for report in self.reports)
         return min((step for step in held if step is not None), default=None)
 
@@ -130,17 +118,17 @@
 
 
 class Switcher:
-    """Give the orders of a switch, as one owner."""
+    """Send the orders of a switch on behalf of one owner."""
 
-    def __init__(self, asked: ranks.Ranks, fence: int) -> None:
-        """Order with ``fence``, higher than any owner before."""
-        self._ranks = asked
+    def __init__(self, client: ranks.Ranks, fence: int) -> None:
+        """Send orders with ``fence``, which must exceed all earlier ones."""
+        self._ranks = client
         self._fence = fence
         self._is_outdated = False
 
     @property
     def is_outdated(self) -> bool:
-        """Tell whether a rank has refused an order for a later owner's."""
+        """Return whether a rank has seen a higher fence."""
         return self._is_outdated
 
     async def prepare(
@@ -149,23 +137,22 @@
         version: int,
         placement: ranks.GroupMap,
     ) -> bool:
-        """Have every rank copy what a map brings new to it."""
+        """Have every rank copy its new experts; return whether all agreed."""
         order = self._order(
             ranks.PREPARE, group, version=version, placement=placement
         )
-        # Ranks that are armed refuse, and stay armed until the step of the last
-        # switch has begun, some steps after the group was let go.  One rank is
-        # asked until it is free, which costs one order a try and not one a rank.
+        # Armed ranks refuse until the last switch's step has begun.  Only one is
+        # polled, to send fewer orders.
         first = await self._send_until_accepted(
-            group.members[0], order, FREE_TRIES
+            group.members[0], order, PREPARE_TRIES
         )
         if first is not ranks.Outcome.DONE:
             _log_unprepared(group, version, [first])
             return False
-        places = asyncio.Semaphore(MAX_PARALLEL_PREPARES)
+        slots = asyncio.Semaphore(MAX_PARALLEL_PREPARES)
         outcomes = await asyncio.gather(
             *(
-                self._send_until_answered(rank, order, places)
+                self._send_until_answered(rank, order, slots)
                 for rank in group.members[1:]
             )
         )
@@ -175,17 +162,16 @@
         return False
 
     async def hold(self, group: Group, step: int) -> bool:
-        """Hold a group at a step; ``False`` if it had begun it."""
+        """Hold a group at a step; return ``False`` if that had begun."""
         order = self._order(ranks.HOLD, group, step=step)
         found = await self._send_until_answered(group.members[0], order)
         return found is ranks.Outcome.DONE
 
     async def fence(self, group: Group, step: int) -> bool:
-        """Shut out all earlier owners of a group that is held at a step.
+        """Raise the fence on all ranks of a group that is held at a step.
 
-        Each rank is held by this owner too.  Having seen the higher fence it
-        refuses an arm that an earlier owner may still have on its way, which
-        would else be carried out between our look and our go.
+        Otherwise a late arm order of an earlier owner could be carried out
+        just before the release.
         """
         outcomes = await asyncio.gather(
             *(
@@ -204,15 +190,14 @@
         held: int | None,
         step: int,
     ) -> ranks.Outcome:
-        """Hold one rank at a step, and at no other.
+        """Hold one rank at ``step``, releasing it from any other step.
 
-        A rank is held at one step at a time.  One that two owners have left
-        held at a later step than the rest would refuse this for good, and the
-        group would never go on.  Others hold it at ``step`` meanwhile.
+        A rank has one hold at a time and would refuse a second one.  The other
+        ranks hold the group meanwhile.
         """
         if held is not None and held != step:
-            let_go = self._order(ranks.GO, group, step=held)
-            await self._send_until_answered(rank, let_go)
+            release_order = self._order(ranks.GO, group, step=held)
+            await self._send_until_answered(rank, release_order)
         return await self._send_until_answered(
             rank, self._order(ranks.HOLD, group, step=step)
         )
@@ -223,10 +208,7 @@
         armed: ranks.Armed,
         holding: tuple[ranks.Rank, ...],
     ) -> bool:
-        """Arm every rank of a held group, then let it go on.
-
-        ``holding`` are the ranks that may hold it.
-        """
+        """Arm every rank of a held group, then release the ranks ``holding`` it."""
         order = self._order(
             ranks.ARM, group, version=armed.version, step=armed.step
         )
@@ -237,8 +219,8 @@
             )
         )
         if not all(found is ranks.Outcome.DONE for found in outcomes):
-            # Another owner has finished it, or the epoch is over.  If neither
-            # is so, the group stays held, which is slow and never wrong.
+            # Another owner has completed the switch, or the epoch is over.  In
+            # any other case the group stays held, which is slow but safe.
             _log.warning(
                 'control: group %s was not armed for step %d, %s',
                 group.name,
@@ -249,9 +231,9 @@
         return await self.release(group, armed.step, holding)
 
     async def roll_back(self, group: Group, armed: ranks.Armed) -> bool:
-        """Disarm every rank of a held group and let it go on as it was.
+        """Disarm every rank of a held group and release it with its old map.
 
-        Only for an owner with a higher fence than any that has armed.
+        The fence must exceed that of every owner that has sent an arm order.
         """
         if not await self.fence(group, armed.step):
             return False
@@ -259,7 +241,7 @@
         outcomes = await asyncio.gather(
             *(self._send_until_answered(rank, order) for rank in group.members)
         )
-        # A rank that was not armed may refuse; that it is not is what counts.
+        # A rank that was not armed may refuse to be disarmed.
         if not _DISARMED.issuperset(outcomes):
             return False
         return await self.release(group, armed.step, group.members)
@@ -270,7 +252,7 @@
         step: int,
         holding: tuple[ranks.Rank, ...],
     ) -> bool:
-        """Let a group begin the step at which ranks hold it."""
+        """Let a group begin the step at which the ranks ``holding`` hold it."""
         order = self._order(ranks.GO, group, step=step)
         outcomes = await asyncio.gather(
             *(self._send_until_answered(rank, order) for rank in holding)
@@ -301,11 +283,7 @@
         order: ranks.Order,
         tries: int,
     ) -> ranks.Outcome:
-        """Send an order that a rank refuses until it is ready for it.
-
-        It can't be armed while it still copies experts, and can't prepare a
-        map while it is armed.
-        """
+        """Send an order, again while the rank refuses it as not ready."""
         found = await self._send_until_answered(rank, order)
         for _ in range(tries):
             if found is not ranks.Outcome.REFUSED:
@@ -318,21 +296,22 @@
         self,
         rank: ranks.Rank,
         order: ranks.Order,
-        places: contextlib.AbstractAsyncContextManager | None = None,
+        slots: contextlib.AbstractAsyncContextManager | None = None,
     ) -> ranks.Outcome:
-        """Send an order until the rank has answered.
+        """Send an order until the rank responds; orders are idempotent.
 
-        Each order says what shall be, so a second copy changes nothing.  One
-        of ``places`` is taken while it is sent, and others have it in between.
+        Each attempt holds one of ``slots``.
         """
-        hurried = order
+        fast_order = order
         if order.operation != ranks.PREPARE:
-            hurried = attrs.evolve(order, timeout_seconds=HELD_TIMEOUT_SECONDS)
-        for tries in range(ORDER_TRIES):
-            is_hurried = tries < FAST_TRIES
-            async with places or contextlib.nullcontext():
-                found = await self._send(rank, hurried if is_hurried else order)
-            if tries and found is ranks.Outcome.REFUSED:
+            fast_order = attrs.evolve(
+                order, timeout_seconds=HELD_TIMEOUT_SECONDS
+            )
+        for attempt in range(ORDER_TRIES):
+            is_fast = attempt < FAST_TRIES
+            async with slots or contextlib.nullcontext():
+                found = await self._send(rank, fast_order if is_fast else order)
+            if attempt and found is ranks.Outcome.REFUSED:
                 return await self._resolve_refused_retry(rank, order)
             if found is not ranks.Outcome.UNKNOWN:
                 return found
@@ -344,13 +323,10 @@
         rank: ranks.Rank,
         order: ranks.Order,
     ) -> ranks.Outcome:
-        """Tell whether an order was carried out whose second copy is refused.
+        """Return the outcome of an order whose second copy was refused.
 
-        The failure: the answer to a map is lost, and the rank refuses the copy,
-        since it has had that version.  Over a link that loses packets that is one
-        rank of sixty at nearly each map, and none was switched to for seconds.
-        Versions are given out once, so a rank that has this one has this map; one
-        that says so wrongly can't be armed, without which nothing is switched.
+        A rank refuses a map that it has prepared already.  Versions are unique,
+        so its report shows whether the first copy was carried out.
         """
         if order.operation != ranks.PREPARE:
             return ranks.Outcome.REFUSED
