--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -10,7 +10,12 @@
 
 import aiohttp
 
-from tamarackthread.control.site import api, book, machine, roster
+from tamarackthread.control.site import (
+    api,
+    machine,
+    site_directory,
+    target_registry,
+)
 from tamarackthread.control.site.maps import demand, ranks
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
@@ -105,25 +110,25 @@
         self.run_paused(self._slow_no_more())
 
     async def _late_farewell(self):
-        held = book.Book(BEAT)
-        held.take(announcement(born=LATER))
-        held.farewell('t1', BORN)
-        self.assertEqual(State.READY, held.after(0)[0].state)
-        held.farewell('t1', LATER)
-        self.assertEqual(State.GONE, held.after(0)[0].state)
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(announcement(born=LATER))
+        held.mark_gone('t1', BORN)
+        self.assertEqual(State.READY, held.changed_since(0)[0].state)
+        held.mark_gone('t1', LATER)
+        self.assertEqual(State.GONE, held.changed_since(0)[0].state)
 
     async def _word_of_nobody(self):
-        held = book.Book(BEAT)
-        held.take(announcement())
-        with self.assertRaises(book.StartMissing):
-            held.take(announcement(born=0, sequence=99))
-        self.assertEqual([announcement()], held.after(0))
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(announcement())
+        with self.assertRaises(target_registry.StartMissing):
+            held.record(announcement(born=0, sequence=99))
+        self.assertEqual([announcement()], held.changed_since(0))
 
     async def _slow_no_more(self):
-        held = book.Book(BEAT)
-        held.take(announcement())
-        held.note_pace('t1', 3.0)
-        held.take(announcement(born=LATER))
+        held = target_registry.TargetRegistry(BEAT)
+        held.record(announcement())
+        held.record_pace('t1', 3.0)
+        held.record(announcement(born=LATER))
         self.assertEqual({}, held.paces())
 
 
@@ -134,7 +139,9 @@
         Taken for the newer one, it would take a living rank out of its group
         until that speaks again, a beat later.
         """
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(announcement(born=LATER, target='t2'))
         known.learn_target(announcement(born=BORN, target='t1', sequence=9))
         names = [member.target for member in known.members('s')]
@@ -147,7 +154,9 @@
         The rank at the address is the new one, and each order that is meant
         for the old one would be refused: no map would be changed any more.
         """
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(announcement(born=0, target='old'))
         known.learn_target(announcement(born=0, target='new'))
         known.learn_target(announcement(State.SILENT, born=0, target='old'))
@@ -156,7 +165,9 @@
 
     def test_both_silent(self):
         """Of two silent targets the later start is at the address."""
-        known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
+        known = site_directory.SiteDirectory(
+            machine.SiteMachine(), reading.PlatformReader()
+        )
         known.learn_target(announcement(State.SILENT, born=LATER, target='t2'))
         known.learn_target(announcement(State.SILENT, born=BORN, target='t1'))
         names = [member.target for member in known.members('s')]
@@ -170,10 +181,10 @@
         Their difference to those of the earlier start is nobody's demand.
         """
         known = demand.Demand()
-        known.take({'t1': ranks.Counts(1, ((0, 9),), BORN)}, 0)
-        known.take({'t1': ranks.Counts(1, ((50, 10),), LATER)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((0, 9),), BORN)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((50, 10),), LATER)}, 0)
         self.assertEqual([], known.tokens)
-        known.take({'t1': ranks.Counts(1, ((51, 10),), LATER)}, 0)
+        known.add_counts({'t1': ranks.Counts(1, ((51, 10),), LATER)}, 0)
         self.assertEqual([[1, 0]], known.tokens)
 
 
@@ -191,7 +202,7 @@
                 self.run_paused(self._history(random.Random(seed)))
 
     async def _history(self, rng):
-        hosts = [book.Book(BEAT) for _ in range(3)]
+        hosts = [target_registry.TargetRegistry(BEAT) for _ in range(3)]
         entries = [_Entry(rng, hosts) for _ in range(2)]
         words, last = _lives(rng)
         rng.shuffle(words)
@@ -220,7 +231,7 @@
 
     def ask(self):
         for number, host in enumerate(self._hosts):
-            for row in host.after(self._serials[number]):
+            for row in host.changed_since(self._serials[number]):
                 passed = wire.decode(
                     messages.SiteTarget,
                     wire.encode(announcements.to_message(row)),
@@ -231,9 +242,9 @@
 
 def _deliver(host, word):
     if word.state == State.GONE:
-        host.farewell(word.target, word.born)
+        host.mark_gone(word.target, word.born)
         return
-    host.take(word)
+    host.record(word)
 
 
 def _lives(rng):
@@ -346,7 +357,7 @@
     }
 
     async def asyncSetUp(self):
-        self.targets = book.Book(BEAT)
+        self.targets = target_registry.TargetRegistry(BEAT)
         self.door = door.PlatformDoor()
         self.address = await self.door.open(
             '127.0.0.1:0', _NoApi(), self.targets, _NoApi()
@@ -368,7 +379,7 @@
                 self.assertEqual(400, await self._post(f'x{number}', body))
         await self._post('x0', b'')
         self.assertEqual(len(_strange(self.GOOD)), len(logged.records))
-        known = [row.target for row in self.targets.after(0)]
+        known = [row.target for row in self.targets.changed_since(0)]
         self.assertEqual(['t1'], known)
 
     async def test_farewell_of_a_start(self):
@@ -376,10 +387,10 @@
         await self._beat('t1', {**self.GOOD, 'born': LATER})
         early = json.dumps({'born': BORN}).encode()
         self.assertEqual(200, await self._post('t1', early, 'deregister'))
-        self.assertEqual(State.READY, self.targets.after(0)[0].state)
+        self.assertEqual(State.READY, self.targets.changed_since(0)[0].state)
         self.assertEqual(400, await self._post('t1', b'[', 'deregister'))
         self.assertEqual(200, await self._post('t1', b'', 'deregister'))
-        self.assertEqual(State.GONE, self.targets.after(0)[0].state)
+        self.assertEqual(State.GONE, self.targets.changed_since(0)[0].state)
 
     async def _beat(self, target, row):
         return await self._post(target, json.dumps(row).encode())
