--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -1,11 +1,4 @@
-"""Let calls wait here while the ranks of their group have enough of them.
-
-The failure: demand shifts, and until the experts are even again each call takes
-its group twice as long.  Ranks that are given every call then make passes longer
-than callers take a pause for, all their streams are late, and what has piled up
-keeps passes long for seconds after the map is even.  A call that waits here is
-late alone, and those that can still be in time go first.
-"""
+"""Queue calls in the entry while the ranks of their group are at capacity."""
 
 from __future__ import annotations
 
@@ -19,13 +12,11 @@
 from tamarackthread.policy import crowding, opening
 from tamarackthread.shared.site import configuration
 
-# A call comes within one pass, its prompt is read in the next, at the end of which
-# its first piece comes; and there is the way to the rank and back.
+# The rest of the current pass, one pass for the prompt, and the round trip.
 PASSES_TO_FIRST_PIECE = 2.2
-# An answer's usual length counts the last ones, the newest by this much.
+# Weight of the newest sample in the moving average of answer times.
 EWMA_WEIGHT = 0.1
-# A call that is refused since it can't be answered in time gets no better answer
-# for coming back at once.
+# An immediate retry would be refused for the same reason.
 RETRY_AFTER_SECONDS = 0.5
 
 EntryCount = collections.abc.Callable[[], int]
@@ -33,19 +24,16 @@
 
 @attrs.define(eq=False)
 class _Waiter:
-    """A call that waits; ``granted`` ends its wait."""
+    """A queued call; ``granted`` resolves when it is admitted."""
 
     call: calls.Call
     granted: asyncio.Future[None]
 
 
+# A rank over its limit makes every stream of its group late; a queued call
+# delays only itself.
 class AdmissionQueue:
-    """Let the calls of one service wait for room at its ranks.
-
-    Each entry knows all calls as of the last exchange with the others.  What is
-    free is shared: an entry takes its part of it between two exchanges, and a
-    place for each call of its own that ends.
-    """
+    """Queue the calls of one service until its ranks have a free slot."""
 
     def __init__(
         self,
@@ -54,7 +42,7 @@
         all_targets: targets.Targets,
         entries: EntryCount,
     ) -> None:
-        """Bound the calls that ``all_targets`` counts by ``bound``."""
+        """Limit the concurrency that ``all_targets`` reports by ``bound``."""
         self._service = service
         self._bound = bound
         self._targets = all_targets
@@ -66,7 +54,7 @@
 
     @property
     def bound(self) -> crowding.CallBound:
-        """Return what bounds the calls."""
+        """Return the concurrency limit."""
         return self._bound
 
     @bound.setter
@@ -74,13 +62,13 @@
         self._bound = bound
 
     def __len__(self) -> int:
-        """Count the calls that wait."""
+        """Return the number of queued calls."""
         return len(self._waiting)
 
     async def admit(self, call: calls.Call) -> None:
-        """Wait until the ranks have room for a call.
+        """Wait until the ranks have a free slot for a call.
 
-        Raises ``NoRoomInTime`` as soon as an answer can't be whole in time.
+        Raises ``NoRoomInTime`` as soon as the deadline can no longer be met.
         """
         if not self._waiting and self._take_slot():
             return
@@ -98,48 +86,44 @@
             self._waiting.remove(waiter)
 
     def record_answer(self, seconds: float) -> None:
-        """Note that a call was answered so long after it had been sent."""
+        """Update the average answer time, in seconds from send to end."""
         if not self._answer_seconds:
             self._answer_seconds = seconds
         self._answer_seconds += EWMA_WEIGHT * (seconds - self._answer_seconds)
 
     def release(self) -> None:
-        """Note that a call of this entry has left its rank."""
+        """Return the slot of a call that has left its target."""
         if 0 < self._free_slots() < math.inf:
             self._quota += 1
         self._grant()
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether targets have only refused calls of late."""
+        """Tell whether targets have recently only refused calls."""
         return self._group_state.is_closed(asyncio.get_running_loop().time())
 
     def note_piece(self) -> None:
-        """Note that a target has sent a piece of an answer."""
+        """Record that a target has sent a piece of an answer."""
         self._group_state.heard(asyncio.get_running_loop().time())
 
     def note_refusal(self, target: str) -> None:
-        """Note that a target has refused a call unrun."""
+        """Record that a target has refused a call without running it."""
         self._group_state.refused(target, asyncio.get_running_loop().time())
 
     def note_gap(self, seconds: float) -> None:
-        """Take the time between two pieces of an answer."""
+        """Record the time between two pieces of an answer, in seconds."""
         self._bound.note(seconds, asyncio.get_running_loop().time())
 
     def refill(self) -> None:
-        """Take this entry's part of what is free, after an exchange.
-
-        Who has no call that waits leaves its part unused, so that each takes
-        one place at least; together they are over the bound by no more than
-        one for each entry, and only until the next exchange.
-
-        An entry without a call has seen no pass of late.  It may have one in any
-        case: else it could not learn that there is room.
-        """
+        """Reset this entry's quota of free slots after an exchange."""
         crowd = self._crowd()
         free = self._free_slots_of(crowd)
+        # An entry without calls may send one: it needs an answer to measure the
+        # pass time, and so to learn of free slots.
         self._quota = 0 if crowd.own else 1
         if 0 < free < math.inf:
+            # One slot at least, since idle entries leave theirs unused.
+            # Together the entries exceed the limit by one call each at most.
             self._quota = max(1, free / max(1, self._entries()))
         self._grant()
 
@@ -147,7 +131,7 @@
         return self._targets.crowd(self._service, self._entries())
 
     def _free_slots(self) -> float:
-        """Return how many calls more the ranks may have."""
+        """Return how many more calls the ranks may take."""
         return self._free_slots_of(self._crowd())
 
     def _free_slots_of(self, crowd: crowding.Crowd) -> float:
@@ -163,7 +147,7 @@
         return True
 
     def _grant(self) -> None:
-        """Let calls go as long as there is room, those in time first."""
+        """Admit calls while slots are free, first those that can be in time."""
         now = asyncio.get_running_loop().time()
         lead = PASSES_TO_FIRST_PIECE * self._bound.usual(now)
         rows = [row for row in self._waiting if not row.granted.done()]
@@ -175,21 +159,21 @@
 
 
 class AdmissionControl:
-    """Hold a queue for each service whose targets advance together."""
+    """Hold an admission queue for each service whose ranks run in lockstep."""
 
     def __init__(
         self,
         all_targets: targets.Targets,
         entries: EntryCount,
     ) -> None:
-        """Begin without a service."""
+        """Start without queues."""
         self._targets = all_targets
         self._entries = entries
         self._queues: dict[str, AdmissionQueue] = {}
         self._settings: dict[str, tuple[configuration.Passes, float]] = {}
 
     def learn(self, config: configuration.Configuration) -> None:
-        """Take what a configuration tells of services and their callers."""
+        """Create and update queues from a configuration."""
         for service in config.services:
             if service.passes is None:
                 continue
@@ -203,7 +187,7 @@
             )
 
     def _set_bound(self, service: str, bound: crowding.CallBound) -> None:
-        """Bound the calls of a service; those that wait stay in their queue."""
+        """Set the limit of a service's queue, keeping the calls in it."""
         queue = self._queues.get(service)
         if queue is not None:
             queue.bound = bound
@@ -213,48 +197,48 @@
         )
 
     async def admit(self, call: calls.Call) -> None:
-        """Wait until the targets of a call have room for it."""
+        """Wait until the targets of a call's service have a free slot."""
         queue = self._queues.get(call.service)
         if queue is not None:
             await queue.admit(call)
 
     def record_answer(self, call: calls.Call, seconds: float) -> None:
-        """Note that a call was answered so long after it had been sent."""
+        """Update the average answer time of a call's service, in seconds."""
         queue = self._queues.get(call.service)
         if queue is not None:
             queue.record_answer(seconds)
 
     def release(self, call: calls.Call) -> None:
-        """Note that a call has left its target."""
+        """Return the slot of a call that has left its target."""
         queue = self._queues.get(call.service)
         if queue is not None:
             queue.release()
 
     def note_piece(self, call: calls.Call) -> None:
-        """Note that a target has sent a piece of an answer."""
+        """Record that a target has sent a piece of an answer."""
         queue = self._queues.get(call.service)
         if queue is not None:
             queue.note_piece()
 
     def note_refusal(self, call: calls.Call, target: str) -> None:
-        """Note that a target has refused a call unrun."""
+        """Record that a target has refused a call without running it."""
         queue = self._queues.get(call.service)
         if queue is not None:
             queue.note_refusal(target)
 
     def is_closed(self, call: calls.Call) -> bool:
-        """Tell whether the targets of a call make no passes now."""
+        """Tell whether a call's group currently makes no passes."""
         queue = self._queues.get(call.service)
         return queue is not None and queue.is_closed
 
     def note_gap(self, call: calls.Call, seconds: float) -> None:
-        """Take the time between two pieces of a call's answer."""
+        """Record the time between two pieces of a call's answer, in seconds."""
         queue = self._queues.get(call.service)
         if queue is not None:
             queue.note_gap(seconds)
 
     def refill(self) -> None:
-        """Share what is free, after an exchange with the other entries."""
+        """Reset the quotas after an exchange with the other entries."""
         for queue in self._queues.values():
             queue.refill()
 
@@ -262,9 +246,7 @@
 def _admission_order(
     call: calls.Call, first_at: float
 ) -> tuple[bool, int, float]:
-    """Rank calls: those that can be in time, the urgent, the oldest first.
-
-    Where not all can be in time, going by age alone makes all of them late.
-    """
+    """Sort by whether the aim can be met, then by priority, then by age."""
     aim_at = call.arrived_at + call.route.aim
+    # By age alone every call would be late once some are.
     return first_at > aim_at, call.priority, aim_at
--- a/tamarackthread/entry/direct/discovery.py
+++ b/tamarackthread/entry/direct/discovery.py
@@ -1,4 +1,4 @@
-"""Wait for targets that an entry which has just started does not know yet."""
+"""Delay calls while an entry that has just started discovers targets."""
 
 from __future__ import annotations
 
@@ -8,43 +8,34 @@
 
 from tamarackthread.entry.direct import instances
 
-# After so many beats every target has announced itself, one beat being lost.
+# Heartbeats until all targets are known, one of which may be lost.
 WARM_UP_BEATS = 2.2
-# Calls that an entry which has just started has at one target.  Others start
-# with it, and together they fill the few that are known by then: of seven, each
-# may have one call at a target with six places.
+# Other entries start at the same time, so the first known targets fill up.
 MAX_WARM_UP_CALLS = 1
-# A call waits for a calmer target for so long at most: half of a beat brings
-# some, and most aims are twice this.
+# Longest wait for a less loaded target when a busy one is known.
 LESS_LOADED_WAIT_SECONDS = 0.2
 
 _Choose = collections.abc.Callable[[], instances.TargetInstance | None]
 
 
 class InitialDiscovery:
-    """The time in which targets announce themselves to a new entry.
-
-    It knows them one by one, as each announces itself within a beat.  Calls
-    that all go to the first ones are refused by them, though there is room at
-    the others, and each refusal uses up a try that the budget allows.
-    """
+    """Hold calls back during the warm-up period of an entry."""
 
     def __init__(self, beat_seconds: float) -> None:
-        """Begin now; a target announces itself once a beat."""
+        """Start the warm-up; a target sends a heartbeat once a beat."""
         now = asyncio.get_running_loop().time()
+        # The few targets known at first would refuse most calls for lack of
+        # slots, and each refusal uses up the retry budget.
         self._ends_at = now + beat_seconds * WARM_UP_BEATS
         self._announced = asyncio.Event()
 
     def note(self) -> None:
-        """Note that a target has announced itself."""
+        """Wake waiting calls after a target has announced itself."""
         self._announced.set()
         self._announced = asyncio.Event()
 
     async def wait(self, choose: _Choose, seconds: float) -> None:
-        """Wait deadline a target is there that others hardly can have filled.
-
-        With any other that ``choose`` finds it waits less long.
-        """
+        """Wait until ``choose`` finds a target, less long for a busy one."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         deadline = min(started_at + seconds, self._ends_at)
--- a/tamarackthread/entry/direct/retry_budgets.py
+++ b/tamarackthread/entry/direct/retry_budgets.py
@@ -1,4 +1,4 @@
-"""Bound second tries of each service over all entries."""
+"""Limit the retries of each service across all entries."""
 
 from __future__ import annotations
 
@@ -12,19 +12,7 @@
 
 
 class RetryBudgets:
-    """Hold this entry's part of each service's budget.
-
-    The bound holds for the sum over all entries.  Each lives within an equal
-    part of the reserve and within a share of its own calls, so the sum holds
-    without a word between them.
-
-    The failure: all entries start at once and know nothing of each other, each
-    takes the whole reserve for its own, and while targets start as well they
-    send three times as many second tries as all of them may.  So an entry that
-    knows of none has nothing saved, and its part shrinks with each one that it
-    learns of: the first of many to be known has a whole part for a moment, the
-    next a half, the third a third, which adds up to about twice the reserve.
-    """
+    """Hold this entry's equal part of each service's retry budget."""
 
     def __init__(
         self,
@@ -39,15 +27,15 @@
         self._by_service: dict[str, retries.RetryBudget] = {}
 
     def earn(self, service: str) -> None:
-        """Count a caller's call, which pays for a part of a second try."""
+        """Credit the budget for a first attempt."""
         self._budget_of(service).earn(self._now())
 
     def spend(self, service: str) -> bool:
-        """Pay for a second try; tell whether the budget allowed it."""
+        """Pay for a retry; tell whether the budget allowed it."""
         return self._budget_of(service).spend(self._now())
 
     def has_room(self, service: str) -> bool:
-        """Tell whether a second try could be paid for."""
+        """Tell whether the budget allows a retry."""
         return self._budget_of(service).level >= 1
 
     def _budget_of(self, service: str) -> retries.RetryBudget:
@@ -58,6 +46,8 @@
             settings = retries.RetrySettings(
                 share=self._site.retry_share, reserve=reserve, least_rate=0
             )
+            # Entries that start together and don't know each other yet would
+            # each spend the whole reserve.
             level = reserve / 2 if entries else 0
             budget = retries.RetryBudget(settings, self._now(), level)
             self._by_service[service] = budget
