--- a/tamarackthread/entry/direct/calls.py
+++ b/tamarackthread/entry/direct/calls.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request as it goes through an entry."""
+"""Define a caller's request and the call that an entry makes of it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,8 @@
 
 from tamarackthread.shared.site import configuration
 
-# A call that comes to an entry which has just started waits for what is missing,
-# for at most this part of its caller's time: it is there within a second, and a
-# caller that is refused has used up a try.
+# A call to an entry that has just started waits for its configuration and
+# targets: they arrive within a second, and a refusal costs a retry.
 MAX_WAIT_SHARE = 0.3
 MAX_WAIT_SECONDS = 1.5
 
@@ -17,11 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallRequest:
-    """A request as it was read, before anything is decided.
-
-    ``left`` is how long the caller will wait, in seconds, ``None`` if it did
-    not say.  ``position`` is the last event of a stream that the caller has.
-    """
+    """A parsed request, before it is routed."""
 
     call_id: str
     method: str
@@ -29,34 +24,30 @@
     path: str
     headers: Headers
     key: str = ''
+    # Remaining timeout of the caller in seconds, ``None`` if not given.
     time_left: float | None = None
+    # Last event of a stream that the caller has received.
     last_event_id: str = ''
 
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """An accepted request: where it may go and until when.
-
-    ``deadline`` is on the loop's clock and the earlier of the caller's and
-    the route's.  ``organisation`` is empty where the route is open.  A lower
-    ``priority`` goes first: the organisation's, where it has one, else the route's.
-    """
+    """A routed request; a lower ``priority`` goes first."""
 
     request: CallRequest
     body: bytes
     route: configuration.Route
     service: str
+    # Empty on open routes.
     organisation: str
+    # On the event loop's clock, as is the deadline.
     arrived_at: float
     deadline: float
     priority: int = 0
 
 
 def startup_wait(time_left: float | None) -> float:
-    """Return how long a call waits for what a start brings, in seconds.
-
-    ``left`` is how long its caller will wait, ``None`` if it did not say.
-    """
+    """Return how many seconds a call waits for a starting entry."""
     if time_left is None:
         return MAX_WAIT_SECONDS
     return min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * time_left)
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -1,4 +1,4 @@
-"""Work out how much of a service's calls one entry has."""
+"""Estimate the share of a service's calls that one entry has."""
 
 from __future__ import annotations
 
@@ -13,10 +13,9 @@
     entries: int,
     now: float,
 ) -> rate_limit.Demand | None:
-    """Return this entry's part of the calls at a service's targets.
+    """Return this entry's share of calls, ``None`` without a rate limit.
 
-    ``entries`` counts those whose calls are known, this one included.  ``None``
-    where no target asks for a limit: nobody needs it then.
+    ``entries`` counts the entries whose calls are known, this one included.
     """
     if all(target.limit.rate is None for target in known):
         return None
--- a/tamarackthread/entry/direct/dialect.py
+++ b/tamarackthread/entry/direct/dialect.py
@@ -1,4 +1,4 @@
-"""Define what an adapter translates between callers, entry and targets."""
+"""Define the interface of an adapter for the headers of calls."""
 
 from __future__ import annotations
 
@@ -13,26 +13,24 @@
 
 
 class ResponseKind(enum.Enum):
-    """Say what a target's answer tells of the call.
-
-    ``NOT_RUN``: refused, and never will run.  ``ELSEWHERE``: the same, because
-    the target that was meant is not at this address any more.  ``ANSWER``: the
-    target's own answer to this call, good or bad.  ``STRAY``: not an answer to
-    this call, or not the target's.
-    """
+    """What a response from a target means for the call."""
 
+    # The target refused the call without running it.
     NOT_RUN = 'not_run'
+    # The same, because another target has the address.
     MISDIRECTED = 'elsewhere'
+    # The target's answer to the call, good or bad.
     ANSWER = 'answer'
+    # Not an answer to this call, or not from the target.
     MISMATCHED = 'stray'
 
 
 class Dialect(abc.ABC):
-    """Read and write the headers that callers and targets use."""
+    """Read and write the headers of callers and targets."""
 
     @abc.abstractmethod
     def read_request(self, request: web.BaseRequest) -> calls.CallRequest:
-        """Read a request's head; raise a coded error if it makes no sense."""
+        """Parse the head of a request; raise a coded error if it is invalid."""
 
     @abc.abstractmethod
     def request_headers(
@@ -42,14 +40,10 @@
         time_left: float,
         last_event_id: str,
     ) -> calls.Headers:
-        """Write the head for a target that has ``left`` seconds.
-
-        The caller's own headers are in it but for those that callers may not
-        set and those that are not the target's business, such as the key.
+        """Build the headers of a request that only ``target`` may accept.
 
-        ``target`` is the start of a target that the call is meant for; any
-        other must refuse it.  ``position`` is the last event already passed
-        on, empty from the beginning.
+        ``time_left`` is in seconds; ``last_event_id`` is empty before any
+        event.
         """
 
     @abc.abstractmethod
@@ -59,7 +53,7 @@
         status: int,
         headers: multidict.CIMultiDictProxy[str],
     ) -> ResponseKind:
-        """Tell what a target's head says of the call."""
+        """Classify a response by its status and headers."""
 
     @abc.abstractmethod
     def read_backpressure(
@@ -67,15 +61,15 @@
         status: int,
         headers: multidict.CIMultiDictProxy[str],
     ) -> backpressure.Backpressure:
-        """Read what a target's head asks of this entry."""
+        """Read the backpressure that a response asks for."""
 
     @abc.abstractmethod
     def response_headers(
         self,
         headers: multidict.CIMultiDictProxy[str],
     ) -> list[tuple[str, str]]:
-        """Pick the headers of a target's answer that the caller gets."""
+        """Select the headers of a response that the caller gets."""
 
     @abc.abstractmethod
     def refusal_headers(self, call_id: str) -> list[tuple[str, str]]:
-        """Write the headers of an answer that is the entry's own."""
+        """Build the headers of an error response made by the entry."""
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -1,4 +1,4 @@
-"""Keep calls that crash targets from the targets, by what entries have seen."""
+"""Refuse poison requests: calls that have crashed several targets."""
 
 from __future__ import annotations
 
@@ -19,21 +19,18 @@
 from tamarackthread.shared.site import figures
 
 FINGERPRINT_BYTES = 16
-# A call that is refused is not tried before what is known of it is forgotten.
+# A retry within the time to live of the suspect would be refused again.
 RETRY_AFTER_SECONDS = 30.0
 _log = logging.getLogger('tamarackthread.entry')
 
 
 class PoisonRequests:
-    """Look at calls before they are sent, and at how their tries end.
-
-    A call is known by what makes it the same: a hash of its path, its caller and
-    its body.  It is worked out for calls whose target was lost, and for others
-    only while such calls are known.
-    """
+    """Check calls before they are sent, and track those that crash targets."""
 
+    # Calls are matched by a hash of path, organisation and body, computed only
+    # after a target was lost and while there are suspects.
     def __init__(self) -> None:
-        """Begin without suspects."""
+        """Start without suspects."""
         self._suspects = suspects.Suspects()
 
     def check(self, call: calls.Call) -> None:
@@ -47,7 +44,7 @@
         )
 
     def may_repeat(self, call: calls.Call) -> bool:
-        """Tell whether this entry may try a call once more by itself."""
+        """Tell whether this entry may retry a call."""
         return self._verdict(call) is suspects.Verdict.FREE
 
     def note_failure(
@@ -56,11 +53,8 @@
         target: instances.TargetInstance,
         failure: errors.CodedError,
     ) -> None:
-        """Note how a try has failed.
-
-        Only a target that was lost before it answered tells against the call: a
-        stream that breaks off later was run by one that bore it.
-        """
+        """Record a failed try, if the target was lost before it answered."""
+        # A target that had begun to answer survived running the call.
         if not isinstance(failure, target_client.Unanswered):
             return
         now = asyncio.get_running_loop().time()
@@ -70,18 +64,18 @@
         self._log_suspect(call, 'lost')
 
     def note_answer(self, call: calls.Call) -> None:
-        """Note that a target has answered a call."""
+        """Record that a target has answered a call."""
         if self._suspects:
             now = asyncio.get_running_loop().time()
             self._suspects.answered(fingerprint(call), now)
 
     @property
     def serial(self) -> int:
-        """Return a number that grows with each change of ``own``."""
+        """Return a number that grows with each change of ``own_rows``."""
         return self._suspects.serial
 
     def own_rows(self) -> list[messages.SiteSuspect]:
-        """List what other entries have to know."""
+        """List the suspects that this entry reports to the others."""
         now = asyncio.get_running_loop().time()
         return [suspects.to_message(row) for row in self._suspects.own(now)]
 
@@ -89,7 +83,7 @@
         self,
         rows: collections.abc.Iterable[messages.SiteSuspect],
     ) -> None:
-        """Take what all other entries know."""
+        """Replace the suspects reported by the other entries."""
         now = asyncio.get_running_loop().time()
         self._suspects.share([suspects.of_message(row) for row in rows], now)
 
@@ -106,7 +100,7 @@
         log_events.tell(
             _log,
             log_events.Event.SUSPECT,
-            'entry: call %s of organisation %s was %s, %d targets lost by it',
+            'entry: call %s of organisation %s was %s, %d targets crashed by it',
             mark.hex(),
             call.organisation or '-',
             verdict,
@@ -121,7 +115,7 @@
 
 
 def fingerprint(call: calls.Call) -> bytes:
-    """Return what is the same of calls that are the same."""
+    """Return a hash that is equal for repetitions of a call."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     fields = (call.request.method, call.request.host, call.request.path)
     for part in (*fields, call.organisation):
--- a/tamarackthread/entry/direct/routing_table.py
+++ b/tamarackthread/entry/direct/routing_table.py
@@ -11,13 +11,12 @@
 from tamarackthread.entry.direct import failures
 from tamarackthread.shared.site import configuration
 
-# A process that has just started has a configuration soon, if at all.
 NO_CONFIGURATION_RETRY_AFTER_SECONDS = 0.5
 
 
 @attrs.frozen
 class RouteMatch:
-    """Where a call goes, and for whom."""
+    """The route, organisation and priority of a call."""
 
     route: configuration.Route
     organisation: str
@@ -25,10 +24,10 @@
 
 
 class RoutingTable:
-    """Answer from one configuration, with an index for each question."""
+    """Index the routes and keys of one configuration."""
 
     def __init__(self, config: configuration.Configuration) -> None:
-        """Index a configuration."""
+        """Build the indexes."""
         self._config = config
         self._routes: dict[tuple[str, str], configuration.Route] = {}
         self._owners: dict[str, configuration.Organisation] = {}
@@ -49,7 +48,7 @@
         return self._config
 
     def find(self, host: str, path: str, key: str) -> RouteMatch:
-        """Find a call's place; raise ``RouteUnknown`` or ``KeyUnknown``."""
+        """Match a call; raise ``RouteUnknown`` or ``KeyUnknown``."""
         route = self._route(host, path)
         if route is None:
             raise failures.RouteUnknown(f'{host}{path}')
@@ -64,7 +63,8 @@
         return RouteMatch(route, owner.name, priority)
 
     def _route(self, host: str, path: str) -> configuration.Route | None:
-        """Take the longest prefix; each begins and ends with a slash."""
+        """Return the route with the longest prefix that matches a path."""
+        # Prefixes begin and end with a slash.
         end = path.rfind('/')
         while end >= 0:
             route = self._routes.get((host, path[: end + 1]))
@@ -75,10 +75,10 @@
 
 
 class CurrentTable:
-    """Hold the table in force, and let calls wait for the first one."""
+    """Hold the routing table in force; calls can wait for the first one."""
 
     def __init__(self) -> None:
-        """Begin without a table."""
+        """Start without a table."""
         self._current: RoutingTable | None = None
         self._first = asyncio.Event()
 
@@ -93,7 +93,7 @@
         self._first.set()
 
     async def wait(self, seconds: float) -> RoutingTable:
-        """Return the table; raise ``NoConfiguration`` if there is none yet."""
+        """Return the table; raise ``NoConfiguration`` if it does not arrive."""
         if self._current is None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
@@ -109,7 +109,7 @@
     route: configuration.Route,
     generator: random.Random,
 ) -> str:
-    """Draw one of the route's services by their weights."""
+    """Choose one of the route's services at random, by their weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
     names = [share.service for share in route.shares]
--- a/tamarackthread/entry/direct/selection.py
+++ b/tamarackthread/entry/direct/selection.py
@@ -1,4 +1,4 @@
-"""Choose one of the targets that may get a call."""
+"""Select a target by the least load of a random sample."""
 
 from __future__ import annotations
 
@@ -7,38 +7,31 @@
 
 from tamarackthread.entry.direct import instances
 
-# Targets that are sampled for a call, of which the least loaded gets it.  What
-# other entries have sent since the last exchange is not known: if all of them
-# went for the least loaded of all, that one would get all of it.
+# Targets sampled per call.  Entries don't see each other's newest calls, so the
+# least loaded target of all would be flooded.
 CANDIDATES = 4
-# So many of them are of the entry's own zone: answers that cross zones cost.
+# Candidates from the entry's own zone, since traffic across zones costs money.
 LOCAL_CANDIDATES = 2
-# A rank that takes so many times its usual time slows its whole group; the usual
-# spread of ranks is under 1.2.
+# Ranks with at least this relative step time slow their whole group.
 SLOW_PACE = 1.5
-# Below this share of swift ranks, the others have not the places for all calls.
+# With a smaller share of fast ranks, these have too few slots for all calls.
 MIN_FAST_SHARE = 0.5
 
 _Instances = collections.abc.Sequence[instances.TargetInstance]
 
 
 class TargetSelector:
-    """Choose the least loaded of a few, in the own zone among equals."""
+    """Select the least loaded of a few targets, preferring the own zone."""
 
     def __init__(self, zone: str, generator: random.Random) -> None:
-        """Draw with ``generator``; ``zone`` is this entry's own."""
+        """Sample with ``generator``; ``zone`` is this entry's own."""
         self._zone = zone
         self._random = generator
 
     def select(
         self, usable: _Instances, now: float
     ) -> instances.TargetInstance | None:
-        """Choose among targets that have not said that they leave.
-
-        Without one that is surely up, one that has fallen silent or refused
-        a connection may still answer, and a try costs the caller less than a
-        refusal.
-        """
+        """Select one of the targets, ``None`` if there are none."""
         ready = [target for target in usable if target.is_ready(now)]
         if ready:
             accepted = [
@@ -48,14 +41,12 @@
                 self._sample(_without_slow(accepted or ready)),
                 key=self._load_key,
             )
+        # A silent target may still answer, and a failed try costs the caller
+        # less than a refusal.
         return min(usable, key=_backoff_until, default=None)
 
     def _sample(self, usable: _Instances) -> _Instances:
-        """Draw the targets of which the least loaded gets the call.
-
-        Half of them are of the own zone: of targets that have as many calls there
-        is mostly a local one then.
-        """
+        """Sample the candidates, up to half of them from the own zone."""
         if len(usable) <= CANDIDATES:
             return usable
         local = [one for one in usable if one.announcement.zone == self._zone]
@@ -71,11 +62,9 @@
 
 
 def _without_slow(ready: _Instances) -> _Instances:
-    """Leave slow ranks out, unless they are too many.
-
-    Ranks advance together, so one call at a slow rank slows the calls of all
-    ranks, while a rank without calls holds up nobody by its own work.
-    """
+    """Leave out slow ranks, unless they are too many."""
+    # Ranks run in lockstep: a call at a slow rank delays the calls of all
+    # ranks.
     fast = [target for target in ready if target.pace < SLOW_PACE]
     return fast if len(fast) >= MIN_FAST_SHARE * len(ready) else ready
 
--- a/tamarackthread/entry/direct/sse.py
+++ b/tamarackthread/entry/direct/sse.py
@@ -1,4 +1,4 @@
-"""Cut a stream of events at their borders and follow their numbers."""
+"""Split a stream of server-sent events and read the event numbers."""
 
 from __future__ import annotations
 
@@ -10,31 +10,28 @@
 
 @attrs.frozen
 class Event:
-    """One parts event with its border; ``number`` is -1 without an id."""
+    """A complete event with its separator; ``number`` is -1 without an id."""
 
     number: int
     payload: bytes
 
 
 class EventSplitter:
-    """Collect bytes and give back parts events.
-
-    A target may break off in the middle of an event.  Passed on as it came,
-    that half would stand before the next run's first event, and the caller
-    would read both as one.
-    """
+    """Collect bytes and return complete events."""
 
+    # A target may break off inside an event.  Relayed, that part would be
+    # joined to the first event of the next target.
     def __init__(self) -> None:
-        """Begin before the first event."""
+        """Start with an empty buffer."""
         self._incomplete = b''
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes after the last border."""
+        """Return the bytes after the last separator."""
         return self._incomplete
 
     def feed(self, received: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
+        """Append bytes and return the events that they complete."""
         parts = (self._incomplete + received).split(_SEPARATOR)
         self._incomplete = parts.pop()
         return [Event(_number_of(part), part + _SEPARATOR) for part in parts]
