--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -1,4 +1,4 @@
-"""Keep how far a call has come over all its tries."""
+"""Track the progress of a call over all its tries."""
 
 from __future__ import annotations
 
@@ -16,35 +16,33 @@
 
 @attrs.define(eq=False)
 class CallProgress:
-    """How far a call has come over all its tries.
-
-    ``sent`` names the targets that may have run the call, ``refused`` those that
-    said that they have not, ``skipped`` those that could not be reached, and
-    ``may_have_run`` tells whether any might have run it.
-    ``position`` is the last event that the caller was sent, ``is_unnumbered``
-    whether it was sent any that can't be told from its copy, and ``trying``
-    the target that may have the call at this moment.  ``left`` names the
-    groups whose targets have failed the call.
-    """
+    """The progress of a call over all its tries."""
 
+    # Targets that may have run the call.
     sent: list[str] = attrs.field(factory=list)
+    # Targets that refused the call without running it.
     refused: list[str] = attrs.field(factory=list)
+    # Targets that could not be reached.
     skipped: set[str] = attrs.field(factory=set)
     may_have_run: bool = False
+    # The target that may be running the call now.
     current_target: instances.TargetInstance | None = None
+    # Whether the caller got events without an id, which can't be resumed from.
     is_unnumbered: bool = False
+    # Number of the last event that the caller was sent.
     last_event: int = -1
     failure: errors.CodedError | None = None
+    # Groups whose targets have failed the call.
     failed_groups: set[str] = attrs.field(factory=set)
 
     @property
     def tried(self) -> set[str]:
-        """Name the targets that get the call no more."""
+        """Return the names of the targets that are not tried again."""
         return self.skipped.union(self.sent, self.refused)
 
     @property
     def names(self) -> str:
-        """Name the targets that may have run the call, for people."""
+        """Return the targets that may have run the call, as text."""
         return ', '.join(self.sent)
 
 
@@ -54,7 +52,7 @@
     progress: CallProgress,
     failure: errors.CodedError,
 ) -> None:
-    """Log and count a try that gave no whole answer."""
+    """Log and count a try that gave no complete answer."""
     now = asyncio.get_running_loop().time()
     figures.TRIES_FAILED.labels(call.service, failure.code).inc()
     log_events.tell(
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -1,4 +1,4 @@
-"""Run a call at targets until one has answered or no try is left."""
+"""Run a call at targets, with retries, until it is answered or fails."""
 
 from __future__ import annotations
 
@@ -22,23 +22,19 @@
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import configuration, figures
 
-# Tries at which no connection came about cost a target nothing; a caller
-# would still wait for each of them.
+# A failed connection costs a target nothing, but the caller waits for it.
 MAX_CONNECT_FAILURES = 4
-# A route's attempts bound how many targets may run a call, and one that refused it
-# has not.  A target that refuses while it has places is no reason to send a caller
-# away whose aim a second try would meet; two that refuse tell that all are full.
+# Refusals don't count as attempts, since the call has not run.  One target may
+# refuse by chance; two indicate that the service is full.
 MAX_REFUSALS = 2
-# A full target has a place again within about a tenth of a second; callers
-# that come back spread over more than that do not meet again.
+# Longer than a full target usually takes to free a slot.
 FULL_RETRY_AFTER_SECONDS = 0.25
 NO_TARGET_RETRY_AFTER_SECONDS = 0.5
-# A group whose rank was lost opens again within two or three seconds.  A caller who
-# waits here for its first event leaves before that.
+# About the time in which a group that has lost a rank recovers.
 CLOSED_RETRY_AFTER_SECONDS = 2.0
-# Callers that were refused while all targets wanted rest return over this time.
+# Spreads the retries of callers that were refused during a pause.
 REST_JITTER_SECONDS = 1.0
-# An answer from this status on is a failure of the target's own.
+# Responses with at least this status are failures of the target.
 MIN_ERROR_STATUS = 500
 
 
@@ -54,7 +50,7 @@
         poison: poison_requests.PoisonRequests,
         generator: random.Random,
     ) -> None:
-        """Choose among ``all_targets`` and send with ``sender``."""
+        """Select among ``all_targets`` and send with ``client``."""
         self._poison = poison
         self._targets = all_targets
         self._admission = admission
@@ -63,10 +59,10 @@
         self._random = generator
 
     async def run(self, call: calls.Call, out: sink.Sink) -> None:
-        """Answer the caller, or raise why there is no whole answer.
+        """Send the caller an answer, or raise a coded error.
 
-        A coded error raised here tells whether the call may have run; the
-        answer may have begun by then.
+        The error says whether the call may have run; part of the answer may
+        have been sent by then.
         """
         self._poison.check(call)
         progress = call_progress.CallProgress()
@@ -107,7 +103,7 @@
         progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> bool:
-        """Try a target; tell whether the caller has its answer now."""
+        """Try one target; tell whether the caller has its complete answer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         target.begin_call(began)
@@ -133,7 +129,7 @@
         call: calls.Call,
         progress: call_progress.CallProgress,
     ) -> instances.TargetInstance:
-        """Choose where to try next; raise the call's end if nowhere."""
+        """Select the next target; raise the final error if none is left."""
         if progress.failure is not None and not self._may_try(call, progress):
             raise self._final_error(call, progress)
         if self._targets.rest_seconds(call.service):
@@ -156,8 +152,8 @@
     ) -> bool:
         if progress.may_have_run and not self._may_repeat(call):
             return False
-        # Without a number nobody knows where the next run has to go on, and
-        # the caller would read the beginning twice.
+        # Without event ids the stream can't be resumed, and the caller would
+        # get its first events twice.
         if progress.is_unnumbered:
             return False
         if len(progress.skipped) >= MAX_CONNECT_FAILURES:
@@ -205,7 +201,7 @@
         progress: call_progress.CallProgress,
         status: int,
     ) -> bool:
-        """Tell whether a failure of a target's own may be tried elsewhere."""
+        """Tell whether an error response may be retried at another target."""
         if status < MIN_ERROR_STATUS or not call.route.may_repeat:
             return False
         if len(progress.sent) + 1 >= call.route.attempts:
@@ -219,7 +215,7 @@
         progress: call_progress.CallProgress,
         out: sink.Sink,
     ) -> None:
-        """Pass events on as they come, each at most once and in order."""
+        """Relay events as they come, each at most once and in order."""
         splitter = sse.EventSplitter()
         now = asyncio.get_running_loop().time()
         figures.FIRST_SECONDS.labels(call.service).observe(
@@ -274,12 +270,12 @@
             progress.skipped.add(target.name)
             return
         if isinstance(failure, target_client.Elsewhere):
-            # The target that was meant never saw it, so it is no try at one.
+            # The intended target never got the call, so this is no attempt.
             self._targets.mark_gone(target)
             progress.skipped.add(target.name)
             return
         if isinstance(failure, (target_client.Refused, target_client.Lost)):
-            # All ranks of a group refuse or lose what they have when one is lost.
+            # When a rank is lost, all ranks of its group fail their calls.
             progress.failed_groups.add(target.group)
             self._record_outcome(target, is_good=False)
         if isinstance(failure, target_client.Refused):
@@ -292,7 +288,7 @@
     def _record_outcome(
         self, target: instances.TargetInstance, *, is_good: bool
     ) -> None:
-        """Note how a call has ended at a target."""
+        """Record the outcome of a call at a target."""
         now = asyncio.get_running_loop().time()
         target.outcomes.note(is_good=is_good, now=now)
 
@@ -301,12 +297,12 @@
         call: calls.Call,
         progress: call_progress.CallProgress,
     ) -> errors.CodedError:
-        """Tell the caller's end: not run, or may have run."""
+        """Return the error for the caller: not run, or may have run."""
         if progress.may_have_run:
             return failures.TargetFailed(str(progress.failure))
         rest = self._targets.rest_seconds(call.service)
         if rest:
-            # The first to come back is the only one to be taken at once.
+            # Returning callers are spread, as the first one ends the pause.
             spread = self._random.uniform(0, REST_JITTER_SECONDS)
             return failures.TargetsRest(retry_after=rest + spread)
         if progress.refused and self._admission.is_closed(call):
@@ -322,5 +318,5 @@
         )
 
     def _jittered(self, seconds: float) -> float:
-        """Spread a time to come back, so that callers don't as one."""
+        """Add jitter to a retry time, so that callers don't return together."""
         return seconds * self._random.uniform(0.7, 1.5)
--- a/tamarackthread/entry/direct/failures.py
+++ b/tamarackthread/entry/direct/failures.py
@@ -1,4 +1,4 @@
-"""Define the coded errors of calls that go to targets directly."""
+"""Define the coded errors of direct calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouteUnknown(errors.CodedError):
-    """No route of the configuration takes this host and path."""
+    """No route of the configuration matches this host and path."""
 
     code = 'TT7202'
     status = 404
@@ -28,35 +28,35 @@
 
 
 class CallInvalid(errors.CodedError):
-    """Request lacks something that every call has."""
+    """Request lacks a header that every call needs."""
 
     code = 'TT7204'
     status = 400
 
 
 class NoTargetReady(errors.CodedError):
-    """No target of the service takes calls now."""
+    """No target of the service accepts calls now."""
 
     code = 'TT7205'
     status = 503
 
 
 class TargetsFull(errors.CodedError):
-    """Every target that was asked refused the call unrun."""
+    """Every target that was tried refused the call without running it."""
 
     code = 'TT7206'
     status = 503
 
 
 class TargetsRest(errors.CodedError):
-    """All targets of the service have asked for rest."""
+    """All targets of the service have asked for a pause."""
 
     code = 'TT7215'
     status = 503
 
 
 class GroupClosed(errors.CodedError):
-    """Targets refuse every call unrun, since their group makes no passes."""
+    """Targets refuse every call, since their group makes no passes."""
 
     code = 'TT7214'
     status = 503
@@ -70,7 +70,7 @@
 
 
 class DeadlinePassed(errors.CodedError):
-    """Deadline passed while a target had the call."""
+    """Deadline passed after the call was sent to a target."""
 
     code = 'TT7208'
     status = 504
@@ -78,7 +78,7 @@
 
 
 class TargetFailed(errors.CodedError):
-    """Target had the call and gave no answer that can be passed on."""
+    """Target had the call and gave no answer that can be relayed."""
 
     code = 'TT7209'
     status = 502
@@ -86,28 +86,28 @@
 
 
 class NoRoomInTime(errors.CodedError):
-    """Targets have no room from which an answer could be whole in time."""
+    """Targets have no free slot early enough to meet the deadline."""
 
     code = 'TT7212'
     status = 503
 
 
 class CallCrashes(errors.CodedError):
-    """Call has taken down several targets that ran it, and goes to no other."""
+    """Call has crashed several targets and is sent to no other."""
 
     code = 'TT7213'
     status = 503
 
 
 class BodyOverLimit(errors.CodedError):
-    """Body of the request is over the configuration's limit."""
+    """Request body exceeds the limit of the configuration."""
 
     code = 'TT7211'
     status = 413
 
 
 class EntryStops(errors.CodedError):
-    """Entry is about to end and takes no new call."""
+    """Entry is shutting down and takes no new calls."""
 
     code = 'TT7210'
     status = 503
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -1,4 +1,4 @@
-"""One start of a target as an entry sees it."""
+"""Track one running instance of a target, from its start to its restart."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import announcements
 
-# Time out of the choice after a connection could not be made, doubled up to
-# the most: a restart takes about a second, a cut some seconds.
+# Exponential backoff after a failed connection: a restart takes about a second,
+# a network partition several.
 INITIAL_BACKOFF_SECONDS = 0.3
 MAX_BACKOFF_SECONDS = 4.0
-# Used where neither announcement nor answer tells how many run at once.
+# Concurrency of a target that does not announce it.
 DEFAULT_SLOTS = 6
 
 
 class StartOver(errors.CodedError):
-    """Target has started again since it was given the call."""
+    """Target has restarted since it was given the call."""
 
     code = 'TT7224'
     status = 502
@@ -30,22 +30,18 @@
 
 @attrs.define(eq=False)
 class TargetInstance:
-    """One start of a target.
-
-    ``own`` counts this entry's calls there and ``others`` those that other
-    entries told of.  A ``pace`` of 2 means that it takes twice its usual time.
-    ``group`` names the group whose passes it shares, empty if unknown.
-    ``asked`` is what its last answer to this entry asked for, and
-    ``leaving_at`` when an answer first said that it leaves, 0 if none has.
-    """
+    """The state of one running instance of a target."""
 
     announcement: announcements.Announcement
     announced_at: float
+    # Open calls of this entry, and of the others as of the last exchange.
     own_calls: int = 0
     other_calls: int = 0
     backoff_until: float = 0
     backoff: float = 0
+    # Relative step time: 2 means twice the usual time.
     pace: float = 1
+    # Empty if unknown.
     group: str = ''
     outcomes: outlier_detection.OutcomeHistory = attrs.field(
         factory=outlier_detection.OutcomeHistory
@@ -53,8 +49,10 @@
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
+    # What the last response to this entry asked for.
     last_backpressure: backpressure.Backpressure = backpressure.NONE
     rest: backpressure.Rest = attrs.field(factory=backpressure.Rest)
+    # When a response first announced a drain, 0 if none has.
     leaving_at: float = 0
     _scopes: set[asyncio.Timeout] = attrs.field(factory=set)
 
@@ -65,40 +63,34 @@
 
     @property
     def slots(self) -> int:
-        """Return how many calls the target runs at once."""
+        """Return how many calls the target runs concurrently."""
         return self.announcement.slots or DEFAULT_SLOTS
 
     @property
     def load(self) -> float:
-        """Return what one call more would make of the target's load.
-
-        Ranks advance together, so a slow one holds up all calls of its group
-        by what it has to do itself: at twice the time it gets half the calls.
-        """
+        """Return the relative load of the target with one more call."""
+        # Ranks run in lockstep, so a rank at half speed gets half the calls.
         return (self.own_calls + self.other_calls + 1) * self.pace / self.slots
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether the target has said that it leaves, in any way.
-
-        Its answers bind this entry also where its announcements do not come:
-        an entry that is cut off from control hears of no farewell.
-        """
+        """Tell whether an announcement or a response has announced a drain."""
+        # An entry that is cut off from control gets no announcements.
         return self.announcement.is_leaving or self.leaving_at > 0
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether the target is surely up."""
+        """Tell whether the target is ready and not in backoff."""
         is_up = self.announcement.state == announcements.State.READY
         return is_up and self.backoff_until <= now
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the target takes only so many calls a second."""
+        """Tell whether the target is cold, which limits its call rate."""
         return now < max(
             self.cold_until, self.announced_at + self.announcement.cold
         )
 
     def begin_call(self, now: float) -> None:
-        """Count a call that goes there."""
+        """Count a call that is sent to the target."""
         self.own_calls += 1
         self.sent.note(now)
         self.rest.sent(now)
@@ -110,7 +102,7 @@
         *,
         is_taken: bool,
     ) -> None:
-        """Take what an answer asks for; ``is_taken`` unless it is a refusal."""
+        """Apply a response's backpressure; ``is_taken`` unless it refused."""
         self.last_backpressure = requested
         self.limit.hear(requested.rate, now)
         if requested.is_leaving:
@@ -121,7 +113,7 @@
             self.rest.taken(now)
 
     def active_backpressure(self, now: float) -> list[str]:
-        """Name what the target's answers ask for now, for people."""
+        """Name the kinds of backpressure in effect, for logs and metrics."""
         found = {
             'rest': self.rest.left(now) > 0,
             'limit': self.limit.rate is not None,
@@ -130,25 +122,21 @@
         return [name for name, is_active in found.items() if is_active]
 
     def back_off(self, now: float) -> None:
-        """Keep calls away for a while after one could not be delivered."""
+        """Start or double the backoff after a failed connection."""
         doubled = min(MAX_BACKOFF_SECONDS, 2 * self.backoff)
         self.backoff = max(INITIAL_BACKOFF_SECONDS, doubled)
         self.backoff_until = now + self.backoff
 
     def reset_backoff(self) -> None:
-        """Note that the target has answered."""
+        """End the backoff after an answer."""
         self.backoff = 0
         self.backoff_until = 0
 
     @contextlib.asynccontextmanager
     async def lifetime(self) -> collections.abc.AsyncIterator[None]:
-        """Do what needs this start; raise ``StartOver`` once it has ended.
-
-        The failure: a target's host loses power and the target starts again
-        under its name.  Nothing closes the connection to the earlier start,
-        and the caller would wait out its deadline for an answer that nobody
-        makes.  The later start's word is proof that the earlier one is gone.
-        """
+        """Run a block; raise ``StartOver`` if the target restarts meanwhile."""
+        # After a power loss nothing closes the connection to the old instance,
+        # and its calls would wait until their deadlines.
         scope = asyncio.timeout(None)
         self._scopes.add(scope)
         try:
@@ -162,7 +150,7 @@
             self._scopes.discard(scope)
 
     def cancel_calls(self) -> None:
-        """End all that needs this start: a later one has announced itself."""
+        """End the open calls after a newer instance has announced itself."""
         now = asyncio.get_running_loop().time()
         for scope in self._scopes:
             scope.reschedule(now)
--- a/tamarackthread/entry/direct/target_client.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -1,4 +1,4 @@
-"""Send a call to a target and judge what comes back."""
+"""Send calls to targets over HTTP and classify the responses."""
 
 from __future__ import annotations
 
@@ -19,15 +19,14 @@
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import configuration
 
-# A way there and back takes some milliseconds and a target a few more to
-# accept.  A first packet that is dropped is sent again after a second only,
-# which another target or a second try can beat.
+# Shorter than the retransmission timeout of a lost first packet, since trying
+# another target is faster.
 CONNECT_SECONDS = 0.35
-# Targets close idle connections after some seconds.  One that is used no
-# later than this is hardly ever closed in the very moment of its use.
+# Shorter than the idle timeout of targets, so that they rarely close a
+# connection just as it is reused.
 KEEPALIVE_SECONDS = 2.0
 READ_BYTES = 64 * 1024
-# Headers that concern one connection only, besides those that it names.
+# Hop-by-hop headers, besides those that the Connection header names.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -44,73 +43,73 @@
 
 
 class NotSent(errors.CodedError):
-    """No connection to the target could be made."""
+    """Connection to the target could not be made."""
 
     code = 'TT7220'
     status = 503
 
 
 class Refused(errors.CodedError):
-    """Target refused the call and says that it did not run."""
+    """Target refused the call without running it."""
 
     code = 'TT7221'
     status = 503
 
 
 class Elsewhere(Refused):
-    """Another target answers at the address of the one that was meant."""
+    """Another target answers at the address of the intended one."""
 
     code = 'TT7222'
 
 
 class Lost(errors.CodedError):
-    """Target had the call, and its answer did not come or is not whole."""
+    """Target had the call, and its answer is missing or incomplete."""
 
     code = 'TT7223'
     status = 502
 
 
 class Unanswered(Lost):
-    """Connection to the target ended before any of its answer had come."""
+    """Connection to the target closed before any of its answer came."""
 
     code = 'TT7225'
 
 
 @attrs.frozen
 class ResponseHead:
-    """The head of a target's own answer to a call."""
+    """The status and headers of a target's response."""
 
     status: int
     headers: list[tuple[str, str]]
 
 
 class TargetResponse:
-    """A target's answer whose head has come."""
+    """A target's response whose head has arrived."""
 
     def __init__(
         self, head: ResponseHead, response: aiohttp.ClientResponse
     ) -> None:
-        """Read the body with ``pieces`` or ``whole``."""
+        """Wrap a response; read its body with ``pieces`` or ``whole``."""
         self._head = head
         self._response = response
         connection = response.connection
-        # An answer that has come whole has let its connection go already.
+        # A response that has arrived completely has released its connection.
         self._protocol = None if connection is None else connection.protocol
 
     @property
     def head(self) -> ResponseHead:
-        """Return status and headers for the caller."""
+        """Return the status and the headers for the caller."""
         return self._head
 
     async def whole(self) -> bytes:
-        """Read the body to its end; raise ``Lost`` if it broke off."""
+        """Read the complete body; raise ``Lost`` if it breaks off."""
         with _raising_lost():
             body = await self._response.read()
         self._check_complete()
         return body
 
     async def pieces(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it comes; raise ``Lost`` if it breaks off."""
+        """Yield the body as it arrives; raise ``Lost`` if it breaks off."""
         content = self._response.content
         while True:
             with _raising_lost():
@@ -121,35 +120,29 @@
             yield piece
 
     def _check_complete(self) -> None:
-        """Raise ``Lost`` if the end of the connection was not a planned one.
-
-        An answer without a length ends with its connection.  The library
-        takes a reset for that end too, and a target that crashed half way
-        would seem to have said all.
-        """
+        """Raise ``Lost`` if a body without a length ended with a reset."""
         if self._protocol is None or _is_framed(self._response):
             return
+        # Such a body ends with its connection, and aiohttp takes a reset for a
+        # regular end: the answer of a crashed target would look complete.
         if isinstance(self._protocol.exception(), aiohttp.ClientOSError):
             raise Lost('connection was reset before the answer had ended')
 
 
 class TargetClient:
-    """Hold the connections to all targets."""
+    """Hold the connection pools for all targets."""
 
     def __init__(self, header_dialect: dialect.Dialect) -> None:
-        """Open nothing until ``start``."""
+        """Open no connections until ``start``."""
         self._dialect = header_dialect
         self._pooled: aiohttp.ClientSession | None = None
         self._unpooled: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Make the pools; call it from inside the running loop."""
+        """Create the pools; must be called in the running event loop."""
         self._pooled = _new_session(keepalive_timeout=KEEPALIVE_SECONDS)
-        # The failure: a kept connection that something on its way has lost
-        # track of, or that the target closes in this moment, swallows the
-        # call, and nobody knows whether it ran.  A call that must not repeat
-        # cannot be sent again then.  It goes over a connection of its own,
-        # which has just shown that it works.
+        # Calls that must not repeat use a new connection each: a stale pooled
+        # one may lose the call, and nobody knows whether it ran.
         self._unpooled = _new_session(force_close=True)
 
     async def close(self) -> None:
@@ -165,11 +158,10 @@
         target: instances.TargetInstance,
         last_event_id: str,
     ) -> collections.abc.AsyncIterator[TargetResponse]:
-        """Send a call and give the target's answer once its head has come.
+        """Send a call and yield the response once its head has arrived.
 
-        Raises ``NotSent``, ``Refused`` or ``Elsewhere`` where the call did not
-        run, and ``Lost`` where it may have.  Leaving the context before the
-        body has ended closes the connection, at which a target stops.
+        Raises ``Lost`` if the call may have run, and ``NotSent``, ``Refused``
+        or ``Elsewhere`` if not.
         """
         now = asyncio.get_running_loop().time()
         headers = self._dialect.request_headers(
@@ -189,8 +181,8 @@
         try:
             yield self._classified(call, target, response)
         finally:
-            # A response that was read to its end has given its connection
-            # back already; this closes one that was not.
+            # A response that was read completely has released its connection;
+            # this closes the others.
             response.close()
 
     def _pool(self, call: calls.Call) -> aiohttp.ClientSession:
@@ -198,7 +190,7 @@
         if call.route.kind is configuration.Kind.ONCE:
             session = self._unpooled
         if session is None:
-            raise errors.CodedError('sender is not started')
+            raise errors.CodedError('target client is not started')
         return session
 
     def _classified(
@@ -226,10 +218,7 @@
         response: aiohttp.ClientResponse,
         kind: dialect.ResponseKind,
     ) -> None:
-        """Give a target what its answer asks for, whatever else it says.
-
-        What another target answers at its address is not its word.
-        """
+        """Apply the backpressure of a response to its target."""
         if kind is dialect.ResponseKind.MISDIRECTED:
             return
         now = asyncio.get_running_loop().time()
@@ -269,7 +258,7 @@
 
 
 def _is_framed(response: aiohttp.ClientResponse) -> bool:
-    """Tell whether the answer itself says where it ends."""
+    """Tell whether the response itself marks its end."""
     if 'Content-Length' in response.headers:
         return True
     coding = response.headers.get('Transfer-Encoding', '')
@@ -292,8 +281,8 @@
         cookie_jar=aiohttp.DummyCookieJar(),
         read_bufsize=READ_BYTES,
     )
-    # The library sends some methods again by itself when a connection breaks.
-    # That second run would be counted nowhere and may be one too many.
+    # aiohttp would resend idempotent methods on its own, outside the retry
+    # budget.
     session._retry_connection = False
     return session
 
