--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -1,4 +1,4 @@
-"""Log how calls ended: every bad end, a sample of good ones, and the sums."""
+"""Log how calls ended: every failure, a sample of successes, and totals."""
 
 from __future__ import annotations
 
@@ -12,22 +12,19 @@
 from tamarackthread.shared.site import figures
 
 SUMMARY_SECONDS = 10.0
-# One of so many ordinary answers is logged by itself.  At 32 calls a second,
-# an entry's part of the size that we design for, that is a line every 1.5 s.
+# One of this many ordinary answers gets a log line.
 SAMPLE_INTERVAL = 50
 _Event = log_events.Event
 _log = logging.getLogger('tamarackthread.entry')
 
 
 class CallLog:
-    """Tell of each call's end within the request's own log context.
-
-    What is ordinary is only counted, so that the volume under load is bounded
-    by what goes wrong; the sums say how many lines were left out.
-    """
+    """Log the outcome of each call within the request's log context."""
 
+    # Ordinary answers are sampled and counted, so that the log volume is
+    # bounded by the number of failures.
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with all counters at zero."""
         self._counts: collections.Counter[str] = collections.Counter()
         self._answered = 0
 
@@ -37,7 +34,7 @@
         version: int,
         timing: stream_timing.StreamTiming,
     ) -> None:
-        """Note a whole answer; it is logged if it was late, or by sample."""
+        """Record a complete answer; log it if it is late or sampled."""
         now = asyncio.get_running_loop().time()
         took = now - call.arrived_at
         figures.CALLS.labels(call.service, 'answered').inc()
@@ -74,7 +71,7 @@
         version: int,
         has_started: bool,
     ) -> None:
-        """Log a call that has no whole answer, with what it is told."""
+        """Log a call without a complete answer, with its error."""
         event = _event_for(failure, has_started)
         service = '' if call is None else call.service
         figures.CALLS.labels(service, event.value).inc()
@@ -93,7 +90,7 @@
         log_events.tell(
             _log,
             event,
-            'entry: call ended, %s %s',
+            'entry: call failed, %s %s',
             failure.code,
             failure,
             **fields,
@@ -106,12 +103,12 @@
         log_events.tell(
             _log,
             _Event.CALLER_LEFT,
-            'entry: caller left before its answer was whole',
+            'entry: caller disconnected before its answer was complete',
             has_started=out.has_started,
         )
 
     async def run(self) -> None:
-        """Log the sums for ever, while there is something to sum."""
+        """Log and reset the counters periodically."""
         while True:
             await asyncio.sleep(SUMMARY_SECONDS)
             if not self._counts:
@@ -132,7 +129,7 @@
     took: float,
     timing: stream_timing.StreamTiming,
 ) -> bool:
-    """Tell whether an answer came too late, or a stream paused too long."""
+    """Tell whether the first piece or a later one came too late."""
     if not timing.first_at:
         return 0 < call.route.aim < took
     if 0 < call.route.aim < timing.first_at - call.arrived_at:
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -1,4 +1,4 @@
-"""Hold the configuration and the targets that control hosts told of."""
+"""Apply what the feed of the control hosts brings to this entry."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FeedHandler(following.Pupil):
-    """Put each newer configuration in force, whatever its source."""
+    """Apply the newest configuration, targets, zones and groups."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         admission: admission_control.AdmissionControl,
         shares: cold.Shares,
     ) -> None:
-        """Put what is learned into the parts that need it."""
+        """Take the parts of the entry that updates are applied to."""
         self._shares = shares
         self._admission = admission
         self._targets = all_targets
@@ -50,23 +50,23 @@
 
     @property
     def zone_changes(self) -> int:
-        """Return how many changes of zones are stored."""
+        """Return the number of zone changes that were applied."""
         return self._targets.zone_changes
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
-        """Obey what operators asked for zones."""
+        """Evacuate and restore zones as operators asked."""
         self._targets.learn_zones(rows)
 
     def learn_target(self, announcement: announcements.Announcement) -> None:
-        """Take an announcement."""
+        """Apply a target's announcement."""
         self._targets.take(announcement)
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
-        """Take which targets make a group."""
+        """Replace the members of the groups."""
         self._targets.learn_groups(term, rows)
 
     def learn_paces(self, source: str, paces: dict[str, float]) -> None:
-        """Take the slow targets that a control host knows of."""
+        """Replace the slow targets reported by a control host."""
         self._targets.set_paces(source, paces)
 
     def learn_document(self, stored: document.Document) -> None:
@@ -74,9 +74,13 @@
         try:
             parsed = self._reader.read(stored.body)
         except errors.CodedError as exc:
-            # Control accepted it, so this entry runs an older program.  It
-            # goes on with what it has, which is better than nothing.
-            _log.error('entry: cannot read version %d, %s', stored.version, exc)
+            # Control accepted it, so this entry runs an older release.  It
+            # keeps the configuration that it has.
+            _log.error(
+                'entry: cannot read configuration version %d, %s',
+                stored.version,
+                exc,
+            )
             return
         self._tables.put(routing_table.RoutingTable(parsed))
         self._admission.learn(parsed)
@@ -85,7 +89,7 @@
         log_events.tell(
             _log,
             log_events.Event.CONFIGURATION,
-            'entry: version %d is in force',
+            'entry: configuration version %d is in force',
             stored.version,
             version=stored.version,
         )
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -1,4 +1,4 @@
-"""Serve callers' HTTP and the platform's question whether to send more."""
+"""Serve callers over HTTP and the readiness probe of the platform."""
 
 from __future__ import annotations
 
@@ -23,15 +23,14 @@
 from tamarackthread.shared import errors, logs
 from tamarackthread.shared.site import figures
 
-# Callers keep a connection that was idle for max_bytes of the idle limit; closing
-# later than any of them costs a descriptor and cuts off nobody.
+# Longer than callers keep idle connections, so that they close them first.
 KEEPALIVE_SECONDS = 75.0
-# Another entry takes the call at once.
+# Another entry can take the call at once.
 STOPPING_RETRY_AFTER_SECONDS = 0.01
-# One header's max_bytes bytes; callers stay within 16 KB for all of theirs.  The
-# library's own limit is half of that and would refuse a proper call.
+# Limit of one header.  Callers may send 16 KB of headers, which is over the
+# default limit of aiohttp.
 MAX_HEADER_BYTES = 32 << 10
-# What a fault of this entry's own code or of a library raises.
+# Exceptions that a bug in this entry or in a library may raise.
 _UNEXPECTED_ERRORS = (
     OSError,
     ValueError,
@@ -43,7 +42,7 @@
 
 
 class Frontend:
-    """Take requests, run them and answer."""
+    """Accept requests, run them as calls and send the responses."""
 
     def __init__(
         self,
@@ -69,7 +68,7 @@
 
     @property
     def open_calls(self) -> int:
-        """Count the calls in this entry."""
+        """Return the number of calls in progress."""
         return self._open_calls
 
     @property
@@ -82,34 +81,32 @@
         return await self._serve(self._handle, address)
 
     async def start_readiness(self, address: str) -> str:
-        """Serve the platform's question and return the address in use."""
+        """Serve the readiness probe and return the address in use."""
         return await self._serve(self._answer_readiness, address)
 
     def begin_drain(self) -> None:
-        """Say not ready and ask callers to reconnect; go on serving."""
+        """Report not ready and ask callers to reconnect, but go on serving."""
         self._is_draining = True
 
     def refuse_new(self) -> None:
-        """Refuse new calls, which have then not run, and close what is idle.
-
-        A call that is accepted late in a stop would be cut off at its end.
-        """
+        """Refuse new calls without running them, and close idle connections."""
+        # A call accepted late in the drain would be cut off at its end.
         self._is_refusing = True
         for runner in self._runners:
             if runner.server is None:
                 continue
-            # The library's own way leaves idle connections open and drops
-            # what comes on them, so that a caller waits for nothing.
+            # A graceful close in aiohttp leaves idle connections open and drops
+            # the requests on them, which callers would wait for.
             for connection in runner.server.connections:
                 if connection not in self._busy_connections:
                     connection.force_close()
 
     async def wait_idle(self) -> None:
-        """Wait until no call is open."""
+        """Wait until no call is in progress."""
         await self._idle.wait()
 
     async def stop(self) -> None:
-        """Close the addresses and all connections."""
+        """Close the listeners and all connections."""
         for runner in self._runners:
             await runner.cleanup()
 
@@ -201,8 +198,8 @@
         except errors.CodedError as exc:
             await self._send_error(parsed.call_id, call, out, exc)
         except _UNEXPECTED_ERRORS as exc:
-            # A fault of this entry: whether the call ran is not known.
-            _log.exception('entry: call failed by a fault')
+            # A bug in this entry: whether the call ran is unknown.
+            _log.exception('entry: unexpected error in a call')
             fault = failures.TargetFailed(str(exc))
             await self._send_error(parsed.call_id, call, out, fault)
         else:
@@ -213,7 +210,7 @@
         request: web.BaseRequest,
         parsed: calls.CallRequest,
     ) -> calls.Call:
-        """Find the call's place; raise a coded refusal if it has none."""
+        """Route a request; raise a coded error if it is refused."""
         arrived = asyncio.get_running_loop().time()
         if self._is_refusing:
             raise failures.EntryStops(retry_after=STOPPING_RETRY_AFTER_SECONDS)
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -1,4 +1,4 @@
-"""Run an entry of a site."""
+"""Run the process of an entry with direct calls."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
         )
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then end without cutting anything off.
+        """Run until asked to stop, then drain.
 
         Raises what has ended one of the entry's own tasks.
         """
@@ -126,7 +126,7 @@
         log_events.tell(
             _log,
             log_events.Event.STARTED,
-            'entry: serves callers on %s',
+            'entry: serving callers on %s',
             http,
             address=http,
         )
@@ -143,20 +143,17 @@
             raise fault
 
     async def _drain(self) -> None:
-        """Stop in order: not ready, then no new call, then nothing open.
-
-        The platform sends new connections here until it has asked twice, so
-        the address stays open for that long.  Callers with an open connection
-        are asked at each answer to make a new one, which goes elsewhere.
-        """
+        """Stop accepting calls and wait until those in progress have ended."""
         log_events.tell(
             _log,
             log_events.Event.STOPPING,
-            'entry: leaves, %d calls open',
+            'entry: draining, %d calls open',
             self._frontend.open_calls,
             open_calls=self._frontend.open_calls,
         )
         self._frontend.begin_drain()
+        # The platform sends new connections until its readiness probe has
+        # failed twice.  Responses ask callers to reconnect elsewhere.
         await asyncio.sleep(self._own.health_grace_seconds)
         self._frontend.refuse_new()
         try:
@@ -164,7 +161,8 @@
                 await self._frontend.wait_idle()
         except TimeoutError:
             _log.warning(
-                'entry: ends with %d calls open', self._frontend.open_calls
+                'entry: drain timed out with %d calls open',
+                self._frontend.open_calls,
             )
         await self._frontend.stop()
         await self._metrics_page.stop()
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -1,4 +1,4 @@
-"""Write an answer to a caller over HTTP."""
+"""Write a response to a caller over HTTP."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class CallerDisconnected(Exception):
-    """Caller has closed its connection; nobody waits for an answer."""
+    """Caller has closed its connection and gets no response."""
 
 
 class Sink(abc.ABC):
-    """Take one answer, piece by piece."""
+    """Write one response, whole or in pieces."""
 
     @property
     @abc.abstractmethod
     def has_started(self) -> bool:
-        """Tell whether the caller has seen any of an answer."""
+        """Tell whether any part of the response was sent."""
 
     @property
     @abc.abstractmethod
     def tempo(self) -> stream_timing.StreamTiming:
-        """Return when the pieces of the body left."""
+        """Return the times at which pieces of the body were sent."""
 
     @abc.abstractmethod
     async def start(self, head: target_client.ResponseHead) -> None:
@@ -38,24 +38,24 @@
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """End the response as complete."""
 
     @abc.abstractmethod
     async def whole(
         self, head: target_client.ResponseHead, body: bytes
     ) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
 
 
 class HttpSink(Sink):
-    """Write to an HTTP caller."""
+    """Write a response to an HTTP caller."""
 
     def __init__(
         self,
         request: web.BaseRequest,
         is_closing: collections.abc.Callable[[], bool],
     ) -> None:
-        """Send nothing yet; ``is_closing`` asks the caller to reconnect."""
+        """Send nothing yet; ``is_closing`` says whether to close afterwards."""
         self._request = request
         self._is_closing = is_closing
         self._response: web.StreamResponse | None = None
@@ -63,22 +63,22 @@
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the head has left."""
+        """Tell whether the head was sent."""
         return self._response is not None
 
     @property
     def tempo(self) -> stream_timing.StreamTiming:
-        """Return when the pieces of a stream left."""
+        """Return the times at which pieces of a stream were sent."""
         return self._tempo
 
     @property
     def response(self) -> web.StreamResponse:
-        """Give the response that the server must return."""
+        """Return the response that the HTTP server expects from its handler."""
         assert self._response is not None
         return self._response
 
     async def start(self, head: target_client.ResponseHead) -> None:
-        """Send the head; the body goes out in chunks."""
+        """Send the head; the body follows in chunks."""
         response = web.StreamResponse(status=head.status)
         self._fill(response, head)
         if self._request.method != 'HEAD':
@@ -90,7 +90,7 @@
             raise CallerDisconnected from exc
 
     async def write(self, piece: bytes) -> None:
-        """Send a piece and wait while the caller's window is closed."""
+        """Send a piece, waiting while the caller's receive window is full."""
         self._tempo.note(asyncio.get_running_loop().time())
         try:
             await self.response.write(piece)
@@ -98,7 +98,7 @@
             raise CallerDisconnected from exc
 
     async def finish(self) -> None:
-        """Send the closing chunk, which tells the caller that all came."""
+        """Send the last chunk, which marks the response as complete."""
         try:
             await self.response.write_eof()
         except OSError as exc:
@@ -107,7 +107,7 @@
     async def whole(
         self, head: target_client.ResponseHead, body: bytes
     ) -> None:
-        """Send head and body with their length."""
+        """Send head and body with a Content-Length."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall('Content-Type', None)
         self._fill(response, head)
@@ -119,17 +119,13 @@
             raise CallerDisconnected from exc
 
     def close_after_response(self) -> None:
-        """Let no further request come on this connection."""
+        """Close the connection after this response."""
         if self._response is not None:
             self._response.force_close()
 
     def abort(self) -> None:
-        """Cut the connection, so that the answer can't be taken for whole.
-
-        Ended in good order, an answer that lacks its last part would look
-        complete to a caller that reads to the end.  Without the closing chunk
-        every HTTP client reports an error.
-        """
+        """Abort the connection, so that the response is seen as incomplete."""
+        # Without the last chunk every HTTP client reports an error.
         if self._request.transport is not None:
             self._request.transport.abort()
 
--- a/tamarackthread/entry/direct/stream_timing.py
+++ b/tamarackthread/entry/direct/stream_timing.py
@@ -1,4 +1,4 @@
-"""Time the pieces of an answer as its caller gets them."""
+"""Record when the pieces of a response are sent to the caller."""
 
 from __future__ import annotations
 
@@ -7,21 +7,19 @@
 
 @attrs.define
 class StreamTiming:
-    """When an answer's pieces left, in seconds of the loop's clock.
-
-    ``first_at`` is 0 until the first piece.  ``pause`` is the longest time
-    between two pieces, which ended at ``paused_until``.  ``target`` has sent
-    the newest piece.
-    """
+    """Times at which pieces were sent, in seconds of the event loop's clock."""
 
+    # The target that sent the newest piece.
     target: str = ''
+    # 0 until the first piece is sent.
     first_at: float = 0
     last_at: float = 0
+    # The longest time between two pieces, and when it ended.
     longest_pause: float = 0
     longest_pause_end: float = 0
 
     def note(self, now: float) -> None:
-        """Note that a piece has left."""
+        """Record that a piece was sent."""
         if not self.first_at:
             self.first_at = now
         elif now - self.last_at > self.longest_pause:
