--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -1,4 +1,4 @@
-"""Tell which targets may get work, by what operators and owners of maps say."""
+"""Decide which targets may get calls: zones, groups, rate limits, warm-up."""
 
 from __future__ import annotations
 
@@ -9,30 +9,29 @@
 from tamarackthread.policy import cold, fleets, rate_limit
 from tamarackthread.shared.site import groups, zones
 
-# The targets of a zone that is taken back are taken for cold for so long, whatever
-# they last said: one may have turned cold after its last announcement.
+# Targets of a restored zone count as cold for this long, since any may have
+# turned cold after its last announcement.
 RESTORED_COLD_SECONDS = 10.0
 
-# A target whose answers say that it leaves goes on for some seconds; within this
-# time it may still get calls that no other target of its service can take.
+# Within this time, a target that drains still gets the calls that no other
+# target of its service can take.
 DRAINING_GRACE_SECONDS = 1.0
 
 _Instances = collections.abc.Iterable[instances.TargetInstance]
 
 
 class Eligibility:
-    """Hold evacuated zones, groups, and what cold targets take."""
+    """Track evacuated zones, groups, rate limits and cold targets."""
 
     def __init__(
         self,
         shares: cold.Shares | None = None,
         fleet: fleets.Fleet | None = None,
     ) -> None:
-        """Begin with every target in service.
+        """Start with every target in service.
 
-        ``shares`` bounds what is sent to cold targets; without it nothing does.
-        The entries of ``fleet`` share what targets in need take; without it this
-        entry is the only one.
+        ``shares`` limits the calls to cold targets; the entries of ``fleet``
+        divide the rate limits among them.
         """
         self._shares = shares
         self._fleet = fleet
@@ -42,11 +41,11 @@
 
     @property
     def zone_changes(self) -> int:
-        """Return how many changes of zones are held."""
+        """Return the number of zone changes that were applied."""
         return self._zones.changes
 
     def learn_zones(self, rows: list[zones.Zone], known: _Instances) -> None:
-        """Send nothing to evacuated zones, and work again to those restored."""
+        """Stop sending to evacuated zones, and resume for restored ones."""
         before = self._zones.changes
         restored = set()
         for row in rows:
@@ -70,7 +69,7 @@
         rows: list[groups.Group],
         known: _Instances,
     ) -> None:
-        """Take which targets make a group, as an owner of a term tells."""
+        """Replace the members of the groups, unless the term is outdated."""
         if not self._groups.learn(term, rows):
             return
         for target in known:
@@ -96,19 +95,19 @@
     def set_demand(
         self, service: str, demand: rate_limit.Demand | None
     ) -> None:
-        """Take how much of a service's calls this entry has."""
+        """Set this entry's share of a service's calls."""
         self._demands[service] = demand or rate_limit.ALONE
 
     def is_in_service(self, target: instances.TargetInstance) -> bool:
-        """Tell whether a target neither leaves nor is in an evacuated zone."""
+        """Tell whether a target neither drains nor is in an evacuated zone."""
         return not (target.is_leaving or self._is_evacuated(target))
 
     def is_group_open(self, target: instances.TargetInstance) -> bool:
-        """Tell whether a target's group makes passes, for all that is known."""
+        """Tell whether a target's group makes passes, as far as known."""
         return self._groups.is_open(target.group)
 
     def has_room(self, target: instances.TargetInstance, now: float) -> bool:
-        """Tell whether a target's places count as room for calls."""
+        """Tell whether the slots of a target count as capacity."""
         if not self.is_in_service(target) or target.rest.left(now):
             return False
         return self.is_group_open(target) and self._is_within_limit(target, now)
@@ -116,7 +115,7 @@
     def may_take_last(
         self, target: instances.TargetInstance, now: float
     ) -> bool:
-        """Tell whether a target that leaves may get a call nobody else takes."""
+        """Tell whether a target that drains may get a call as a last resort."""
         if target.announcement.is_leaving or not target.leaving_at:
             return False
         if self._is_evacuated(target):
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -1,4 +1,4 @@
-"""Tell other entries of this one's calls, and learn of theirs."""
+"""Exchange the load of targets between entries, through a control host."""
 
 from __future__ import annotations
 
@@ -14,16 +14,14 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, peers
 
-# Entries exchange so often: a call at a rank lasts ten times as long, and the
-# few that were sent since the last exchange rarely meet at one of many ranks.
+# Short against the duration of a call, so that few calls are unaccounted for.
 MIN_INTERVAL_SECONDS = 0.05
-# All entries together ask so often, so that the host that sums has a tenth of
-# a core for it at most, however many there are.
+# Rate limit of all entries together, which bounds the work of the control host.
 EXCHANGES_A_SECOND = 400
 MAX_INTERVAL_SECONDS = 1.0
-# A host that does not answer within this is left for the next one.
+# A host that does not reply in time is skipped for the next one.
 REPLY_TIMEOUT_SECONDS = 0.3
-# What others had is no guide after so long without an exchange.
+# The loads of other entries expire after this time without an exchange.
 STALE_SECONDS = 1.0
 NEVER_SENT = -1
 _log = logging.getLogger('tamarackthread.entry')
@@ -32,12 +30,10 @@
 
 
 class LoadExchange:
-    """Exchange calls with the first control host that answers.
-
-    All entries ask the same one as long as they see the same hosts.  Nothing
-    here is agreed on or kept: an entry that reaches none goes by its own calls.
-    """
+    """Exchange loads with the first control host that replies."""
 
+    # All entries sort the hosts alike, and so use the same one.  Without a
+    # host, an entry balances by its own calls.
     def __init__(
         self,
         all_targets: targets.Targets,
@@ -47,10 +43,10 @@
         on_exchange: collections.abc.Callable[[], None],
         poison: poison_requests.PoisonRequests | None = None,
     ) -> None:
-        """Exchange what ``all_targets`` holds with one of ``hosts``.
+        """Exchange the loads of ``all_targets`` with one of ``hosts``.
 
-        ``on_exchange`` is called after each exchange, also after one that no
-        host has answered.  What is known of ``poison`` calls goes both ways.
+        ``on_exchange`` is called after each attempt, also if no host replied.
+        Poison requests are exchanged as well.
         """
         self._poison = poison or poison_requests.PoisonRequests()
         self._targets = all_targets
@@ -66,7 +62,7 @@
         self._received_serial = 0
 
     async def run(self) -> None:
-        """Exchange for ever."""
+        """Exchange periodically."""
         loop = asyncio.get_running_loop()
         exchanged_at = loop.time()
         while True:
@@ -78,7 +74,7 @@
             self._on_exchange()
 
     async def exchange(self) -> bool:
-        """Exchange once; tell whether a host has answered."""
+        """Exchange once; tell whether a host has replied."""
         for host in sorted(self._hosts()):
             if host != self._host:
                 self._forget()
@@ -86,7 +82,7 @@
             try:
                 await self._exchange_with(host)
             except (errors.CodedError, TimeoutError) as exc:
-                _log.debug('entry: no calls of others, %s', exc)
+                _log.debug('entry: load exchange failed, %s', exc)
                 continue
             return True
         return False
@@ -115,7 +111,9 @@
                 host, messages.Request(site_load=request), REPLY_TIMEOUT_SECONDS
             )
         if reply.site_load is None:
-            raise errors.FrameInvalid('control host answered something else')
+            raise errors.FrameInvalid(
+                'control host sent a reply of another type'
+            )
         self._sent_serial = serial
         self._apply(reply.site_load, own)
 
@@ -126,7 +124,7 @@
     ) -> None:
         if reply.epoch != self._epoch:
             self._sums = {}
-            # The host has started again and knows nothing of what it was told.
+            # The host has restarted and lost the reports that it was sent.
             self._sent_serial = NEVER_SENT
         self._epoch = reply.epoch
         self._serial = reply.serial
@@ -159,6 +157,6 @@
 
 
 def _interval(entries: int) -> float:
-    """Return how long to wait until the next exchange."""
+    """Return the seconds until the next exchange."""
     interval = entries / EXCHANGES_A_SECOND
     return min(MAX_INTERVAL_SECONDS, max(MIN_INTERVAL_SECONDS, interval))
--- a/tamarackthread/entry/direct/outlier_detection.py
+++ b/tamarackthread/entry/direct/outlier_detection.py
@@ -1,9 +1,6 @@
-"""Know which targets fail calls that others answer, from their answers alone.
+"""Eject targets that fail calls which other targets answer.
 
-The failure: one target of three outcomes each call with an error of its own while its
-health check is good and it has the fewest calls, since errors come fast.  The least
-loaded target gets the next call, so that it fails more than its part of them, and a
-call that must not repeat is lost with each.
+A target that fails fast looks idle, so by load alone it would get most calls.
 """
 
 from __future__ import annotations
@@ -13,20 +10,19 @@
 
 import attrs
 
-# What was answered and what failed in so many seconds counts.  A plain service has
-# some calls at each target in it, and a target that is mended is soon known as such.
+# Only outcomes within this window count, so that a target soon recovers.
 WINDOW_SECONDS = 4.0
-# One failure, and a second one, is what every target has at times.
+# Every target fails one or two calls now and then.
 MIN_FAILURES = 3
-# A target whose calls fail so often costs more than the room that it gives, and so
-# many times as often as at the others: where all fail, none is worse.
+# An outlier fails at least this share of its calls, and this many times the
+# share of its peers: if all fail alike, none is ejected.
 MIN_FAILURE_SHARE = 0.4
 OUTLIER_FACTOR = 3
-# Of a service's targets at most such a part is left out, but one of three: the rest
-# would have no room for the calls.
+# Part of a service's targets that may be ejected, so that the rest keep enough
+# slots; of three targets, one may be.
 MAX_EJECTED_SHARE = 0.34
-# A target stays out for so long, twice as long each time that it fails again soon
-# after.  While it is under watch the first failure is enough.
+# An ejection lasts twice as long each time that a target fails on probation,
+# during which the first failure is enough to eject it.
 EJECTION_SECONDS = 3.0
 MAX_EJECTION_SECONDS = 12.0
 PROBATION_SECONDS = 8.0
@@ -34,7 +30,7 @@
 
 @attrs.frozen
 class OutcomeCounts:
-    """How many calls were answered and how many failed of late."""
+    """How many calls were answered and how many failed recently."""
 
     answered: int = 0
     failed: int = 0
@@ -46,17 +42,17 @@
 
     @property
     def failure_share(self) -> float:
-        """Return the part of the calls that failed."""
+        """Return the share of calls that failed."""
         return self.failed / max(1, self.calls)
 
     def plus(self, other: OutcomeCounts) -> OutcomeCounts:
-        """Return the sum of two."""
+        """Return the sum of two counts."""
         return OutcomeCounts(
             self.answered + other.answered, self.failed + other.failed
         )
 
     def minus(self, other: OutcomeCounts) -> OutcomeCounts:
-        """Return what is left without a part, nothing below 0."""
+        """Return the difference of two counts, at least 0 each."""
         return OutcomeCounts(
             max(0, self.answered - other.answered),
             max(0, self.failed - other.failed),
@@ -65,13 +61,13 @@
 
 @attrs.frozen
 class TargetLoad:
-    """The calls that entries have at a target, and how the last ones ended."""
+    """The open calls at a target and the outcomes of recent ones."""
 
     calls: int = 0
     outcomes: OutcomeCounts = OutcomeCounts()
 
     def minus(self, other: TargetLoad) -> TargetLoad:
-        """Return what is left without a part."""
+        """Return the difference of two loads, at least 0 each."""
         return TargetLoad(
             max(0, self.calls - other.calls),
             self.outcomes.minus(other.outcomes),
@@ -83,51 +79,49 @@
 
 
 class OutcomeHistory:
-    """Keep how this entry's calls at one start of a target ended.
-
-    ``others`` is what other entries told.
-    """
+    """Record the outcomes of this entry's calls at one target instance."""
 
     def __init__(self) -> None:
-        """Begin without a call."""
+        """Start without outcomes."""
+        # Recent outcomes at the other entries.
         self.other_counts = OutcomeCounts()
         self._outcomes: collections.deque[tuple[float, bool]] = (
             collections.deque()
         )
-        # Counted along: this is asked for at each target in each exchange.
+        # A running count, since each exchange reads it for every target.
         self._failed = 0
         self._ejection_seconds: float = 0
         self._ejected_until: float = 0
 
     def note(self, *, is_good: bool, now: float) -> None:
-        """Note how a call has ended."""
+        """Record the outcome of a call."""
         self._outcomes.append((now, is_good))
         self._failed += not is_good
 
     def own_counts(self, now: float) -> OutcomeCounts:
-        """Return how this entry's calls have ended of late."""
+        """Return the recent outcomes of this entry's calls."""
         self._drop_expired(now)
         if not self._outcomes:
             return NO_OUTCOMES
         return OutcomeCounts(len(self._outcomes) - self._failed, self._failed)
 
     def has_failures(self, now: float) -> bool:
-        """Tell whether any call of any entry has failed there of late."""
+        """Tell whether any entry's call has failed recently."""
         self._drop_expired(now)
         return self._failed > 0 or self.other_counts.failed > 0
 
     def total_counts(self, now: float) -> OutcomeCounts:
-        """Return how the calls of all entries have ended of late."""
+        """Return the recent outcomes of all entries' calls."""
         return self.own_counts(now).plus(self.other_counts)
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether the target is left out."""
+        """Tell whether the target is ejected."""
         return now < self._ejected_until
 
     def is_outlier(
         self, counts: OutcomeCounts, others: float, now: float
     ) -> bool:
-        """Tell whether the target fails more often than ``others`` do."""
+        """Tell whether the target fails far more often than ``others``."""
         least = 1 if self._is_on_probation(now) else MIN_FAILURES
         if counts.failed < least:
             return False
@@ -136,7 +130,7 @@
         )
 
     def eject(self, now: float) -> None:
-        """Leave the target out for a while, which begins anew after it."""
+        """Eject the target for a while and forget its outcomes."""
         doubled = min(MAX_EJECTION_SECONDS, 2 * self._ejection_seconds)
         self._ejection_seconds = max(EJECTION_SECONDS, doubled)
         if not self._is_on_probation(now):
@@ -151,7 +145,7 @@
             self._failed -= not was_good
 
     def _is_on_probation(self, now: float) -> bool:
-        """Tell whether the target was let back a short while ago."""
+        """Tell whether an ejection has ended recently."""
         return (
             0 < self._ejected_until
             and now - self._ejected_until < PROBATION_SECONDS
@@ -162,9 +156,9 @@
     histories: collections.abc.Sequence[OutcomeHistory],
     now: float,
 ) -> list[OutcomeHistory]:
-    """Leave targets of one service out that fail what others answer.
+    """Eject outliers among the targets of one service, the worst first.
 
-    Returns those that are left out by this, the worst first.
+    Returns the histories of the targets that were ejected by this call.
     """
     if not any(history.has_failures(now) for history in histories):
         return []
@@ -193,10 +187,8 @@
 
 
 def _median_share(rows: list[tuple[OutcomeCounts, OutcomeHistory]]) -> float:
-    """Return the share that fails at the usual one of some targets.
-
-    The lower of two in the middle: of three targets two may fail at once.
-    """
+    """Return the median failure share, the lower one of two."""
+    # Of three targets two may fail at once.
     shares = sorted(counts.failure_share for counts, _ in rows)
     return shares[(len(shares) - 1) // 2]
 
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -1,4 +1,4 @@
-"""Log what an entry believes of targets."""
+"""Log the state of targets as this entry sees it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,8 @@
 def log_new(
     new: collections.abc.Iterable[announcements.Announcement],
 ) -> None:
-    """Log the new targets of each service in one line.
-
-    Each entry learns of each target when it starts; a line for each pair is
-    thousands on a large site, in which other lines are lost.
-    """
+    """Log the new targets of each service in one line."""
+    # A line for each would be thousands when an entry of a large site starts.
     by_service: dict[str, list[str]] = collections.defaultdict(list)
     for announcement in new:
         by_service[announcement.service].append(announcement.target)
@@ -39,11 +36,11 @@
 
 
 def log_ejected(service: str, names: list[str]) -> None:
-    """Log which targets are left out for a while."""
+    """Log which targets are ejected as outliers."""
     log_events.tell(
         _log,
         log_events.Event.TARGET,
-        'entry: %d targets of %s fail what others answer',
+        'entry: ejected %d targets of %s that fail more than others',
         len(names),
         service,
         targets=names,
@@ -53,15 +50,15 @@
 
 
 def log_backpressure(target: instances.TargetInstance, now: float) -> None:
-    """Log what a target's answers ask for, as it begins or ends."""
+    """Log the kinds of backpressure of a target, when they change."""
     active = target.active_backpressure(now)
     log_events.tell(
         _log,
         log_events.Event.TARGET,
-        'entry: target %s of %s asks for: %s',
+        'entry: backpressure of target %s of %s: %s',
         target.name,
         target.announcement.service,
-        ', '.join(active) or 'nothing more',
+        ', '.join(active) or 'none',
         target=target.name,
         service=target.announcement.service,
         state='asking',
@@ -71,7 +68,7 @@
 
 
 def log_zones(known: zones.Zones) -> None:
-    """Log which zones get no work, and count them."""
+    """Log the evacuated zones, and set their metric."""
     evacuated = [row.name for row in known.rows if row.is_evacuated]
     figures.ZONES_EVACUATED.set(len(evacuated))
     log_events.tell(
@@ -85,12 +82,12 @@
 
 
 def log_groups(known: groups.Groups) -> None:
-    """Log which groups there are, and which of them make no passes."""
+    """Log the number of groups, and which of them make no passes."""
     closed = [row.name for row in known.rows if not row.is_open]
     log_events.tell(
         _log,
         log_events.Event.GROUPS,
-        'entry: knows %d groups, %d closed',
+        'entry: %d groups are known, %d closed',
         len(known.rows),
         len(closed),
         groups={row.name: len(row.members) for row in known.rows},
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -1,4 +1,4 @@
-"""Know the targets of each service and choose one for a call."""
+"""Track the targets of each service and select one for a call."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 State = announcements.State
 
-# A target without any word for so many beats counts as silent even if no
-# control host says so: the host that heard it last may be gone itself.
+# Missed heartbeats after which a target counts as silent, even without word
+# from a control host, which may be gone itself.
 SILENT_AFTER_BEATS = 7
 SWEEP_SECONDS = 0.5
 
@@ -42,9 +42,8 @@
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
-        ``shares`` bounds what is sent to cold targets; without it nothing does.
-        The entries of ``fleet`` share what targets in need take.
-        Must be called from within a running loop.
+        ``shares`` limits the calls to cold targets; the entries of ``fleet``
+        divide rate limits among them.  Needs a running event loop.
         """
         self._selector = selection.TargetSelector(zone, generator)
         self._eligibility = eligibility.Eligibility(shares, fleet)
@@ -54,14 +53,14 @@
         self._unlogged: list[announcements.Announcement] = []
         self._by_name: dict[str, instances.TargetInstance] = {}
         self._paces: dict[str, dict[str, float]] = {}
-        # In the order of their first announcement: a set's order differs from
-        # process to process, and with it the choice among equals.
+        # Ordered dicts instead of sets, so that the choice among equals is
+        # reproducible.
         self._by_service: dict[str, dict[str, None]] = collections.defaultdict(
             dict
         )
 
     def take(self, announcement: announcements.Announcement) -> None:
-        """Take an announcement unless a later one is held."""
+        """Apply an announcement unless a later one is known."""
         now = asyncio.get_running_loop().time()
         current = self._by_name.get(announcement.target)
         if current is None:
@@ -84,23 +83,21 @@
 
     @property
     def zone_changes(self) -> int:
-        """Return how many changes of zones are held."""
+        """Return the number of zone changes that were applied."""
         return self._eligibility.zone_changes
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
-        """Send nothing to evacuated zones, and work again to those restored."""
+        """Stop sending to evacuated zones, and resume for restored ones."""
         self._eligibility.learn_zones(rows, self._by_name.values())
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
-        """Take which targets make a group, as an owner of a term tells."""
+        """Replace the members of the groups, unless the term is outdated."""
         self._eligibility.learn_groups(term, rows, self._by_name.values())
 
     def set_paces(self, source: str, paces: dict[str, float]) -> None:
-        """Take the slow targets that one control host knows of.
-
-        Only the owner of a group knows them; what a former owner has announcement
-        ends within seconds, and until then the slower word counts.
-        """
+        """Replace the slow targets reported by one control host."""
+        # Only the owner of a group reports them.  While reports of a former
+        # owner last, the slower pace applies.
         self._paces[source] = paces
         for target in self._by_name.values():
             known_paces = [
@@ -109,7 +106,7 @@
             target.pace = max(known_paces)
 
     def own_loads(self) -> dict[str, outlier_detection.TargetLoad]:
-        """Return this entry's calls, by target, where it has or had any."""
+        """Return this entry's load, by target, where it has or had calls."""
         now = asyncio.get_running_loop().time()
         found: dict[str, outlier_detection.TargetLoad] = {}
         for name, target in self._by_name.items():
@@ -126,7 +123,7 @@
 
     @property
     def knows_others(self) -> bool:
-        """Tell whether the calls of other entries are known."""
+        """Tell whether the load of other entries is known."""
         return self._knows_others
 
     def set_other_loads(
@@ -134,9 +131,9 @@
         others: collections.abc.Mapping[str, outlier_detection.TargetLoad],
         entries: int = 1,
     ) -> None:
-        """Take the calls that all other entries have and had, by target.
+        """Replace the load of all other entries, by target.
 
-        ``entries`` counts those whose calls are in it, this one included.
+        ``entries`` counts the entries whose calls are known, this one included.
         """
         self._knows_others = True
         now = asyncio.get_running_loop().time()
@@ -152,7 +149,7 @@
             )
 
     def forget_others(self) -> None:
-        """Go by this entry's own calls until others are told of again."""
+        """Balance by this entry's own calls until the next exchange."""
         self.set_other_loads({})
         self._knows_others = False
 
@@ -161,11 +158,7 @@
         service: str,
         entries: int,
     ) -> crowding.Crowd:
-        """Count the calls and the places at the targets of a service.
-
-        An entry that does not know the calls of the others takes it that all
-        ``entries`` have as many as itself.
-        """
+        """Count the calls and the slots at the targets of a service."""
         now = asyncio.get_running_loop().time()
         found = self.of_service(service)
         ready = [
@@ -173,6 +166,8 @@
             for target in found
             if target.is_ready(now) and self._eligibility.has_room(target, now)
         ]
+        # While the load of other entries is unknown, it is assumed to be like
+        # this one's.
         own = sum(target.own_calls for target in found)
         others = own * max(0, entries - 1)
         if self._knows_others:
@@ -186,11 +181,11 @@
         )
 
     def get(self, name: str) -> instances.TargetInstance | None:
-        """Return a start of a target."""
+        """Return the instance of a target, ``None`` if unknown."""
         return self._by_name.get(name)
 
     def mark_gone(self, target: instances.TargetInstance) -> None:
-        """Note that another start of a target answers at the address."""
+        """Mark a target whose address now belongs to another instance."""
         target.announcement = attrs.evolve(
             target.announcement, state=State.GONE
         )
@@ -208,11 +203,7 @@
         tried: collections.abc.Collection[str],
         failed_groups: collections.abc.Collection[str] = (),
     ) -> instances.TargetInstance | None:
-        """Choose a target for a call, ``None`` if none may get it.
-
-        Targets whose group is closed, or one of those that the call has ``left``,
-        get it only if there is no other.
-        """
+        """Choose a target for a call, ``None`` if none may get it."""
         now = asyncio.get_running_loop().time()
         usable = [
             target
@@ -220,6 +211,8 @@
             if target.name not in tried
             and self._eligibility.may_take(target, now)
         ]
+        # Targets of closed groups, or of groups that failed the call, are a
+        # fallback.
         preferred = [
             target
             for target in usable
@@ -236,7 +229,7 @@
         tried: collections.abc.Collection[str],
         now: float,
     ) -> list[instances.TargetInstance]:
-        """List targets that leave and may still get a call."""
+        """List draining targets that may still get a call."""
         return [
             target
             for target in self.of_service(service)
@@ -245,10 +238,7 @@
         ]
 
     def rest_seconds(self, service: str) -> float:
-        """Return how long all targets of a service want no call, 0 if not all.
-
-        Those that get no call for another reason don't count.
-        """
+        """Return how long all targets of a service pause, 0 if not all do."""
         now = asyncio.get_running_loop().time()
         shortest: float = 0
         for target in self.of_service(service):
@@ -261,7 +251,7 @@
         return shortest
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep periodically."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep()
@@ -272,11 +262,11 @@
         tried: collections.abc.Collection[str],
         seconds: float,
     ) -> None:
-        """Wait for a target that was not tried, while more may be announced."""
+        """Wait for an untried target while the entry discovers targets."""
         await self._discovery.wait(lambda: self.choose(service, tried), seconds)
 
     def sweep(self) -> None:
-        """Mark targets that nobody has spoken of for long."""
+        """Mark silent targets and remove those that are gone."""
         target_log.log_new(self._unlogged)
         self._unlogged = []
         now = asyncio.get_running_loop().time()
@@ -300,7 +290,7 @@
         self._count()
 
     def _eject_outliers(self) -> None:
-        """Leave out targets that fail what others of their service answer."""
+        """Eject the targets of each service that fail far more than others."""
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
             ready = [
@@ -347,12 +337,9 @@
         announcement: announcements.Announcement,
         now: float,
     ) -> None:
-        """Put a later start in the place of one that has ended.
-
-        Calls that the earlier one had may have run and are lost with it; what
-        was held of it, its load, its pauses and its pace, ends with it too.
-        """
+        """Replace an instance by a later one, which starts with clean state."""
         ended.announcement = attrs.evolve(ended.announcement, state=State.GONE)
+        # Calls of the ended instance are lost and may have run.
         ended.cancel_calls()
         self._forget(announcement.target)
         self._add(announcement, now)
