--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -11,14 +11,14 @@
 from bench.surge import fleet, players, views, workload
 from tamarackthread.policy import (
     admission,
+    allocator,
     ejection,
     fairness,
     migration,
     retries,
-    room,
     routing,
+    target_load,
 )
-from tamarackthread.policy import load as target_load
 from tamarackthread.shared import errors
 
 
@@ -40,7 +40,9 @@
     admission: dict[str, admission.AdmissionSettings] = attrs.field(
         factory=_admission_settings,
     )
-    room: room.RoomSettings = attrs.field(factory=room.RoomSettings)
+    room: allocator.AllocatorSettings = attrs.field(
+        factory=allocator.AllocatorSettings
+    )
     routing: routing.RoutingSettings = attrs.field(
         factory=routing.RoutingSettings,
     )
@@ -140,7 +142,7 @@
     settings: OwnSettings,
 ) -> admission.Admission:
     policy = routing.ExpectedFirstToken(zone, generator, settings.routing)
-    place = room.TargetRoom(policy, settings.room)
+    place = allocator.TargetAllocator(policy, settings.room)
     place.set_targets(targets)
     budget = retries.RetryBudget(retries.RetrySettings(), 0)
     return admission.Admission(
@@ -148,5 +150,5 @@
         fairness.EqualShares(),
         generator,
         settings.admission[service],
-        move=migration.LateStreams(budget),
+        move=migration.MigrateLateStreams(budget),
     )
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -9,7 +9,7 @@
 import attrs
 
 from tamarackthread.entry.direct import calls, failures, targets
-from tamarackthread.policy import crowding, opening
+from tamarackthread.policy import concurrency, outages
 from tamarackthread.shared.site import configuration
 
 # The rest of the current pass, one pass for the prompt, and the round trip.
@@ -38,7 +38,7 @@
     def __init__(
         self,
         service: str,
-        bound: crowding.CallBound,
+        bound: concurrency.ConcurrencyLimit,
         all_targets: targets.Targets,
         entries: EntryCount,
     ) -> None:
@@ -47,18 +47,18 @@
         self._bound = bound
         self._targets = all_targets
         self._entries = entries
-        self._group_state = opening.Opening()
+        self._group_state = outages.OutageDetector()
         self._waiting: list[_Waiter] = []
         self._quota: float = 0
         self._answer_seconds: float = 0
 
     @property
-    def bound(self) -> crowding.CallBound:
+    def bound(self) -> concurrency.ConcurrencyLimit:
         """Return the concurrency limit."""
         return self._bound
 
     @bound.setter
-    def bound(self, bound: crowding.CallBound) -> None:
+    def bound(self, bound: concurrency.ConcurrencyLimit) -> None:
         self._bound = bound
 
     def __len__(self) -> int:
@@ -127,14 +127,14 @@
             self._quota = max(1, free / max(1, self._entries()))
         self._grant()
 
-    def _crowd(self) -> crowding.Crowd:
+    def _crowd(self) -> concurrency.GroupLoad:
         return self._targets.crowd(self._service, self._entries())
 
     def _free_slots(self) -> float:
         """Return how many more calls the ranks may take."""
         return self._free_slots_of(self._crowd())
 
-    def _free_slots_of(self, crowd: crowding.Crowd) -> float:
+    def _free_slots_of(self, crowd: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
         return self._bound.most(crowd, now) - crowd.calls
 
@@ -183,10 +183,12 @@
             self._settings[service.name] = settings
             self._set_bound(
                 service.name,
-                crowding.Proportional(settings[1], service.passes.empty),
+                concurrency.LatencyLimit(settings[1], service.passes.empty),
             )
 
-    def _set_bound(self, service: str, bound: crowding.CallBound) -> None:
+    def _set_bound(
+        self, service: str, bound: concurrency.ConcurrencyLimit
+    ) -> None:
         """Set the limit of a service's queue, keeping the calls in it."""
         queue = self._queues.get(service)
         if queue is not None:
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -6,7 +6,7 @@
 import collections.abc
 
 from tamarackthread.entry.direct import instances, target_log
-from tamarackthread.policy import cold, fleets, rate_limit
+from tamarackthread.policy import cold_start, known_entries, rate_limit
 from tamarackthread.shared.site import groups, zones
 
 # Targets of a restored zone count as cold for this long, since any may have
@@ -25,8 +25,8 @@
 
     def __init__(
         self,
-        shares: cold.Shares | None = None,
-        fleet: fleets.Fleet | None = None,
+        shares: cold_start.ColdStartLimits | None = None,
+        fleet: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start with every target in service.
 
@@ -89,14 +89,14 @@
         if self._shares is None or not target.is_cold(now):
             return True
         most = self._shares.calls(target.announcement.service, target.name)
-        recent = target.sent.lately(now, cold.SPAN_SECONDS)
+        recent = target.sent.lately(now, cold_start.SPAN_SECONDS)
         return most is None or recent < most
 
     def set_demand(
         self, service: str, demand: rate_limit.Demand | None
     ) -> None:
         """Set this entry's share of a service's calls."""
-        self._demands[service] = demand or rate_limit.ALONE
+        self._demands[service] = demand or rate_limit.SOLE_ENTRY
 
     def is_in_service(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target neither drains nor is in an evacuated zone."""
@@ -131,14 +131,14 @@
         if target.limit.rate is None:
             return True
         demand = self._demands.get(
-            target.announcement.service, rate_limit.ALONE
+            target.announcement.service, rate_limit.SOLE_ENTRY
         )
-        part = rate_limit.Part(demand, 1, 0)
+        part = rate_limit.EntryShare(demand, 1, 0)
         if self._fleet is not None:
-            part = rate_limit.Part(
+            part = rate_limit.EntryShare(
                 demand,
                 self._fleet.count(),
-                self._fleet.place(target.name),
+                self._fleet.position(target.name),
             )
         return target.limit.may_take(target.sent, part, now)
 
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -9,7 +9,7 @@
     routing_table,
     targets,
 )
-from tamarackthread.policy import cold
+from tamarackthread.policy import cold_start
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import (
     announcements,
@@ -33,7 +33,7 @@
         reader: configuration.Reader,
         tables: routing_table.CurrentTable,
         admission: admission_control.AdmissionControl,
-        shares: cold.Shares,
+        shares: cold_start.ColdStartLimits,
     ) -> None:
         """Take the parts of the entry that updates are applied to."""
         self._shares = shares
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -51,7 +51,7 @@
     cold_until: float = 0
     # What the last response to this entry asked for.
     last_backpressure: backpressure.Backpressure = backpressure.NONE
-    rest: backpressure.Rest = attrs.field(factory=backpressure.Rest)
+    rest: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
     # When a response first announced a drain, 0 if none has.
     leaving_at: float = 0
     _scopes: set[asyncio.Timeout] = attrs.field(factory=set)
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -14,7 +14,7 @@
     target_client,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import suspects
+from tamarackthread.policy import poison_calls
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
@@ -31,11 +31,11 @@
     # after a target was lost and while there are suspects.
     def __init__(self) -> None:
         """Start without suspects."""
-        self._suspects = suspects.Suspects()
+        self._suspects = poison_calls.PoisonCalls()
 
     def check(self, call: calls.Call) -> None:
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
-        if self._verdict(call) is not suspects.Verdict.REFUSED:
+        if self._verdict(call) is not poison_calls.Verdict.REFUSED:
             return
         figures.CALLS_SUSPECTED.labels('refused').inc()
         self._log_suspect(call, 'refused')
@@ -45,7 +45,7 @@
 
     def may_repeat(self, call: calls.Call) -> bool:
         """Tell whether this entry may retry a call."""
-        return self._verdict(call) is suspects.Verdict.FREE
+        return self._verdict(call) is poison_calls.Verdict.FREE
 
     def note_failure(
         self,
@@ -77,7 +77,7 @@
     def own_rows(self) -> list[messages.SiteSuspect]:
         """List the suspects that this entry reports to the others."""
         now = asyncio.get_running_loop().time()
-        return [suspects.to_message(row) for row in self._suspects.own(now)]
+        return [poison_calls.to_message(row) for row in self._suspects.own(now)]
 
     def set_shared_rows(
         self,
@@ -85,11 +85,13 @@
     ) -> None:
         """Replace the suspects reported by the other entries."""
         now = asyncio.get_running_loop().time()
-        self._suspects.share([suspects.of_message(row) for row in rows], now)
+        self._suspects.share(
+            [poison_calls.of_message(row) for row in rows], now
+        )
 
-    def _verdict(self, call: calls.Call) -> suspects.Verdict:
+    def _verdict(self, call: calls.Call) -> poison_calls.Verdict:
         if not self._suspects:
-            return suspects.Verdict.FREE
+            return poison_calls.Verdict.FREE
         now = asyncio.get_running_loop().time()
         return self._suspects.verdict(fingerprint(call), now)
 
--- a/tamarackthread/entry/direct/retry_budgets.py
+++ b/tamarackthread/entry/direct/retry_budgets.py
@@ -44,12 +44,12 @@
         budget = self._by_service.get(service)
         if budget is None:
             settings = retries.RetrySettings(
-                share=self._site.retry_share, reserve=reserve, least_rate=0
+                ratio=self._site.retry_share, reserve=reserve, min_rate=0
             )
             # Entries that start together and don't know each other yet would
             # each spend the whole reserve.
             level = reserve / 2 if entries else 0
             budget = retries.RetryBudget(settings, self._now(), level)
             self._by_service[service] = budget
-        budget.limit(reserve)
+        budget.set_reserve(reserve)
         return budget
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -18,7 +18,7 @@
     selection,
     target_log,
 )
-from tamarackthread.policy import cold, crowding, fleets
+from tamarackthread.policy import cold_start, concurrency, known_entries
 from tamarackthread.shared.site import announcements, figures, groups, zones
 
 State = announcements.State
@@ -37,8 +37,8 @@
         zone: str,
         beat_seconds: float,
         generator: random.Random,
-        shares: cold.Shares | None = None,
-        fleet: fleets.Fleet | None = None,
+        shares: cold_start.ColdStartLimits | None = None,
+        fleet: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
@@ -157,7 +157,7 @@
         self,
         service: str,
         entries: int,
-    ) -> crowding.Crowd:
+    ) -> concurrency.GroupLoad:
         """Count the calls and the slots at the targets of a service."""
         now = asyncio.get_running_loop().time()
         found = self.of_service(service)
@@ -172,7 +172,7 @@
         others = own * max(0, entries - 1)
         if self._knows_others:
             others = sum(target.other_calls for target in found)
-        return crowding.Crowd(
+        return concurrency.GroupLoad(
             calls=own + others,
             ranks=len(ready),
             places=sum(target.slots for target in ready),
--- a/tamarackthread/policy/cold.py
+++ b/tamarackthread/policy/cold_start.py
@@ -9,7 +9,7 @@
 
 import collections.abc
 
-from tamarackthread.policy import fleets
+from tamarackthread.policy import known_entries
 
 # Calls are counted over the second that a target counts, and what they may be
 # held up on their way there: the time in which a connection is made.
@@ -19,7 +19,7 @@
 PARTS = 2
 
 
-class Shares:
+class ColdStartLimits:
     """Work out how many calls this entry may send to a cold target.
 
     A share does not grow when other entries fall silent: they may be cut off
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        fleet: fleets.Fleet,
+        fleet: known_entries.KnownEntries,
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
@@ -61,5 +61,5 @@
 
     def _is_drawn(self, target: str, places: int) -> bool:
         """Tell whether this entry is one of the few that a target is left to."""
-        place = self._fleet.place(target)
+        place = self._fleet.position(target)
         return place is not None and place < places
