--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -17,8 +17,8 @@
 )
 from tamarackthread.policy import poison_calls
 from tamarackthread.shared.site import announcements, configuration
-from tests import direct_case, policy_case, test_admitting
-from tests import test_shared_calls as shared_calls
+from tests import direct_case, policy_case, test_admission_control
+from tests import test_load_exchange as shared_calls
 
 BAD = b'b'
 GOOD = b'g'
@@ -108,7 +108,9 @@
 
 def start_of(name):
     said = announcements.Announcement(
-        target=name, service=test_admitting.SERVICE, address=f'{name}:80'
+        target=name,
+        service=test_admission_control.SERVICE,
+        address=f'{name}:80',
     )
     return instances.TargetInstance(said, 0)
 
@@ -175,11 +177,11 @@
     async def _any(self):
         hosts = {'h0': loads.Loads(1)}
         entries = await self._crashed(hosts)
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
                 entry.crashing.check(call)
-        other = test_admitting.call_of(call_id='other')
+        other = test_admission_control.call_of(call_id='other')
         entries[-1].crashing.check(_with_body(other, b'another'))
 
     async def _lost_host(self):
@@ -189,7 +191,7 @@
             entry.links.cut.add('h0')
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _restarted(self):
         hosts = {'h0': loads.Loads(1)}
@@ -199,11 +201,11 @@
         await _exchange(entries)
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
-                entry.crashing.check(test_admitting.call_of())
+                entry.crashing.check(test_admission_control.call_of())
 
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         for _ in range(int(2 * poison_calls.REMEMBERED_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
@@ -228,11 +230,11 @@
         await _exchange(entries)
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _answered(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         entries[-1].crashing.note_answer(call)
         await _exchange(entries)
         for entry in entries:
@@ -240,7 +242,7 @@
 
     async def _crashed(self, hosts):
         entries = [Entry(f'e{number}', hosts) for number in range(ENTRIES)]
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
@@ -256,8 +258,8 @@
         self.run_paused(self._same())
 
     async def _same(self):
-        call = test_admitting.call_of(call_id='one')
-        again = test_admitting.call_of(call_id='two')
+        call = test_admission_control.call_of(call_id='one')
+        again = test_admission_control.call_of(call_id='two')
         self.assertEqual(
             poison_requests.fingerprint(call),
             poison_requests.fingerprint(again),
--- a/tests/test_failing_targets.py
+++ b/tests/test_failing_targets.py
@@ -17,7 +17,7 @@
     targets,
 )
 from tamarackthread.shared.site import announcements
-from tests import policy_case, test_shared_calls
+from tests import policy_case, test_load_exchange
 
 SERVICE = 's'
 ENTRIES = 15
@@ -98,7 +98,7 @@
         entries = []
         for number in range(ENTRIES):
             known = _targets(generator)
-            links = test_shared_calls.Host(f'e{number}', {'h': host})
+            links = test_load_exchange.Host(f'e{number}', {'h': host})
             shared = load_exchange.LoadExchange(
                 known, links, _hosts, _entries, _nothing
             )
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -12,9 +12,9 @@
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared.site import announcements, groups
-from tests import policy_case, test_admitting
+from tests import policy_case, test_admission_control
 
-SERVICE = test_admitting.SERVICE
+SERVICE = test_admission_control.SERVICE
 SLOTS = 5
 RANKS = 8
 NAMES = ('g0', 'g1', 'g2')
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -21,7 +21,7 @@
 )
 from tamarackthread.shared.site import configuration
 from tests import direct_case as direct
-from tests import policy_case, test_backpressure, test_shared_calls
+from tests import policy_case, test_backpressure, test_load_exchange
 
 TARGET = 't'
 TICK = 0.05
@@ -152,8 +152,8 @@
 
     async def _exchanged(self):
         hosts = {'h1': loads.Loads(1)}
-        first, _, one = test_shared_calls.entry_of('e1', hosts)
-        second, _, two = test_shared_calls.entry_of('e2', hosts)
+        first, _, one = test_load_exchange.entry_of('e1', hosts)
+        second, _, two = test_load_exchange.entry_of('e2', hosts)
         first.get('t0').limit.hear(4, 0)
         first.get('t0').own_calls = 3
         second.get('t1').own_calls = 1
