--- a/tamarackthread/control/site/api.py
+++ b/tamarackthread/control/site/api.py
@@ -1,4 +1,4 @@
-"""Take an operator's configuration and give it back, on any control host."""
+"""Replace and read the site's configuration on any control host."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NewestUnknown(errors.CodedError):
-    """This host can't be sure which configuration is the newest."""
+    """This host can't confirm which configuration is the newest."""
 
     code = 'TT7104'
     status = 503
@@ -29,22 +29,20 @@
         site: machine.SiteMachine,
         reader: configuration.Reader,
     ) -> None:
-        """Propose to ``group``, which drives ``site``."""
+        """Propose changes to ``group``, whose state machine is ``site``."""
         self._group = group
         self._site = site
         self._reader = reader
 
     async def replace(self, body: bytes) -> int:
-        """Put a configuration in force and return its version.
+        """Commit a configuration and return its version.
 
-        One that a higher version has overtaken is accepted without effect.
-        Raises ``InvalidError`` before anything else is looked at, and
-        ``ChangeUnsettled`` when no quorum has answered.
+        An older version is accepted without effect.  Raises ``InvalidError``
+        before it proposes anything, ``ChangeUnsettled`` without a quorum.
         """
         version = self._reader.read(body).version
-        # What this host has applied is committed, so a held version may be
-        # acknowledged without asking anybody.  That keeps a resent change
-        # from being refused while no leader is known.
+        # Applied versions are committed, so they can be acknowledged without a
+        # quorum; that also covers retries while there is no leader.
         if version <= self._site.held.version:
             return version
         asked = document.pack(version, body)
@@ -62,8 +60,7 @@
     async def read(self) -> document.Document:
         """Return the newest configuration; raise ``NewestUnknown``.
 
-        A host that was cut off or suspended may hold an older one and not
-        know it, so a quorum is asked each time.
+        A quorum confirms each read, as this host's copy may be outdated.
         """
         try:
             await self._group.read_barrier(committing.TIMEOUT_SECONDS)
--- a/tamarackthread/control/site/committing.py
+++ b/tamarackthread/control/site/committing.py
@@ -1,4 +1,4 @@
-"""Commit a command on behalf of an operator who waits for the answer."""
+"""Commit commands on behalf of operators."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from tamarackthread.control import consensus, failures
 from tamarackthread.shared import errors
 
-# An operator turns to another host after a second without an answer.  Less
-# than that is spent on a leader that is being elected.
+# Below the second after which an operator tries another host, and longer than most
+# leader elections.
 TIMEOUT_SECONDS = 0.85
-PAUSE_SECONDS = 0.04
+RETRY_PAUSE_SECONDS = 0.04
 
 
 class ChangeUnsettled(errors.CodedError):
-    """Change may or may not be in force; sending it again is safe."""
+    """Change may or may not be in force; repeating it is safe."""
 
     code = 'TT7103'
     status = 503
@@ -25,23 +25,21 @@
     command: bytes,
     until: float,
 ) -> bytes:
-    """Propose until the command is committed and return its result.
+    """Propose an idempotent command until it is committed; return its result.
 
-    A second copy must change nothing: where an answer is lost the command is
-    proposed again.  Raises ``ChangeUnsettled`` when patience ends, at a moment
-    of the loop's clock.
+    Raises ``ChangeUnsettled`` at ``until``, a time of the loop's clock.
     """
     loop = asyncio.get_running_loop()
     failure: errors.CodedError = failures.NotLeader('no leader is known')
     while loop.time() < until:
-        left = until - loop.time()
+        remaining = until - loop.time()
         try:
-            done = await group.submit(command, left)
+            entry = await group.submit(command, remaining)
         except failures.CommandTooLarge:
             raise
         except errors.CodedError as exc:
             failure = exc
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
             continue
-        return done.result
+        return entry.result
     raise ChangeUnsettled(f'{failure.code} {failure}')
--- a/tamarackthread/control/site/evacuation.py
+++ b/tamarackthread/control/site/evacuation.py
@@ -1,4 +1,4 @@
-"""Take an operator's requests to evacuate a zone and to take it back."""
+"""Evacuate and restore zones at an operator's request."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 
 
 class Evacuation:
-    """Put operators' requests in order and keep them."""
+    """Commit operators' requests to evacuate and restore zones."""
 
     def __init__(
         self,
         group: consensus.Consensus,
         site: machine.SiteMachine,
-        known: collections.abc.Collection[str],
+        zone_names: collections.abc.Collection[str],
     ) -> None:
-        """Propose to ``group``, which drives ``site``; ``known`` are zones."""
+        """Propose to ``group``, whose state machine is ``site``."""
         self._group = group
         self._site = site
-        self._known = frozenset(known)
+        self._zone_names = frozenset(zone_names)
 
     async def request(
         self, zone: str, author: str, *, is_evacuated: bool
     ) -> None:
-        """Evacuate a zone or take it back; return once it is committed.
+        """Evacuate or restore a zone; return once that is committed.
 
-        Sent again it changes nothing.  Raises ``ZoneUnknown`` at once and
-        ``ChangeUnsettled`` where no quorum has answered.
+        The request is idempotent.  Raises ``ZoneUnknown`` at once, and
+        ``ChangeUnsettled`` without a quorum.
         """
-        if zone not in self._known:
+        if zone not in self._zone_names:
             raise ZoneUnknown(f'zone "{zone}"')
         until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
-        while not await self._is_taken(zone, until, is_evacuated=is_evacuated):
-            # Others have changed the zone since this host applied its last
-            # command; the request stands all the same, after theirs.
-            await self._catch_up(until)
+        while not await self._propose(zone, until, is_evacuated=is_evacuated):
+            # The zone's revision has changed since this host last applied a
+            # command; propose again with the new one.
+            await self._read_barrier(until)
         log_events.tell(
             _log,
             log_events.Event.ZONE,
@@ -65,10 +65,10 @@
     async def list_zones(self) -> list[zones.Zone]:
         """List all zones of the site; raise ``ChangeUnsettled`` if unsure."""
         until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
-        await self._catch_up(until)
-        return [self._site.zones.get(name) for name in sorted(self._known)]
+        await self._read_barrier(until)
+        return [self._site.zones.get(name) for name in sorted(self._zone_names)]
 
-    async def _is_taken(
+    async def _propose(
         self,
         zone: str,
         until: float,
@@ -79,12 +79,12 @@
         command = machine.zone_command(
             zones.Zone(zone, is_evacuated, held.revision)
         )
-        done = await committing.commit(self._group, command, until)
-        return done == machine.APPLIED
+        result = await committing.commit(self._group, command, until)
+        return result == machine.APPLIED
 
-    async def _catch_up(self, until: float) -> None:
-        left = until - asyncio.get_running_loop().time()
+    async def _read_barrier(self, until: float) -> None:
+        remaining = until - asyncio.get_running_loop().time()
         try:
-            await self._group.read_barrier(max(0, left))
+            await self._group.read_barrier(max(0, remaining))
         except errors.CodedError as exc:
             raise committing.ChangeUnsettled(str(exc)) from exc
--- a/tamarackthread/control/site/feed.py
+++ b/tamarackthread/control/site/feed.py
@@ -1,4 +1,4 @@
-"""Answer the followers of a control host as soon as there is news."""
+"""Serve the feed of targets, zones and configurations to followers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 MILLISECONDS = 1000
 PERCENT = 100
-# A follower counts among the entries for so long after its last question.
-FOLLOWER_SECONDS = 5.0
-# Thousands of targets are told of again and again.  For more than a few followers
-# news of them waits for more, so that so many replies a second go to the others.
-FEW_FOLLOWERS = 60
-REPLIES_A_SECOND = 400
-MOST_HELD_SECONDS = 0.5
+# Time since its last request for which an entry counts as a follower.
+FOLLOWER_TTL_SECONDS = 5.0
+# With more followers than this, target updates are batched to bound the total rate
+# of replies.
+MAX_UNBATCHED_FOLLOWERS = 60
+MAX_REPLIES_PER_SECOND = 400
+MAX_BATCH_SECONDS = 0.5
 
 Members = collections.abc.Callable[[], list[str]]
 
 
 class Feed:
-    """Hold each follower's question until something is newer."""
+    """Answer feed requests by long polling."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         members: Members,
         epoch: int,
     ) -> None:
-        """Serve from ``site`` and ``targets``; ``epoch`` is this start."""
+        """Serve from ``site`` and ``targets``; ``epoch`` names this start."""
         self._site = site
         self._targets = targets
         self._members = members
@@ -46,78 +46,84 @@
     async def answer(
         self,
         peer: link.Link,
-        asked: messages.SiteFeedRequest,
+        request: messages.SiteFeedRequest,
     ) -> messages.SiteFeedReply:
-        """Reply at once if there is news, else when there is or time is up."""
+        """Reply as soon as there is news, or after the request's wait time."""
         loop = asyncio.get_running_loop()
         if peer.peer.role == messages.Role.ENTRY:
             self._followers[peer.peer.address] = loop.time()
-        until = loop.time() + (asked.wait_ms or 0) / MILLISECONDS
-        while not self._has_news(asked) and loop.time() < until:
-            news = self._news
+        deadline = loop.time() + (request.wait_ms or 0) / MILLISECONDS
+        while not self._has_news(request) and loop.time() < deadline:
+            changed = self._news
             try:
-                async with asyncio.timeout_at(until):
-                    await news.wait()
+                async with asyncio.timeout_at(deadline):
+                    await changed.wait()
             except TimeoutError:
                 break
-        if self._serial_of(asked) and not self._is_urgent(asked):
-            await self._hold(asked)
-        return self._reply(asked)
+        if self._serial_of(request) and not self._is_urgent(request):
+            await self._batch(request)
+        return self._reply(request)
 
-    async def _hold(self, asked: messages.SiteFeedRequest) -> None:
-        """Let news of targets wait for more, unless other news comes."""
+    async def _batch(self, request: messages.SiteFeedRequest) -> None:
+        """Delay target updates to batch them, unless more urgent news comes."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._held_seconds()
-        while loop.time() < until and not self._is_urgent(asked):
-            news = self._news
+        deadline = loop.time() + self._batch_seconds()
+        while loop.time() < deadline and not self._is_urgent(request):
+            changed = self._news
             try:
-                async with asyncio.timeout_at(until):
-                    await news.wait()
+                async with asyncio.timeout_at(deadline):
+                    await changed.wait()
             except TimeoutError:
                 return
 
-    def _held_seconds(self) -> float:
-        """Return how long news of targets waits for more."""
-        more = max(0, len(self._followers) - FEW_FOLLOWERS)
-        return min(MOST_HELD_SECONDS, more / REPLIES_A_SECOND)
+    def _batch_seconds(self) -> float:
+        """Return the delay of target updates, by the number of followers."""
+        more = max(0, len(self._followers) - MAX_UNBATCHED_FOLLOWERS)
+        return min(MAX_BATCH_SECONDS, more / MAX_REPLIES_PER_SECOND)
 
-    def _is_urgent(self, asked: messages.SiteFeedRequest) -> bool:
-        """Tell whether there is more news than that of targets."""
-        if self._site.held.version > (asked.version or 0):
+    def _is_urgent(self, request: messages.SiteFeedRequest) -> bool:
+        """Return whether there is news of anything but targets."""
+        if self._site.held.version > (request.version or 0):
             return True
-        return self._has_newer_zones(asked) or self._has_other_groups(asked)
+        return self._has_newer_zones(request) or self._has_other_groups(request)
 
     def _wake(self) -> None:
         self._news.set()
         self._news = asyncio.Event()
 
-    def _has_news(self, asked: messages.SiteFeedRequest) -> bool:
-        return self._is_urgent(asked) or self._has_news_of_targets(asked)
+    def _has_news(self, request: messages.SiteFeedRequest) -> bool:
+        return self._is_urgent(request) or self._has_news_of_targets(request)
 
-    def _has_news_of_targets(self, asked: messages.SiteFeedRequest) -> bool:
-        return self._serial_of(asked) < self._targets.serial
+    def _has_news_of_targets(self, request: messages.SiteFeedRequest) -> bool:
+        return self._serial_of(request) < self._targets.serial
 
-    def _has_newer_zones(self, asked: messages.SiteFeedRequest) -> bool:
-        return self._site.zones.changes > (asked.zone_changes or 0)
+    def _has_newer_zones(self, request: messages.SiteFeedRequest) -> bool:
+        return self._site.zones.changes > (request.zone_changes or 0)
 
-    def _has_other_groups(self, asked: messages.SiteFeedRequest) -> bool:
-        """Tell whether the follower has other groups than this start's."""
-        known = asked.groups_serial or 0 if asked.epoch == self._epoch else 0
-        return known != self._targets.groups.serial
+    def _has_other_groups(self, request: messages.SiteFeedRequest) -> bool:
+        """Return whether the follower's groups differ from the current ones."""
+        known_serial = (
+            request.groups_serial or 0 if request.epoch == self._epoch else 0
+        )
+        return known_serial != self._targets.groups.serial
 
-    def _serial_of(self, asked: messages.SiteFeedRequest) -> int:
-        """Return how far the follower is in this start's book."""
-        return asked.serial or 0 if asked.epoch == self._epoch else 0
+    def _serial_of(self, request: messages.SiteFeedRequest) -> int:
+        """Return the follower's serial, 0 if it is of an earlier start."""
+        return request.serial or 0 if request.epoch == self._epoch else 0
 
-    def _reply(self, asked: messages.SiteFeedRequest) -> messages.SiteFeedReply:
+    def _reply(
+        self, request: messages.SiteFeedRequest
+    ) -> messages.SiteFeedReply:
         held = self._site.held
-        known = self._targets.groups
-        is_newer = held.version > (asked.version or 0)
-        rows = self._targets.changed_since(self._serial_of(asked))
+        current_groups = self._targets.groups
+        is_newer = held.version > (request.version or 0)
+        rows = self._targets.changed_since(self._serial_of(request))
         return messages.SiteFeedReply(
             version=held.version,
             document=(
-                held.packed if is_newer and not asked.without_document else None
+                held.packed
+                if is_newer and not request.without_document
+                else None
             ),
             epoch=self._epoch,
             serial=self._targets.serial,
@@ -129,15 +135,15 @@
                 for target, pace in self._targets.paces().items()
             ],
             groups=(
-                groups.to_messages(known)
-                if self._has_other_groups(asked)
+                groups.to_messages(current_groups)
+                if self._has_other_groups(request)
                 else None
             ),
-            groups_serial=known.serial,
-            groups_term=known.term,
+            groups_serial=current_groups.serial,
+            groups_term=current_groups.term,
             zones=(
                 zones.to_messages(self._site.zones)
-                if self._has_newer_zones(asked)
+                if self._has_newer_zones(request)
                 else None
             ),
         )
@@ -145,6 +151,6 @@
     def _entries(self) -> list[str]:
         now = asyncio.get_running_loop().time()
         for address, asked_at in tuple(self._followers.items()):
-            if now - asked_at > FOLLOWER_SECONDS:
+            if now - asked_at > FOLLOWER_TTL_SECONDS:
                 self._followers.pop(address)
         return sorted(self._followers)
--- a/tamarackthread/control/site/http_errors.py
+++ b/tamarackthread/control/site/http_errors.py
@@ -1,4 +1,4 @@
-"""Answer HTTP requests of operators and targets by parts of this host."""
+"""Convert coded errors of HTTP request handlers into responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def bind(answer: Answer, part: typing.Any) -> Handler:
-    """Give a part to a handler and turn its coded errors into answers."""
+    """Bind a request handler to ``part`` and convert its coded errors."""
     return functools.partial(_handle, answer, part)
 
 
