--- a/tamarackthread/control/site/handler.py
+++ b/tamarackthread/control/site/handler.py
@@ -1,4 +1,4 @@
-"""Answer what comes over the links of a control host of a site."""
+"""Handle the requests that reach a control host of a site over its links."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SiteHandler(link.Handler):
-    """Answer other control hosts and the followers."""
+    """Handle requests of control hosts, followers, entries and operators."""
 
     def __init__(
         self,
@@ -21,10 +21,10 @@
         calls: loads.Loads,
         zones: evacuation.Evacuation,
     ) -> None:
-        """Direct requests to the group, the feed, the sums or the zones."""
+        """Dispatch requests to the consensus group, feed, loads or zones."""
         self._group = group
-        self._followers = followers
-        self._calls = calls
+        self._feed = followers
+        self._loads = calls
         self._zones = zones
         self._checks: set[asyncio.Task[None]] = set()
 
@@ -33,39 +33,39 @@
         link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Answer a request by what it asks."""
+        """Dispatch a request by its content."""
         if request.site is not None:
-            reply = await self._followers.answer(link, request.site)
+            reply = await self._feed.answer(link, request.site)
             return messages.Reply(site=reply)
         if request.site_load is not None:
-            told = self._calls.answer(link.peer.address, request.site_load)
-            return messages.Reply(site_load=told)
+            totals = self._loads.answer(link.peer.address, request.site_load)
+            return messages.Reply(site_load=totals)
         if request.site_zone is not None:
-            return await self._answer_operator(link, request.site_zone)
-        # Any process with the shared secret can dial; only control hosts may
-        # vote or write to the log.
+            return await self._handle_operator(link, request.site_zone)
+        # Any process with the shared secret can connect, but only control hosts
+        # may vote or write to the log.
         if link.peer.role != messages.Role.CONTROL:
             raise errors.RequestUnsupported(f'not for role {link.peer.role}')
         return await self._group.handle(request)
 
-    async def _answer_operator(
+    async def _handle_operator(
         self,
         link: link.Link,
-        asked: messages.SiteZoneRequest,
+        zone_request: messages.SiteZoneRequest,
     ) -> messages.Reply:
         if link.peer.role != messages.Role.OPERATOR:
             raise errors.RequestUnsupported(f'not for role {link.peer.role}')
-        if asked.name:
+        if zone_request.name:
             await self._zones.request(
-                asked.name,
-                asked.author or link.peer.node,
-                is_evacuated=bool(asked.is_evacuated),
+                zone_request.name,
+                zone_request.author or link.peer.node,
+                is_evacuated=bool(zone_request.is_evacuated),
             )
         rows = [zones.to_message(row) for row in await self._zones.list_zones()]
         return messages.Reply(site_zone=messages.SiteZoneReply(rows))
 
     def on_lost(self, link: link.Link) -> None:
-        """Look after the leader if it was the one at the other end."""
+        """Check on the leader if the lost link was to it."""
         if link.peer.role != messages.Role.CONTROL:
             return
         check = asyncio.create_task(self._group.check_leader(link.peer.node))
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -48,12 +48,10 @@
 )
 
 GROUP = 'site'
-TARGETS = 'targets'
+TARGETS_FOLDER = 'targets'
 CHECK_SECONDS = 0.5
-# A heartbeat takes two ways between availability zones of a region, some
-# milliseconds; a host that is busy or slowed answers within a tenth of a
-# second.  An election must end well within the four seconds that an operator
-# waits for an acknowledgement, with one vote that is split.
+# Heartbeats allow for a slow host and for the distance between availability zones.
+# An election with one split vote ends within an operator's timeout of 4 s.
 TIMES = timing.Timing(
     heartbeat=0.12,
     election_min=0.7,
@@ -62,9 +60,8 @@
     append_timeout=1.5,
     stall=0.6,
     segment_bytes=1 << 20,
-    # A host that starts knows only of its snapshot that it was committed; the
-    # rest of its log waits for a leader.  With each change in a snapshot the
-    # entries that start with it have a configuration a second earlier.
+    # A host that starts alone can only use its snapshot.  With every change in
+    # it, entries get a configuration before a leader is elected.
     snapshot_entries=1,
     snapshot_bytes=2 << 20,
     trailing_entries=50,
@@ -72,14 +69,14 @@
     handover=1.5,
     is_lease_trusted=False,
 )
-# Two candidates that stand within 10 ms of each other share the votes and try
-# again; with this spread one pair in six does.
+# Spread of election timeouts where elections are hurried; candidates that start
+# within 10 ms of each other split the vote.
 HURRY_SECONDS = 0.12
 _log = logging.getLogger('tamarackthread.control')
 
 
 class HttpServer(abc.ABC):
-    """The HTTP through which operators and targets reach this host."""
+    """HTTP interface of this host to operators and targets."""
 
     @abc.abstractmethod
     async def open(
@@ -97,16 +94,16 @@
 
 
 class SiteHost:
-    """Hold the parts of a control host's process."""
+    """A control host's process, with all its parts."""
 
     def __init__(
         self,
         settings: generated.Settings,
         reader: configuration.Reader,
-        door: HttpServer,
-        asked: ranks.Ranks,
+        http_server: HttpServer,
+        rank_client: ranks.Ranks,
     ) -> None:
-        """Build the parts; ``run`` starts them."""
+        """Create all parts; ``run`` starts them."""
         assert settings.control is not None
         assert settings.site is not None
         self._site = settings.site
@@ -122,35 +119,41 @@
         )
         self._machine = machine.SiteMachine()
         self._group = self._build_group()
-        self._book = target_registry.TargetRegistry(self._site.announce_seconds)
-        # How much of the book the roster has learned.
-        self._learned = 0
+        self._registry = target_registry.TargetRegistry(
+            self._site.announce_seconds
+        )
+        # Serial up to which the directory has learned the registry's targets.
+        self._learned_serial = 0
         self._api = api.SiteApi(self._group, self._machine, reader)
         self._evacuation = evacuation.Evacuation(
             self._group, self._machine, self._site.zones
         )
-        self._joining = joining.Joiner(
-            self._group, self._links, self._node, self._address, self._others
+        self._joiner = joining.Joiner(
+            self._group,
+            self._links,
+            self._node,
+            self._address,
+            self._peer_addresses,
         )
-        self._door = door
-        self._page = figures.Page()
-        self._ranks = asked
-        known = site_directory.SiteDirectory(self._machine, reader)
-        self._known = known
+        self._http_server = http_server
+        self._metrics_page = figures.Page()
+        self._ranks = rank_client
+        directory = site_directory.SiteDirectory(self._machine, reader)
+        self._directory = directory
         self._targets = target_file.TargetFile(
-            disk.FolderDisk(self._folder.of_group(TARGETS))
+            disk.FolderDisk(self._folder.of_group(TARGETS_FOLDER))
         )
         self._follower = following.Follower(
-            self._site, self._links, known, self._address
+            self._site, self._links, directory, self._address
         )
-        self._duty = owner_loop.OwnerLoop(
+        self._owner_loop = owner_loop.OwnerLoop(
             self._group,
-            self._book,
-            known,
+            self._registry,
+            directory,
             owner.Owner(
-                asked,
-                known.members,
-                self._book.record_pace,
+                rank_client,
+                directory.members,
+                self._registry.record_pace,
                 offload.ThreadOffload(),
             ),
             outlives_lease=self._site.engines_check_fences,
@@ -161,7 +164,7 @@
                 self._group,
                 feed.Feed(
                     self._machine,
-                    self._book,
+                    self._registry,
                     self._member_addresses,
                     self._place.options.identity.incarnation,
                 ),
@@ -171,22 +174,22 @@
         )
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then hand over and end."""
+        """Run until asked to stop, then hand over leadership and stop."""
         address = await self._listener.start_on(self._place.bound)
         await self._group.start()
-        for said in await self._targets.load():
-            self._book.restore(said)
-            self._known.learn_target(said)
-        http = await self._door.open(
-            self._site.http_address, self._api, self._book, self._evacuation
+        for announcement in await self._targets.load():
+            self._registry.restore(announcement)
+            self._directory.learn_target(announcement)
+        http = await self._http_server.open(
+            self._site.http_address, self._api, self._registry, self._evacuation
         )
-        await self._page.start(self._site.metrics_address)
+        await self._metrics_page.start(self._site.metrics_address)
         loop = asyncio.get_running_loop()
         working = [
-            loop.create_task(self._joining.run()),
-            loop.create_task(self._book.run()),
+            loop.create_task(self._joiner.run()),
+            loop.create_task(self._registry.run()),
             loop.create_task(self._follower.run()),
-            loop.create_task(self._duty.run()),
+            loop.create_task(self._owner_loop.run()),
             loop.create_task(self._targets.run(self._all_targets)),
         ]
         if announce is not None:
@@ -200,11 +203,11 @@
             address=address,
         )
         stopping = loop.create_task(process.stop_asked())
-        failing = loop.create_task(self._failure(working))
+        failing = loop.create_task(self._wait_for_fault(working))
         await asyncio.wait(
             (stopping, failing), return_when=asyncio.FIRST_COMPLETED
         )
-        await self._leave()
+        await self._stop()
         for work in (*working, stopping):
             work.cancel()
         if failing.done():
@@ -224,10 +227,9 @@
         )
 
     def _founders(self) -> dict[str, str]:
-        """Name the hosts that form the group, if this is the first start.
+        """Return the founding members, empty unless on the first start.
 
-        Only the first start may form a group: a host that lost its disk has
-        a blank one too, and must be taken in by those that still know.
+        A host that lost its disk must not found a second group.
         """
         if not self._site.first_start:
             return {}
@@ -240,49 +242,49 @@
         return [member.address for member in self._group.members()]
 
     def _all_targets(self) -> list[announcements.Announcement]:
-        for said in self._book.changed_since(self._learned):
-            self._known.learn_target(said)
-        self._learned = self._book.serial
-        return self._known.known_targets()
+        for announcement in self._registry.changed_since(self._learned_serial):
+            self._directory.learn_target(announcement)
+        self._learned_serial = self._registry.serial
+        return self._directory.known_targets()
 
-    def _others(self) -> list[str]:
-        known = dict.fromkeys(places.link_addresses(self._site))
-        known.update(dict.fromkeys(self._member_addresses()))
-        return [address for address in known if address]
+    def _peer_addresses(self) -> list[str]:
+        directory = dict.fromkeys(places.link_addresses(self._site))
+        directory.update(dict.fromkeys(self._member_addresses()))
+        return [address for address in directory if address]
 
-    async def _failure(
+    async def _wait_for_fault(
         self,
         working: list[asyncio.Task[None]],
     ) -> BaseException:
-        """Wait until this host can't go on, and give the reason.
+        """Wait for a fatal fault and return it.
 
-        A group that a fault has halted votes and answers no more, while the
-        process would look alive for ever.
+        A halted consensus group would otherwise leave a process that looks
+        alive.
         """
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            self._measure()
+            self._update_metrics()
             if self._group.failure is not None:
                 return self._group.failure
             fault = process.first_fault(working)
             if fault is not None:
                 return fault
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         figures.TERM.set(self._group.term)
         figures.LEADS.set(self._group.has_lease())
         figures.VERSION.set(self._machine.held.version)
         voters = [row for row in self._group.members() if row.voter]
         figures.VOTERS.set(len(voters))
 
-    async def _leave(self) -> None:
+    async def _stop(self) -> None:
         log_events.tell(_log, log_events.Event.STOPPING, 'control: leaves')
         with contextlib.suppress(TimeoutError, failures.ConsensusStopped):
             async with asyncio.timeout(self._drain_seconds):
                 self._listener.stop_accepting()
                 await self._group.stop()
-        await self._door.close()
-        await self._page.stop()
+        await self._http_server.close()
+        await self._metrics_page.stop()
         await self._ranks.close()
         await self._targets.close()
         self._listener.close()
@@ -291,10 +293,7 @@
 
 
 def group_timing(site: generated.Site) -> timing.Timing:
-    """Give the group's times for what may be lost and what is fenced.
-
-    Where engines refuse an outdated fence, nothing rests on the lease.
-    """
+    """Return the group's timing; with fencing, elections may be hurried."""
     return attrs.evolve(
         TIMES,
         voters_least=2 * site.lost_hosts + 1,
@@ -305,9 +304,9 @@
 async def run(
     settings: generated.Settings,
     reader: configuration.Reader,
-    door: HttpServer,
-    asked: ranks.Ranks,
+    http_server: HttpServer,
+    rank_client: ranks.Ranks,
     announce: process.Announce | None = None,
 ) -> None:
     """Run a control host until SIGTERM; ``announce`` gets its addresses."""
-    await SiteHost(settings, reader, door, asked).run(announce)
+    await SiteHost(settings, reader, http_server, rank_client).run(announce)
--- a/tamarackthread/control/site/joining.py
+++ b/tamarackthread/control/site/joining.py
@@ -1,4 +1,4 @@
-"""Bring this host into the group of control hosts, and back into it."""
+"""Join this host to the group of control hosts, or rejoin it."""
 
 from __future__ import annotations
 
@@ -10,22 +10,20 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, peers
 
-LOOK_SECONDS = 0.25
-# Without a leader for so long a host asks whether it still belongs to the
-# group; an election takes less.
-ALONE_SECONDS = 2.0
-ASK_SECONDS = 0.5
+CHECK_SECONDS = 0.25
+# Time without a leader after which a host asks to rejoin; longer than an election.
+LEADER_TIMEOUT_SECONDS = 2.0
+REQUEST_TIMEOUT_SECONDS = 0.5
 _log = logging.getLogger('tamarackthread.control')
 
 Addresses = collections.abc.Callable[[], list[str]]
 
 
 class Joiner:
-    """Ask the leader to take this host in whenever it is not a member.
+    """Ask the leader to add this host whenever it is not a member.
 
-    A host with an empty disk knows only some addresses.  One that was let go
-    while it was cut off holds an old list in which it still is a member: it
-    hears no leader, because nobody sends it anything, and asks as well.
+    A host that was removed while partitioned still finds itself in its old
+    list of members, so it also asks after a time without a leader.
     """
 
     def __init__(
@@ -34,55 +32,57 @@
         links: peers.Peers,
         node: str,
         address: str,
-        others: Addresses,
+        peer_addresses: Addresses,
     ) -> None:
         """Join ``group`` as ``node``, reached at ``address``."""
         self._group = group
         self._links = links
         self._node = node
         self._address = address
-        self._others = others
-        self._led_at: float = 0
+        self._peer_addresses = peer_addresses
+        self._leader_seen_at: float = 0
 
     async def run(self) -> None:
-        """Look for ever whether this host has to join."""
-        self._led_at = asyncio.get_running_loop().time()
+        """Check periodically whether this host has to join."""
+        self._leader_seen_at = asyncio.get_running_loop().time()
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if self._is_outside():
-                await self._ask()
+            await asyncio.sleep(CHECK_SECONDS)
+            if self._must_join():
+                await self._request_join()
 
-    def _is_outside(self) -> bool:
+    def _must_join(self) -> bool:
         now = asyncio.get_running_loop().time()
         if self._group.leader:
-            self._led_at = now
+            self._leader_seen_at = now
             return False
         is_member = any(
             member.node == self._node for member in self._group.members()
         )
-        return not is_member or now - self._led_at > ALONE_SECONDS
+        return (
+            not is_member or now - self._leader_seen_at > LEADER_TIMEOUT_SECONDS
+        )
 
-    async def _ask(self) -> None:
-        for address in self._others():
+    async def _request_join(self) -> None:
+        for address in self._peer_addresses():
             if address == self._address:
                 continue
             try:
-                await self._ask_one(address)
+                await self._request_join_from(address)
             except (errors.CodedError, TimeoutError) as exc:
-                _log.debug('control: %s did not take us in, %s', address, exc)
+                _log.debug('control: %s rejected the join, %s', address, exc)
                 continue
-            _log.info('control: %s takes this host in', address)
+            _log.info('control: %s accepted the join', address)
             return
 
-    async def _ask_one(self, address: str) -> None:
-        asked = messages.MemberRequest(
+    async def _request_join_from(self, address: str) -> None:
+        join = messages.MemberRequest(
             group=self._group.group,
             action='join',
             node=self._node,
             address=self._address,
             replaces='',
         )
-        async with asyncio.timeout(ASK_SECONDS):
+        async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
             await self._links.request(
-                address, messages.Request(member=asked), ASK_SECONDS
+                address, messages.Request(member=join), REQUEST_TIMEOUT_SECONDS
             )
--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -1,4 +1,4 @@
-"""Sum the calls that all entries have and had at each target."""
+"""Sum the calls of all entries at each target."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import suspects
 
-# An entry that says nothing for so long counts for nothing.  It speaks many
-# times as often; one that was killed has closed its connections to targets,
-# which stop work on its calls.
+# Time after which a silent entry's calls are dropped.  An entry that was killed has
+# closed its connections, which cancels its calls.
 ENTRY_TIMEOUT_SECONDS = 1.5
 
 
 @attrs.frozen
 class CallTotals:
-    """Calls at a target, and those that ended there of late."""
+    """Calls at a target, and those that ended there recently."""
 
     calls: int = 0
     answered: int = 0
     failed: int = 0
 
-    def changed(self, before: CallTotals, after: CallTotals) -> CallTotals:
-        """Return the sum with one part of it changed."""
+    def with_change(self, before: CallTotals, after: CallTotals) -> CallTotals:
+        """Return the totals with one entry's part replaced."""
         return CallTotals(
             self.calls + after.calls - before.calls,
             self.answered + after.answered - before.answered,
@@ -33,30 +32,29 @@
 
 
 @attrs.define(eq=False)
-class _Share:
-    """What one entry has told last."""
+class _EntryReport:
+    """Last report of one entry."""
 
     rows: dict[str, CallTotals]
-    heard_at: float
+    received_at: float
     suspects: tuple[messages.SiteSuspect, ...] = ()
     suspects_at: float = 0
 
 
-_NONE = CallTotals()
+_NO_CALLS = CallTotals()
 
 
 class Loads:
-    """Hold the sums, and tell each entry what has changed.
+    """Sum the calls of all entries and send each entry the changes.
 
-    An entry sees its own calls only.  Of many entries before a large group
-    each sees a small part of the calls, and sends the next to a rank that
-    others have filled while a place is free elsewhere.
+    Without the totals an entry sees only its own calls, and would send more to
+    targets that other entries have filled.
     """
 
     def __init__(self, epoch: int) -> None:
-        """Begin without calls; ``epoch`` names this start of the host."""
+        """Start without calls; ``epoch`` names this start of the host."""
         self._epoch = epoch
-        self._shares: dict[str, _Share] = {}
+        self._reports: dict[str, _EntryReport] = {}
         self._sums: dict[str, CallTotals] = {}
         self._changed_at: dict[str, int] = {}
         self._serial = 0
@@ -65,75 +63,76 @@
     def answer(
         self,
         entry: str,
-        asked: messages.SiteLoadRequest,
+        request: messages.SiteLoadRequest,
     ) -> messages.SiteLoadReply:
-        """Take what an entry tells and reply what has changed for it.
+        """Record an entry's calls and return the totals that have changed.
 
-        The sums in the reply have the entry's own calls in them, as it has
-        just told them.
+        The totals include the calls just reported.
         """
         now = asyncio.get_running_loop().time()
         rows = {
             row.id: CallTotals(row.calls, row.answered or 0, row.failed or 0)
-            for row in asked.own
+            for row in request.own
         }
-        self._put(entry, rows, now)
-        if asked.suspects is not None:
-            self._shares[entry].suspects = tuple(asked.suspects)
-            self._shares[entry].suspects_at = now
+        self._set_rows(entry, rows, now)
+        if request.suspects is not None:
+            self._reports[entry].suspects = tuple(request.suspects)
+            self._reports[entry].suspects_at = now
             self._suspects_serial += 1
-        self._forget_silent(now)
-        is_known = asked.epoch == self._epoch
-        known = asked.serial if is_known else 0
-        heard = asked.suspects_serial if is_known else 0
-        has_news = (heard or 0) != self._suspects_serial
+        self._drop_silent(now)
+        is_known = request.epoch == self._epoch
+        known_serial = request.serial if is_known else 0
+        known_suspects_serial = request.suspects_serial if is_known else 0
+        has_news = (known_suspects_serial or 0) != self._suspects_serial
         return messages.SiteLoadReply(
             epoch=self._epoch,
             serial=self._serial,
             changed=[
                 _message(target, self._sums[target])
                 for target, serial in self._changed_at.items()
-                if serial > known
+                if serial > known_serial
             ],
             suspects=self._suspects(entry) if has_news else None,
             suspects_serial=self._suspects_serial,
-            entries=len(self._shares),
+            entries=len(self._reports),
         )
 
     def _suspects(self, entry: str) -> list[messages.SiteSuspect]:
-        """Join what all entries but one know of calls that crash targets."""
+        """Merge the suspected poison requests of all entries but one."""
         now = asyncio.get_running_loop().time()
         rows = (
-            suspects.of_message(row).older(now - share.suspects_at)
-            for other, share in self._shares.items()
+            suspects.of_message(row).older(now - report.suspects_at)
+            for other, report in self._reports.items()
             if other != entry
-            for row in share.suspects
+            for row in report.suspects
         )
         return [suspects.to_message(row) for row in suspects.merge(rows)]
 
-    def _put(self, entry: str, rows: dict[str, CallTotals], now: float) -> None:
-        held = self._shares.get(entry)
-        before = {} if held is None else held.rows
-        if held is None:
-            self._shares[entry] = _Share(rows, now)
+    def _set_rows(
+        self, entry: str, rows: dict[str, CallTotals], now: float
+    ) -> None:
+        last_report = self._reports.get(entry)
+        before = {} if last_report is None else last_report.rows
+        if last_report is None:
+            self._reports[entry] = _EntryReport(rows, now)
         else:
-            held.rows = rows
-            held.heard_at = now
+            last_report.rows = rows
+            last_report.received_at = now
         for target in before.keys() | rows.keys():
-            was = before.get(target, _NONE)
-            told = rows.get(target, _NONE)
-            if was == told:
+            old = before.get(target, _NO_CALLS)
+            new = rows.get(target, _NO_CALLS)
+            if old == new:
                 continue
             self._serial += 1
-            summed = self._sums.get(target, _NONE)
-            self._sums[target] = summed.changed(was, told)
+            summed = self._sums.get(target, _NO_CALLS)
+            self._sums[target] = summed.with_change(old, new)
             self._changed_at[target] = self._serial
 
-    def _forget_silent(self, now: float) -> None:
-        for entry, share in tuple(self._shares.items()):
-            if now - share.heard_at > ENTRY_TIMEOUT_SECONDS:
-                self._put(entry, {}, now)
-                self._shares.pop(entry)
+    def _drop_silent(self, now: float) -> None:
+        for entry, report in tuple(self._reports.items()):
+            if now - report.received_at > ENTRY_TIMEOUT_SECONDS:
+                self._set_rows(entry, {}, now)
+                self._reports.pop(entry)
 
 
 def _message(target: str, summed: CallTotals) -> messages.SiteCalls:
--- a/tamarackthread/control/site/machine.py
+++ b/tamarackthread/control/site/machine.py
@@ -1,4 +1,4 @@
-"""Keep the site's configuration and which of its zones are evacuated."""
+"""Replicate the site's configuration and the evacuation of its zones."""
 
 from __future__ import annotations
 
@@ -12,37 +12,32 @@
 
 APPLIED = b'1'
 SUPERSEDED = b'0'
-# A document begins with its version, which is never negative.
-_MARK = struct.Struct('>q')
-_ZONE = _MARK.pack(-1)
-_SNAPSHOT = _MARK.pack(-2)
+# A document starts with its version, which is never negative.
+_VERSION = struct.Struct('>q')
+_ZONE_PREFIX = _VERSION.pack(-1)
+_SNAPSHOT_PREFIX = _VERSION.pack(-2)
 
 OnChange = collections.abc.Callable[[], None]
 
 
 class SiteMachine(machine.Machine):
-    """Hold one document, replaced only by one with a higher version.
+    """State machine of one configuration and the site's zones.
 
-    Operators race each other and send again what they had no answer to.  With
-    the version as the only judge, the order in which the log got the changes
-    doesn't matter, a second copy changes nothing, and what is in force never
-    goes back.
-
-    Requests to evacuate a zone, or to take it back, have no version of their
-    own.  Each names the revision that its proposer saw, and takes effect only
-    while that one is in force: a copy that was held up on its way to the
-    leader does not undo a newer request.
+    A configuration replaces only one of a lower version, so neither the order
+    of proposals nor retries matter.  A change of a zone names the revision on
+    which it is based, and is ignored on any other: a late copy can't undo a
+    newer request.
     """
 
     def __init__(self) -> None:
-        """Begin without a configuration."""
+        """Start without a configuration."""
         self._held = document.Document()
         self._zones = zones.Zones()
         self._on_change: list[OnChange] = []
 
     @property
     def held(self) -> document.Document:
-        """Return the document in force, version 0 before the first."""
+        """Return the configuration in force, of version 0 if there is none."""
         return self._held
 
     @property
@@ -51,76 +46,80 @@
         return self._zones
 
     def on_change(self, listener: OnChange) -> None:
-        """Call ``listener`` after each new document and change of a zone."""
+        """Call ``listener`` after each change of configuration or zones."""
         self._on_change.append(listener)
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Take a document if its version is the highest yet, or a zone."""
-        if command.startswith(_ZONE):
+        """Apply a zone change, or a configuration of a higher version."""
+        if command.startswith(_ZONE_PREFIX):
             return self._apply_zone(command)
-        asked = document.decode(command)
-        if asked.version <= self._held.version:
+        proposed = document.decode(command)
+        if proposed.version <= self._held.version:
             return SUPERSEDED
-        self._take(asked)
+        self._replace(proposed)
         return APPLIED
 
     def snapshot(self) -> bytes:
-        """Return the document in force, and the zones if any has changed."""
+        """Return the configuration, and the zones if any has changed."""
         held = self._held.encode() if self._held.version else b''
         if not self._zones.changes:
             return held
-        return _SNAPSHOT + wire.encode(
+        return _SNAPSHOT_PREFIX + wire.encode(
             messages.SiteSnapshot(held, zones.to_messages(self._zones))
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the document and the zones of a snapshot."""
+        """Restore the configuration and zones from a snapshot."""
         with machine.reading_snapshot():
             held, rows = _read_snapshot(data)
         self._zones = zones.Zones()
         for row in rows:
             self._zones.learn(row)
-        self._take(held)
+        self._replace(held)
 
     def _apply_zone(self, command: bytes) -> bytes:
         try:
-            asked = _read_zone(command)
+            proposed = _read_zone(command)
         except errors.FrameInvalid:
-            # Of a later release; every member of the group leaves it alike.
+            # A later release wrote it; all members ignore it alike.
             return SUPERSEDED
-        held = self._zones.get(asked.name)
-        if asked.revision != held.revision:
+        held = self._zones.get(proposed.name)
+        if proposed.revision != held.revision:
             return SUPERSEDED
-        if asked.is_evacuated != held.is_evacuated:
+        if proposed.is_evacuated != held.is_evacuated:
             self._zones.learn(
-                zones.Zone(asked.name, asked.is_evacuated, held.revision + 1)
+                zones.Zone(
+                    proposed.name, proposed.is_evacuated, held.revision + 1
+                )
             )
-            self._tell()
+            self._notify()
         return APPLIED
 
-    def _take(self, asked: document.Document) -> None:
-        self._held = asked
-        self._tell()
+    def _replace(self, proposed: document.Document) -> None:
+        self._held = proposed
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._on_change:
             listener()
 
 
 def zone_command(row: zones.Zone) -> bytes:
-    """Write a log command: what is asked of a zone that has that revision."""
-    return _ZONE + wire.encode(zones.to_message(row))
+    """Encode a zone change that is based on the given revision."""
+    return _ZONE_PREFIX + wire.encode(zones.to_message(row))
 
 
 def _read_zone(command: bytes) -> zones.Zone:
-    body = command.removeprefix(_ZONE)
+    body = command.removeprefix(_ZONE_PREFIX)
     return zones.of_message(wire.decode(messages.SiteZone, body))
 
 
 def _read_snapshot(
     data: bytes,
 ) -> tuple[document.Document, list[zones.Zone]]:
-    if not data.startswith(_SNAPSHOT):
+    if not data.startswith(_SNAPSHOT_PREFIX):
         return document.decode(data), []
-    read = wire.decode(messages.SiteSnapshot, data.removeprefix(_SNAPSHOT))
+    read = wire.decode(
+        messages.SiteSnapshot, data.removeprefix(_SNAPSHOT_PREFIX)
+    )
     return document.decode(read.document), zones.of_messages(read.zones)
--- a/tamarackthread/control/site/rejection_log.py
+++ b/tamarackthread/control/site/rejection_log.py
@@ -1,4 +1,4 @@
-"""Count and log those who write what no target writes."""
+"""Count and log rejected announcements."""
 
 from __future__ import annotations
 
@@ -7,32 +7,30 @@
 
 from tamarackthread.shared.site import figures
 
-# Writers that are remembered, so that each is logged once.  A thousand is more
-# than the hosts of a site; beyond, the one that was heard of first is forgotten
-# and may be logged again.
-MOST_WRITERS = 1000
+# Writers remembered, so that each is logged once; beyond, the oldest is evicted and
+# may be logged again.
+MAX_WRITERS = 1000
 _log = logging.getLogger('tamarackthread.control')
 
 
 class RejectionLog:
-    """Remember who was refused.
+    """Log each writer of invalid announcements once.
 
-    A writer that repeats itself several times a second would else fill the log
-    in which an operator looks for why its word does not count.
+    A writer that retries several times a second would flood the log.
     """
 
     def __init__(self) -> None:
-        """Begin without any."""
-        self._known: collections.OrderedDict[str, None] = (
+        """Start without writers."""
+        self._writers: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
-    def note(self, writer: str, why: str) -> None:
-        """Note that a word of a writer was refused."""
+    def record(self, writer: str, reason: str) -> None:
+        """Count a rejected announcement and log its writer once."""
         figures.ANNOUNCEMENTS_REFUSED.inc()
-        if writer in self._known:
+        if writer in self._writers:
             return
-        self._known[writer] = None
-        if len(self._known) > MOST_WRITERS:
-            self._known.popitem(last=False)
-        _log.warning('control: refuses announcements of %s, %s', writer, why)
+        self._writers[writer] = None
+        if len(self._writers) > MAX_WRITERS:
+            self._writers.popitem(last=False)
+        _log.warning('control: refuses announcements of %s, %s', writer, reason)
--- a/tamarackthread/control/site/site_directory.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -1,4 +1,4 @@
-"""Know all targets and services of the site, on a control host."""
+"""Keep all targets and services of the site, as one control host knows them."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class SiteDirectory(following.Pupil):
-    """Join what this host heard with what the others tell.
+    """Merge the announcements to this host with those of the other hosts.
 
-    Targets announce themselves to one host at a time, and only all hosts
-    together know each rank of a group.
+    A target announces itself to one host at a time, so only together do the
+    hosts know all ranks of a group.
     """
 
     def __init__(
@@ -34,143 +34,144 @@
         site: machine.SiteMachine,
         reader: configuration.Reader,
     ) -> None:
-        """Take the configuration from the log, which others cannot better."""
+        """Read configurations from this host's own replica, ``site``."""
         self._site = site
         self._reader = reader
-        self._said: dict[str, announcements.Announcement] = {}
+        self._announcements: dict[str, announcements.Announcement] = {}
         self._by_address: dict[str, dict[str, None]] = collections.defaultdict(
             dict
         )
-        self._read: configuration.Configuration | None = None
+        self._configuration: configuration.Configuration | None = None
         self._services: tuple[configuration.Service, ...] = ()
 
     @property
     def version(self) -> int:
-        """Return the version that this host has applied."""
+        """Return the version applied on this host."""
         return self._site.held.version
 
     @property
     def needs_documents(self) -> bool:
-        """Tell that the own log brings configurations."""
+        """Return ``False``: the replicated log carries the configurations."""
         return False
 
     @property
     def zone_changes(self) -> int:
-        """Return the most that any host can have: the own log brings them."""
+        """Return a number above any, so that no zones are sent."""
         return _ALL_CHANGES
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
-        """Leave it: this host's own log brings it."""
+        """Ignore zones, which the replicated log carries."""
 
-    def learn_target(self, said: announcements.Announcement) -> None:
-        """Take an announcement unless a later one is held."""
-        held = self._said.get(said.target)
-        if not said.follows(held):
+    def learn_target(self, announcement: announcements.Announcement) -> None:
+        """Record an announcement unless a later one is known."""
+        held = self._announcements.get(announcement.target)
+        if not announcement.follows(held):
             return
-        taken = said.after(held)
-        if taken.state == announcements.State.READY:
-            others = self._others_at(taken)
-            if any(_is_overtaken(taken, other) for other in others):
+        merged = announcement.after(held)
+        if merged.state == announcements.State.READY:
+            others = self._others_at(merged)
+            if any(_is_superseded(merged, other) for other in others):
                 return
-            # The last that was heard of at an address is there.
+            # A newer target has replaced the others at its address.
             for other in others:
-                self._forget(other)
+                self._remove(other)
         if held is not None:
-            self._forget(held)
-        self._said[taken.target] = taken
-        self._by_address[taken.address][taken.target] = None
+            self._remove(held)
+        self._announcements[merged.target] = merged
+        self._by_address[merged.address][merged.target] = None
 
     def _others_at(
-        self, said: announcements.Announcement
+        self, announcement: announcements.Announcement
     ) -> list[announcements.Announcement]:
-        """List the other targets that were heard of at an address.
+        """List the other targets announced at the same address.
 
-        Kept by address: each of thousands of targets is told of each few
-        seconds, and a look at all of them for each would fill a core.
+        The index avoids a scan of all targets for each announcement.
         """
         return [
-            self._said[name]
-            for name in self._by_address.get(said.address, ())
-            if name != said.target
+            self._announcements[name]
+            for name in self._by_address.get(announcement.address, ())
+            if name != announcement.target
         ]
 
-    def _forget(self, said: announcements.Announcement) -> None:
-        self._said.pop(said.target, None)
-        at_address = self._by_address[said.address]
-        at_address.pop(said.target, None)
+    def _remove(self, announcement: announcements.Announcement) -> None:
+        self._announcements.pop(announcement.target, None)
+        at_address = self._by_address[announcement.address]
+        at_address.pop(announcement.target, None)
         if not at_address:
-            self._by_address.pop(said.address)
+            self._by_address.pop(announcement.address)
 
     def learn_document(self, held: document.Document) -> None:
-        """Leave it: this host's own log brings it."""
+        """Ignore documents, which the replicated log carries."""
 
     def known_targets(self) -> list[announcements.Announcement]:
-        """List what is known of each target."""
-        return list(self._said.values())
+        """List the latest announcement of each target."""
+        return list(self._announcements.values())
 
     def members(self, service: str) -> list[ranks.Rank]:
-        """List the targets of a service that are up, one at an address.
+        """List the active targets of a service, one per address.
 
-        The failure: all hosts lose power, and targets come back under new
-        names while their old ones are still remembered.  Whoever is at the
-        address reports as a rank, so the group would seem to have the old
-        names, and refuse every order that is meant for them.
+        After a power failure targets may return under new names.  Ranks would
+        refuse orders addressed to the old ones.
         """
         by_address: dict[str, announcements.Announcement] = {}
-        for said in self._said.values():
-            if said.service != service:
+        for announcement in self._announcements.values():
+            if announcement.service != service:
                 continue
-            if said.state == announcements.State.GONE:
+            if announcement.state == announcements.State.GONE:
                 continue
-            held = by_address.get(said.address)
-            if held is None or _is_likelier(said, held):
-                by_address[said.address] = said
+            held = by_address.get(announcement.address)
+            if held is None or _is_preferred(announcement, held):
+                by_address[announcement.address] = announcement
         return [
             ranks.Rank(
-                there.target,
-                there.address,
-                not self._site.zones.is_evacuated(there.zone),
+                member.target,
+                member.address,
+                not self._site.zones.is_evacuated(member.zone),
             )
-            for there in by_address.values()
+            for member in by_address.values()
         ]
 
     def services(self) -> tuple[configuration.Service, ...]:
-        """List the services of the configuration in force."""
+        """List the services of the current configuration."""
         held = self._site.held
         if not held.version:
             return ()
-        if self._read is None or self._read.version != held.version:
+        if (
+            self._configuration is None
+            or self._configuration.version != held.version
+        ):
             try:
-                self._read = self._reader.read(held.body)
+                self._configuration = self._reader.read(held.body)
             except errors.CodedError as exc:
                 _log.error('control: cannot read the configuration, %s', exc)
                 return ()
             self._services = tuple(
-                attrs.evolve(service, gap=self._read.gap_of(service.name))
-                for service in self._read.services
+                attrs.evolve(
+                    service, gap=self._configuration.gap_of(service.name)
+                )
+                for service in self._configuration.services
             )
         return self._services
 
 
-def _is_overtaken(
-    said: announcements.Announcement,
+def _is_superseded(
+    announcement: announcements.Announcement,
     other: announcements.Announcement,
 ) -> bool:
-    """Tell whether another target started later at the same address.
+    """Return whether a target that started later serves at the address.
 
-    An announcement that was held up by a cut may come after its target has
-    crashed and another one serves where it was.
+    A delayed announcement may arrive after its target was replaced.
     """
-    is_later = 0 < said.born < other.born
+    is_later = 0 < announcement.born < other.born
     return is_later and other.state == announcements.State.READY
 
 
-def _is_likelier(
-    said: announcements.Announcement,
+def _is_preferred(
+    announcement: announcements.Announcement,
     held: announcements.Announcement,
 ) -> bool:
-    """Tell which of two targets is at their address."""
-    is_ready = said.state == announcements.State.READY
+    """Return whether ``announcement`` is likelier than ``held`` at their address."""
+    is_ready = announcement.state == announcements.State.READY
     if is_ready != (held.state == announcements.State.READY):
         return is_ready
-    return said.born >= held.born
+    return announcement.born >= held.born
--- a/tamarackthread/control/site/target_registry.py
+++ b/tamarackthread/control/site/target_registry.py
@@ -106,7 +106,7 @@
         try:
             yield
         except (fields.FieldInvalid, StartMissing) as exc:
-            self._rejections.note(writer, str(exc))
+            self._rejections.record(writer, str(exc))
             raise AnnouncementInvalid(f'{writer}: {exc}') from exc
 
     def record(self, announcement: announcements.Announcement) -> None:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -97,7 +97,7 @@
     """The planted fault: what is asked counts, whatever has happened since."""
 
     def apply(self, index, command):
-        if not command.startswith(machine._ZONE):
+        if not command.startswith(machine._ZONE_PREFIX):
             return super().apply(index, command)
         asked = machine._read_zone(command)
         held = self.zones.get(asked.name).revision
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -50,12 +50,12 @@
         known = site_directory.SiteDirectory(machine.SiteMachine(), None)
         for number in range(TARGETS):
             known.learn_target(said(number))
-        held = known._said
-        known._said = Unread(held)
+        held = known._announcements
+        known._announcements = Unread(held)
         known.learn_target(said(7, sequence=2))
         moved = attrs.evolve(said(TARGETS), address=said(8).address)
         known.learn_target(moved)
-        rest = dict.keys(known._said)
+        rest = dict.keys(known._announcements)
         self.assertNotIn('t8', rest)
         self.assertIn(moved.target, rest)
 
