--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -22,8 +22,8 @@
 import async_solipsism
 import attrs
 
-from tamarackthread.entry.direct import records, starts, targets
-from tamarackthread.policy import backpressure, cold, fleets
+from tamarackthread.entry.direct import instances, outlier_detection, targets
+from tamarackthread.policy import backpressure, cold_start, known_entries
 from tamarackthread.shared.site import announcements
 
 ENTRIES = 30
@@ -113,7 +113,7 @@
             name: self._entry(name, names, number)
             for number, name in enumerate(names)
         }
-        self._under_way: list[tuple[float, str, starts.Start]] = []
+        self._under_way: list[tuple[float, str, instances.TargetInstance]] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     async def run(self, seconds: float) -> dict[str, typing.Any]:
@@ -132,9 +132,15 @@
     def _entry(
         self, name: str, names: tuple[str, ...], number: int
     ) -> targets.Targets:
-        fleet = fleets.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.KnownEntries(
+            name, functools.partial(tuple, names)
+        )
         known = targets.Targets(
-            'z', 1.0, random.Random(number), cold.Shares(fleet), fleet
+            'z',
+            1.0,
+            random.Random(number),
+            cold_start.ColdStartLimits(fleet),
+            fleet,
         )
         for target in self._targets:
             known.take(
@@ -199,7 +205,9 @@
                 entry.forget_others()
                 continue
             others = {
-                target: summed.minus(own[name].get(target, records.IDLE))
+                target: summed.minus(
+                    own[name].get(target, outlier_detection.IDLE)
+                )
                 for target, summed in sums.items()
             }
             entry.share(others, len(own))
@@ -223,14 +231,14 @@
 
 
 def _sums(
-    told: collections.abc.Iterable[dict[str, records.Load]],
-) -> dict[str, records.Load]:
+    told: collections.abc.Iterable[dict[str, outlier_detection.TargetLoad]],
+) -> dict[str, outlier_detection.TargetLoad]:
     """Add the calls that some entries have and had, by target."""
-    sums: dict[str, records.Load] = {}
+    sums: dict[str, outlier_detection.TargetLoad] = {}
     for loads in told:
         for target, load in loads.items():
-            held = sums.get(target, records.IDLE)
-            sums[target] = records.Load(
+            held = sums.get(target, outlier_detection.IDLE)
+            sums[target] = outlier_detection.TargetLoad(
                 held.calls + load.calls, held.ends.plus(load.ends)
             )
     return sums
--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import suspects
+from tamarackthread.policy import poison_calls
 
 # Time after which a silent entry's calls are dropped.  An entry that was killed has
 # closed its connections, which cancels its calls.
@@ -101,12 +101,14 @@
         """Merge the suspected poison requests of all entries but one."""
         now = asyncio.get_running_loop().time()
         rows = (
-            suspects.of_message(row).older(now - report.suspects_at)
+            poison_calls.of_message(row).older(now - report.suspects_at)
             for other, report in self._reports.items()
             if other != entry
             for row in report.suspects
         )
-        return [suspects.to_message(row) for row in suspects.merge(rows)]
+        return [
+            poison_calls.to_message(row) for row in poison_calls.merge(rows)
+        ]
 
     def _set_rows(
         self, entry: str, rows: dict[str, CallTotals], now: float
--- a/tamarackthread/control/site/maps/group_maps.py
+++ b/tamarackthread/control/site/maps/group_maps.py
@@ -5,7 +5,7 @@
 import collections.abc
 
 from tamarackthread.control.site.maps import ranks
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 
 Tokens = collections.abc.Sequence[collections.abc.Sequence[float]]
 Paces = collections.abc.Sequence[float]
@@ -14,7 +14,7 @@
 def skew(placement: ranks.GroupMap, tokens: Tokens, paces: Paces) -> float:
     """Return the mean over the sets of the busiest rank's load to the mean."""
     skews = [
-        evening.skew(experts, counts, paces)
+        rebalancing.skew(experts, counts, paces)
         for experts, counts in zip(placement, tokens, strict=True)
     ]
     return sum(skews) / max(1, len(skews))
@@ -23,12 +23,12 @@
 def plan(
     placement: ranks.GroupMap,
     tokens: Tokens,
-    bounds: evening.Bounds,
+    bounds: rebalancing.Bounds,
     paces: Paces,
 ) -> ranks.GroupMap:
     """Return a map that balances each set."""
     return tuple(
-        evening.even(experts, counts, bounds, paces)
+        rebalancing.rebalance(experts, counts, bounds, paces)
         for experts, counts in zip(placement, tokens, strict=True)
     )
 
@@ -45,5 +45,6 @@
 def total_copies(before: ranks.GroupMap, after: ranks.GroupMap) -> int:
     """Return how many experts all ranks together must copy."""
     return sum(
-        evening.copies(old, new) for old, new in zip(before, after, strict=True)
+        rebalancing.count_copies(old, new)
+        for old, new in zip(before, after, strict=True)
     )
--- a/tamarackthread/control/site/maps/group_state.py
+++ b/tamarackthread/control/site/maps/group_state.py
@@ -5,7 +5,7 @@
 import attrs
 
 from tamarackthread.control.site.maps import demand, ranks, switching
-from tamarackthread.policy import staging
+from tamarackthread.policy import group_planning
 from tamarackthread.shared.site import configuration
 
 # Steps shorter than this delay no caller, even with the time that reading a prompt
@@ -116,12 +116,12 @@
         """Return whether planning must wait for a reading of the new demand."""
         return self.has_long_copies and self.demand.is_mixed
 
-    def cost(self, now: float) -> staging.Cost:
+    def cost(self, now: float) -> group_planning.MapCost:
         """Return what a map planned now costs in time."""
-        return staging.Cost(
+        return group_planning.MapCost(
             copy_seconds=self.shape.copy_seconds * self.copy_slack,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=self.demand.remaining_seconds(now),
+            stable_seconds=self.demand.remaining_seconds(now),
         )
 
     def max_parallel_reads(self, stall_seconds: float) -> int | None:
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -11,7 +11,7 @@
     ranks,
     switching,
 )
-from tamarackthread.policy import evening, staging
+from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared import log_events, offload
 from tamarackthread.shared.site import figures
 
@@ -88,8 +88,8 @@
         """Plan a map with as few copies as needed; return it and its skew."""
         if state.has_long_copies:
             return await self._plan_staged(state, tokens, paces)
-        for least in (evening.COARSE_STEP, evening.FINE_STEP):
-            bounds = evening.Bounds(
+        for least in (rebalancing.COARSE_MIN_GAIN, rebalancing.MIN_GAIN):
+            bounds = rebalancing.Bounds(
                 state.shape.places, state.shape.spare, least
             )
             wanted = await self._work.run(
@@ -110,9 +110,9 @@
         paces: group_maps.Paces,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
-        bounds = evening.Bounds(state.shape.places, state.shape.spare)
+        bounds = rebalancing.Bounds(state.shape.places, state.shape.spare)
         wanted = await self._work.run(
-            staging.plan,
+            group_planning.plan,
             state.placement,
             tokens,
             bounds,
--- a/tamarackthread/entry/direct/arrivals.py
+++ b/tamarackthread/entry/direct/discovery.py
@@ -6,7 +6,7 @@
 import collections.abc
 import contextlib
 
-from tamarackthread.entry.direct import starts
+from tamarackthread.entry.direct import instances
 
 # After so many beats every target has announced itself, one beat being lost.
 BEATS_TO_WARM = 2.2
@@ -18,10 +18,10 @@
 # some, and most aims are twice this.
 CALM_SECONDS = 0.2
 
-_Choose = collections.abc.Callable[[], starts.Start | None]
+_Choose = collections.abc.Callable[[], instances.TargetInstance | None]
 
 
-class Arrivals:
+class InitialDiscovery:
     """The time in which targets announce themselves to a new entry.
 
     It knows them one by one, as each announces itself within a beat.  Calls
--- a/tamarackthread/entry/pools.py
+++ b/tamarackthread/entry/pools.py
@@ -1,4 +1,4 @@
-"""Build a service's queue, routing and ejection as its profile says."""
+"""Hold the connections, queue, routing and ejection of each service."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 from tamarackthread.policy import (
     admission,
     affinity,
+    allocator,
     buckets,
     ejection,
     fairness,
-    load,
     migration,
     preemption,
     retries,
-    room,
     routing,
+    target_load,
 )
 from tamarackthread.shared import link
 
 
 @attrs.define(eq=False)
-class Contact:
-    """One target that this entry keeps a link to."""
+class TargetConnection:
+    """A target and the link that this entry keeps to its agent."""
 
     name: str
     details: generated.Target
     view: routing.TargetView
-    held: link.Link | None = None
-    has_failed: bool = False
-    keeper: asyncio.Task[None] | None = None
+    current_link: link.Link | None = None
+    connect_failed: bool = False
+    connect_task: asyncio.Task[None] | None = None
 
     @property
     def is_linked(self) -> bool:
-        """Tell whether there is an open link to the target's agent."""
-        return self.held is not None and not self.held.is_closed
+        """Return whether the link to the target's agent is open."""
+        return self.current_link is not None and not self.current_link.is_closed
 
     @property
-    def is_open(self) -> bool:
-        """Tell whether new calls may be sent there."""
+    def accepts_calls(self) -> bool:
+        """Return whether the target takes new calls."""
         return self.is_linked and not self.details.leaving
 
 
 class OrganisationShares(fairness.Shares):
-    """Give each organisation the weight that its document says."""
+    """Weight organisations as configured."""
 
-    def __init__(self, known: directory.Directory) -> None:
-        """Look weights up in the directory at each use."""
-        self._directory = known
+    def __init__(self, config: directory.Directory) -> None:
+        """Read weights from the directory at each use."""
+        self._directory = config
 
     def weight(self, organisation: str) -> float:
-        """Return the weight, 1 for an organisation that is gone."""
-        found = self._directory.organisations.get(organisation)
-        return 1 if found is None else found.weight
+        """Return the weight, 1 for an unknown organisation."""
+        details = self._directory.organisations.get(organisation)
+        return 1 if details is None else details.weight
 
 
 @attrs.frozen
-class Surroundings:
-    """What every pool of an entry shares."""
+class PoolContext:
+    """What all pools of an entry share."""
 
     zone: str
     directory: directory.Directory
@@ -73,96 +73,92 @@
 
 
 class Pool:
-    """Hold the targets of one service and the queue in front of them.
-
-    A new profile replaces the queue and the rules for calls that come from
-    then on; calls that were admitted or wait under the old one end there.
-    """
+    """The targets of one service and its admission queue."""
 
     def __init__(
         self,
         service: str,
         profile: generated.Profile,
-        around: Surroundings,
+        context: PoolContext,
     ) -> None:
         """Start without targets."""
         self._service = service
-        self._around = around
-        self._contacts: dict[str, Contact] = {}
-        self._apply(profile)
+        self._context = context
+        self._connections: dict[str, TargetConnection] = {}
+        self._apply_profile(profile)
 
     @property
     def service(self) -> str:
-        """Give the service's name."""
+        """Return the service's name."""
         return self._service
 
     @property
     def profile(self) -> generated.Profile:
-        """Give the profile in use."""
+        """Return the profile in use."""
         return self._profile
 
     @property
     def admission(self) -> admission.Admission:
-        """Give the queue for new calls."""
+        """Return the queue for new calls."""
         return self._admission
 
     @property
-    def contacts(self) -> collections.abc.Mapping[str, Contact]:
-        """Give the targets by name."""
-        return self._contacts
+    def connections(self) -> collections.abc.Mapping[str, TargetConnection]:
+        """Return the targets by name."""
+        return self._connections
 
-    def follow(self, profile: generated.Profile) -> None:
-        """Put a profile in use if it differs from the one in use."""
+    def set_profile(self, profile: generated.Profile) -> None:
+        """Apply a changed profile; queued calls stay in the old queue."""
         if profile != self._profile:
-            self._apply(profile)
+            self._apply_profile(profile)
 
-    def add(self, name: str, details: generated.Target) -> Contact:
+    def add(self, name: str, details: generated.Target) -> TargetConnection:
         """Add a target that is not linked yet."""
         rules = self._profile.routing
         view = routing.TargetView(
             name=name,
             zone=details.zone,
-            load=load.TargetLoad(
-                load.LoadSettings(
-                    trust_seconds=rules.report_age_limit_seconds / 2,
+            load=target_load.TargetLoad(
+                target_load.LoadSettings(
+                    half_life_seconds=rules.report_age_limit_seconds / 2,
                 ),
             ),
             prefixes=affinity.PrefixView(),
         )
-        contact = Contact(name=name, details=details, view=view)
-        self._contacts[name] = contact
-        return contact
+        connection = TargetConnection(name=name, details=details, view=view)
+        self._connections[name] = connection
+        return connection
 
     def remove(self, name: str) -> None:
-        """Drop a target; its calls in flight go on."""
-        contact = self._contacts.pop(name)
+        """Remove a target; its calls in flight go on."""
+        connection = self._connections.pop(name)
         self._ejection.forget(name)
-        if contact.keeper is not None:
-            contact.keeper.cancel()
+        if connection.connect_task is not None:
+            connection.connect_task.cancel()
 
     def is_usable(self, name: str) -> bool:
-        """Tell whether a target is linked, or was not dialled in vain."""
-        contact = self._contacts.get(name)
-        return contact is None or not contact.has_failed
+        """Return whether no dial of the target has failed."""
+        connection = self._connections.get(name)
+        return connection is None or not connection.connect_failed
 
     def refresh(self) -> None:
-        """Offer the linked targets to new calls and serve the queue."""
-        self._place.set_targets(
+        """Set the targets for new calls and wake the queue."""
+        self._room.set_targets(
             [
-                contact.view
-                for contact in self._contacts.values()
-                if contact.is_open
+                connection.view
+                for connection in self._connections.values()
+                if connection.accepts_calls
             ],
         )
         self._admission.wake()
 
-    def report(self, report: messages.LoadReport) -> None:
-        """Take in a target's report of its load."""
-        contact = self._contacts.get(report.target)
-        if contact is None:
+    def apply_report(self, report: messages.LoadReport) -> None:
+        """Apply a target's load report."""
+        connection = self._connections.get(report.target)
+        if connection is None:
             return
         now = asyncio.get_running_loop().time()
-        view = contact.view
+        view = connection.view
         if not view.load.report(report, now):
             return
         view.prefixes.observe(
@@ -170,72 +166,72 @@
             report.prefix_sequence or 0,
         )
         step_ms = view.load.step_seconds * 1000
-        self._ejection.report(view.name, step_ms, report.running or 0, now)
-        self._share(view.name, now)
+        self._ejection.observe_step(
+            view.name, step_ms, report.running or 0, now
+        )
+        self._update_shares(view.name, now)
         self._admission.wake()
 
-    def answered(self, target: str, is_good: bool) -> None:
-        """Count how a call ended at a target."""
+    def record_result(self, target: str, is_success: bool) -> None:
+        """Record the result of a call for ejection."""
         now = asyncio.get_running_loop().time()
-        self._ejection.answered(target, is_good, now)
-        self._share(target, now)
+        self._ejection.record_result(target, is_success, now)
+        self._update_shares(target, now)
 
-    def _share(self, changed: str, now: float) -> None:
-        """Set the share of a target that was judged, and of those on return.
-
-        All others keep their whole share, so that a report costs the same
-        whatever the size of the subset.
-        """
+    def _update_shares(self, changed: str, now: float) -> None:
+        """Update the shares of a target and of those already reduced."""
         for name in (changed, *self._reduced):
-            contact = self._contacts.get(name)
-            if contact is None:
+            connection = self._connections.get(name)
+            if connection is None:
                 self._reduced.discard(name)
                 continue
-            contact.view.share = self._ejection.share(name, now)
-            if contact.view.share < 1:
+            connection.view.share = self._ejection.share(name, now)
+            if connection.view.share < 1:
                 self._reduced.add(name)
             else:
                 self._reduced.discard(name)
 
-    def _apply(self, profile: generated.Profile) -> None:
+    def _apply_profile(self, profile: generated.Profile) -> None:
         self._profile = profile
         self._ejection = ejection.Ejection(_ejection_settings(profile))
         self._reduced: set[str] = set()
-        for contact in self._contacts.values():
-            contact.view.share = 1
-        self._place = room.TargetRoom(
-            self._routing(profile),
-            room.RoomSettings(
+        for connection in self._connections.values():
+            connection.view.share = 1
+        self._room = allocator.TargetAllocator(
+            self._routing_policy(profile),
+            allocator.AllocatorSettings(
                 reserved_share=profile.admission.urgent_reserve_share,
             ),
         )
         self._admission = admission.Admission(
-            self._place,
-            OrganisationShares(self._around.directory),
-            self._around.rng,
+            self._room,
+            OrganisationShares(self._context.directory),
+            self._context.rng,
             admission.AdmissionSettings(
                 first_token_seconds=profile.admission.first_token_seconds,
                 queue_limit=profile.admission.queue_limit,
             ),
-            portions=self._around.portions,
-            preempt=_preemption(profile),
-            move=_moves(profile),
+            portions=self._context.portions,
+            preempt=_preemption_policy(profile),
+            move=_move_policy(profile),
         )
         self.refresh()
 
-    def _routing(self, profile: generated.Profile) -> routing.RoutingPolicy:
+    def _routing_policy(
+        self, profile: generated.Profile
+    ) -> routing.RoutingPolicy:
         rules = profile.routing
-        rng = self._around.rng
+        rng = self._context.rng
         if rules.policy == 'round_robin':
             return routing.RoundRobin()
         if rules.policy == 'least_load':
             return routing.LeastReportedLoad(rng)
         return routing.ExpectedFirstToken(
-            self._around.zone,
+            self._context.zone,
             rng,
             routing.RoutingSettings(
-                extra_load=rules.affinity_load_ratio,
-                zone_seconds=rules.zone_spill_seconds,
+                affinity_load_factor=rules.affinity_load_ratio,
+                cross_zone_seconds=rules.zone_spill_seconds,
             ),
         )
 
@@ -247,26 +243,28 @@
     return ejection.EjectionSettings(
         slow_factor=rules.step_ratio,
         slow_seconds=rules.observe_seconds,
-        most_share=rules.share_limit,
-        return_seconds=max(rules.return_seconds, 1e-3),
+        max_ejected_share=rules.share_limit,
+        slow_start_seconds=max(rules.return_seconds, 1e-3),
     )
 
 
-def _preemption(profile: generated.Profile) -> preemption.PreemptionPolicy:
+def _preemption_policy(
+    profile: generated.Profile,
+) -> preemption.PreemptionPolicy:
     if profile.admission.preemption and profile.resume.enabled:
-        return preemption.NewestDraft()
+        return preemption.LowestPriorityFirst()
     return preemption.NoPreemption()
 
 
-def _moves(profile: generated.Profile) -> migration.MovePolicy:
+def _move_policy(profile: generated.Profile) -> migration.MigrationPolicy:
     if not profile.resume.enabled:
-        return migration.StayPut()
+        return migration.NeverMigrate()
     rules = profile.retries
     budget = retries.RetryBudget(
         retries.RetrySettings(
-            share=rules.budget_share,
-            least_rate=rules.budget_per_second,
+            ratio=rules.budget_share,
+            min_rate=rules.budget_per_second,
         ),
         asyncio.get_running_loop().time(),
     )
-    return migration.LateStreams(budget)
+    return migration.MigrateLateStreams(budget)
--- a/tamarackthread/policy/limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -4,7 +4,13 @@
 
 import attrs
 
-from tamarackthread.policy import calls, outlook, refusals, room, waiting
+from tamarackthread.policy import (
+    allocator,
+    call_queue,
+    calls,
+    refusals,
+    wait_estimator,
+)
 
 _LEAST_WAIT_SECONDS = 0.05
 
@@ -41,9 +47,9 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        place: room.Room,
-        line: waiting.WaitingLine,
-        expected: outlook.Outlook,
+        place: allocator.Allocator,
+        line: call_queue.CallQueue,
+        expected: wait_estimator.WaitEstimator,
     ) -> None:
         """Bound ``line`` by what ``expected`` says of it."""
         self._settings = settings
@@ -56,7 +62,7 @@
         until_end = call.deadline - now - self._room.answer_seconds(call, now)
         if until_end <= 0:
             raise refusals.DeadlineTooClose()
-        if call.is_ahead:
+        if call.bypasses_queue:
             return until_end
         settings = self._settings
         first = self._room.first_token_seconds(call, now)
@@ -78,7 +84,7 @@
         if length >= settings.organisation_limit:
             retry = self._outlook.retry(call, now)
             raise refusals.ShareExceeded(retry_after=retry)
-        if call.is_ahead:
+        if call.bypasses_queue:
             return
         if len(self._line) >= settings.queue_limit:
             retry = self._outlook.retry(call, now)
--- a/tests/claim_world.py
+++ b/tests/claim_simulation.py
@@ -11,8 +11,8 @@
 from bench.checks import calls as checker
 from tamarackthread.agent import claims as gates
 from tamarackthread.control import failures
-from tamarackthread.entry import answers, keyed, takeover
 from tamarackthread.entry import failures as refusals
+from tamarackthread.entry import keyed_claim, responses, takeover
 from tamarackthread.generated import documents
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import calls
@@ -28,10 +28,10 @@
 class RandomLinks(shards.LocalLinks):
     """Lose, delay and double what an entry asks of the shards."""
 
-    def __init__(self, held, rng, world):
+    def __init__(self, held, rng, simulation):
         super().__init__(held)
         self._rng = rng
-        self._world = world
+        self._simulation = simulation
 
     async def request(self, address, request, timeout_seconds):
         if self.is_dead:
@@ -40,7 +40,7 @@
         if self._rng.random() < 0.08:
             raise claim_errors.ClaimsUnavailable
         if self._rng.random() < 0.1:
-            self._world.later(self._again(request))
+            self._simulation.run_in_background(self._again(request))
         reply = await super().request(address, request, timeout_seconds)
         if self._rng.random() < 0.12:
             raise claim_errors.ClaimsUnavailable
@@ -57,9 +57,9 @@
 class Agent:
     """Be an agent and its target; ``incarnation`` grows with restarts."""
 
-    def __init__(self, name, world):
+    def __init__(self, name, simulation):
         self.name = name
-        self.world = world
+        self.simulation = simulation
         self.incarnation = 0
         self.restart()
 
@@ -67,7 +67,7 @@
         self.incarnation += 1
         self.gate = gates.ClaimGate(self.name, self.incarnation)
 
-    def contact(self):
+    def connection(self):
         loop = asyncio.get_running_loop()
         held = types.SimpleNamespace(
             is_closed=False,
@@ -76,13 +76,13 @@
         )
         return types.SimpleNamespace(
             name=self.name,
-            held=held,
+            current_link=held,
             details=types.SimpleNamespace(address=self.name),
         )
 
     async def serve(self, opening, body, answered):
         """Take one call off the network and run it."""
-        rng = self.world.rng
+        rng = self.simulation.rng
         await asyncio.sleep(rng.choice([0, 0.002, 0.05, 3, 40, 2000]))
         gate = self.gate
         if rng.random() < 0.1:
@@ -94,7 +94,7 @@
             _answer(answered, exc.ran)
             return
         now = asyncio.get_running_loop().time()
-        self.world.starts.append(checker.Start(body, now))
+        self.simulation.starts.append(checker.Start(body, now))
         await asyncio.sleep(rng.choice([0.01, 0.01, 0.5, 4]))
         text = f'booked {body}'
         if rng.random() < 0.1:
@@ -113,15 +113,15 @@
 class Prober(takeover.Prober):
     """Reach agents, if they can be reached."""
 
-    def __init__(self, world):
-        self._world = world
+    def __init__(self, simulation):
+        self._simulation = simulation
 
-    async def probe(self, handover, ask):
-        rng = self._world.rng
+    async def probe(self, handover, request):
+        rng = self._simulation.rng
         await asyncio.sleep(rng.choice([0.001, 0.01]))
         if rng.random() < 0.15:
             raise errors.AddressUnreachable(handover.address)
-        proof = self._world.agents[handover.address].gate.probe(ask)
+        proof = self._simulation.agents[handover.address].gate.probe(request)
         if rng.random() < 0.1:
             raise errors.RequestTimeout(handover.address)
         return proof
@@ -133,29 +133,29 @@
     def __init__(self):
         self.text = None
 
-    async def whole(self, head, body):
+    async def send(self, head, body):
         self.text = body.decode()
 
 
 class Entry:
     """Carry keyed calls as the entry's runner does."""
 
-    def __init__(self, name, world):
-        self.world = world
-        self.links = RandomLinks(world.shards, world.rng, world)
+    def __init__(self, name, simulation):
+        self.simulation = simulation
+        self.links = RandomLinks(simulation.shards, simulation.rng, simulation)
         client = shards.connect(self.links, name)
-        self.keyed = keyed.KeyedCalls(
-            client, takeover.Takeover(client, Prober(world))
+        self.keyed = keyed_claim.KeyedClaims(
+            client, takeover.Takeover(client, Prober(simulation))
         )
 
     def die(self):
         self.links.is_dead = True
-        self.keyed.later = lambda work: work.close()
+        self.keyed.run_in_background = lambda work: work.close()
 
     async def run(self, key, sink):
         """Run one try; raise what its caller is told."""
         loop = asyncio.get_running_loop()
-        request = keyed.Request(
+        request = keyed_claim.Request(
             facts=calls.CallFacts(organisation='o', deadline=loop.time() + 15),
             rules=RULES,
             home_region='',
@@ -165,7 +165,7 @@
             body=key.encode(),
         )
         claim = self.keyed.start(request)
-        claim.record(sink)
+        claim.wrap_sink(sink)
         try:
             await self._attempts(claim, key, sink)
         except errors.CodedError as exc:
@@ -178,29 +178,29 @@
             settled = None
             try:
                 ran, text = await self._attempt(claim, key)
-            except keyed.ClaimedElsewhere as exc:
-                settled = await claim.settle(exc.reply)
+            except keyed_claim.ClaimedElsewhere as exc:
+                settled = await claim.resolve(exc.reply)
             else:
                 if ran == Ran.COMPLETE:
-                    await claim._sink.whole(answers.Head(201, ()), text)
+                    await claim._sink.send(responses.Head(201, ()), text)
                     return
                 if ran == Ran.MAY_HAVE_RUN:
-                    settled = await claim.settle(None)
+                    settled = await claim.resolve(None)
             if settled is not None and not settled.granted:
                 sink.text = settled.body.decode()
                 return
-            if self.world.rng.random() < 0.3:
+            if self.simulation.rng.random() < 0.3:
                 raise refusals.EntryLeaving
 
     async def _attempt(self, claim, key):
-        rng = self.world.rng
-        agent = self.world.agents[rng.choice(TARGETS)]
+        rng = self.simulation.rng
+        agent = self.simulation.agents[rng.choice(TARGETS)]
         opening = messages.OpenCall(call_id=b'c')
-        await claim.secure(opening, agent.contact())
+        await claim.record_handover(opening, agent.connection())
         if rng.random() < 0.1:
             await asyncio.sleep(rng.choice([0.1, 12]))
         answered = asyncio.get_running_loop().create_future()
-        self.world.later(agent.serve(opening, key, answered))
+        self.simulation.run_in_background(agent.serve(opening, key, answered))
         try:
             async with asyncio.timeout(rng.choice([0.02, 1, 3])):
                 ran, text = await answered
@@ -209,7 +209,7 @@
         return ran, text.encode()
 
 
-class World:
+class Simulation:
     """Hold everything and the history."""
 
     def __init__(self, rng):
@@ -220,7 +220,7 @@
         self.tries = []
         self._tasks = set()
 
-    def later(self, work):
+    def run_in_background(self, work):
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -9,12 +9,12 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import (
     admission,
+    allocator,
     calls,
     fairness,
-    room,
     routing,
+    target_load,
 )
-from tamarackthread.policy import load as target_load
 
 SEED = 20261202
 
@@ -57,7 +57,7 @@
         entries=entries,
         batch_slots=4,
         step_seconds=0.01,
-        hold_seconds=0.1,
+        service_seconds=0.1,
         queue_seconds=0,
     )
     return routing.TargetView(
@@ -69,7 +69,9 @@
     """Build an admission in front of some targets."""
     generator = random.Random(SEED)
     policy = routing.ExpectedFirstToken('east', generator)
-    place = room.TargetRoom(policy, room.RoomSettings(urgent_extra=0))
+    place = allocator.TargetAllocator(
+        policy, allocator.AllocatorSettings(urgent_extra=0)
+    )
     place.set_targets(views)
     settings = admission.AdmissionSettings(**fields.pop('settings', {}))
     shares = fields.pop('shares', fairness.EqualShares())
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -16,13 +16,13 @@
 
 from bench.experiments import heavy
 from tamarackthread.entry.direct import (
-    admitting,
+    admission_control,
     calls,
     failures,
-    records,
+    outlier_detection,
     targets,
 )
-from tamarackthread.policy import crowding, opening
+from tamarackthread.policy import concurrency, outages
 from tamarackthread.shared.site import announcements, configuration
 from tests import policy_case
 
@@ -35,7 +35,9 @@
 
 def crowd(held, ranks=10, places=50, pace=1.0):
     """Build a group of ranks with some calls."""
-    return crowding.Crowd(calls=held, ranks=ranks, places=places, pace=pace)
+    return concurrency.GroupLoad(
+        calls=held, ranks=ranks, places=places, pace=pace
+    )
 
 
 def call_of(aim=0.5, timeout=8.0, priority=1, call_id='c'):
@@ -53,7 +55,7 @@
         gap=GAP,
     )
     return calls.Call(
-        asked=calls.Asked(
+        asked=calls.CallRequest(
             call_id=call_id, method='POST', host='h', path='/', headers=()
         ),
         body=b'',
@@ -66,7 +68,7 @@
     )
 
 
-class FixedBound(crowding.CallBound):
+class FixedBound(concurrency.ConcurrencyLimit):
     """Bound the calls by a number that a test sets."""
 
     def __init__(self, most):
@@ -86,7 +88,7 @@
         """
         bound = _bound_after(crowd(30), GAP)
         each = (GAP - EMPTY) / 30
-        limit = GAP * crowding.USED_SHARE
+        limit = GAP * concurrency.USED_SHARE
         self.assertAlmostEqual(
             (limit - EMPTY) / each, bound.most(crowd(30), now=1)
         )
@@ -104,7 +106,7 @@
     def test_even_ranks(self):
         """Full ranks stay within the pause: places are all that bounds."""
         most = _bound_after(crowd(50), 0.08).most(crowd(50), now=1)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_calls_that_wait_at_ranks(self):
         """Calls behind the places of a rank do not make its passes longer."""
@@ -121,16 +123,16 @@
         """
         slow = crowd(20, pace=8)
         most = _bound_after(slow, 0.25).most(slow, now=1)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_old_passes(self):
         """Nothing was seen of late: what was seen before says nothing."""
         most = _bound_after(crowd(30), GAP).most(crowd(30), now=2)
-        self.assertEqual(50 * crowding.FULL_SHARE, most)
+        self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_no_targets(self):
         """No rank is known to be ready: no bound, so that calls are tried."""
-        bound = crowding.Proportional(GAP, EMPTY)
+        bound = concurrency.LatencyLimit(GAP, EMPTY)
         self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
 
 
@@ -186,7 +188,9 @@
                 )
             )
         known.share({})
-        line = admitting.Line(SERVICE, bound, known, lambda: entries)
+        line = admission_control.AdmissionQueue(
+            SERVICE, bound, known, lambda: entries
+        )
         return known, line
 
     def test_entry_without_a_call(self):
@@ -198,7 +202,7 @@
 
     async def _without_a_call(self):
         known, line = self._line(FixedBound(4), entries=3)
-        known.share({'0': records.Load(9)})
+        known.share({'0': outlier_detection.TargetLoad(9)})
         line.share()
         await line.admit(call_of())
         known.get('1').own = 1
@@ -275,10 +279,10 @@
         bound = FixedBound(11)
         known, line = self._line(bound, entries=3)
         known.get('1').own = 1
-        known.share({'0': records.Load(10)})
+        known.share({'0': outlier_detection.TargetLoad(10)})
         tasks = [asyncio.create_task(line.admit(call_of())) for _ in range(6)]
         await asyncio.sleep(0.01)
-        known.share({'0': records.Load(4)})
+        known.share({'0': outlier_detection.TargetLoad(4)})
         line.share()
         await asyncio.sleep(0.01)
         admitted = sum(task.done() for task in tasks)
@@ -309,7 +313,7 @@
 
     async def _changed_configuration(self):
         known = targets.Targets('z', 1.0, random.Random(1))
-        admission = admitting.Admission(known, lambda: 1)
+        admission = admission_control.AdmissionControl(known, lambda: 1)
         for gap in (0.15, 0.3):
             admission.learn(_configuration(gap))
         call = call_of()
@@ -339,7 +343,7 @@
 
 def _bound_after(held, seconds):
     """Return a bound that has seen one pass of a group's calls, until now = 1."""
-    bound = crowding.Proportional(GAP, EMPTY)
+    bound = concurrency.LatencyLimit(GAP, EMPTY)
     bound.most(held, now=1 - seconds)
     bound.note(seconds, now=1)
     return bound
@@ -400,7 +404,7 @@
             if opens:
                 line.heard()
             else:
-                await asyncio.sleep(2 * opening.APART_SECONDS)
+                await asyncio.sleep(2 * outages.APART_SECONDS)
             self.assertFalse(line.is_closed)
 
     async def _full(self):
@@ -413,4 +417,6 @@
 
     def _line(self):
         known = targets.Targets('z', 1.0, random.Random(1))
-        return admitting.Line(SERVICE, FixedBound(1), known, lambda: 1)
+        return admission_control.AdmissionQueue(
+            SERVICE, FixedBound(1), known, lambda: 1
+        )
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -8,19 +8,24 @@
 import attrs
 
 from tamarackthread.control.site import loads
-from tamarackthread.entry.direct import crashing, sending, sharing, starts
 from tamarackthread.entry.direct import failures as refusals
-from tamarackthread.policy import suspects
+from tamarackthread.entry.direct import (
+    instances,
+    load_exchange,
+    poison_requests,
+    target_client,
+)
+from tamarackthread.policy import poison_calls
 from tamarackthread.shared.site import announcements, configuration
-from tests import policy_case, test_admitting, direct_case
+from tests import direct_case, policy_case, test_admitting
 from tests import test_shared_calls as shared_calls
 
 BAD = b'b'
 GOOD = b'g'
-FREE = suspects.Verdict.FREE
-WATCHED = suspects.Verdict.WATCHED
-REFUSED = suspects.Verdict.REFUSED
-SETTLED = suspects.TOGETHER_SECONDS
+FREE = poison_calls.Verdict.FREE
+WATCHED = poison_calls.Verdict.WATCHED
+REFUSED = poison_calls.Verdict.REFUSED
+SETTLED = poison_calls.TOGETHER_SECONDS
 SEED = 9
 ENTRIES = 6
 
@@ -29,7 +34,7 @@
     """Answer the load in which one call takes down one target after another."""
 
     def setUp(self):
-        self.known = suspects.Suspects()
+        self.known = poison_calls.PoisonCalls()
 
     def test_three_targets(self):
         """The third target that is lost by a call is the last one."""
@@ -55,7 +60,7 @@
         Many targets are lost at once, which tells nothing of any call.
         """
         for number in range(3):
-            for target in range(suspects.TOGETHER_TARGETS):
+            for target in range(poison_calls.TOGETHER_TARGETS):
                 mark = BAD if target == 0 else bytes([target])
                 self.known.lost(mark, f't{number}-{target}', 10.0 * number)
         self.assertEqual(FREE, self.known.verdict(BAD, 21))
@@ -73,15 +78,15 @@
         """A call is let through after a minute, and known again by its losses."""
         for number in range(3):
             self.known.lost(BAD, f't{number}', 10.0 * number)
-        later = 20 + suspects.REMEMBERED_SECONDS + 1
+        later = 20 + poison_calls.REMEMBERED_SECONDS + 1
         self.assertEqual(FREE, self.known.verdict(BAD, later))
         self.assertFalse(self.known)
 
     def test_bounded(self):
         """Calls without end are lost; so many are remembered and no more."""
-        for number in range(10 * suspects.MOST_CALLS):
+        for number in range(10 * poison_calls.MOST_CALLS):
             self.known.lost(number.to_bytes(4), f't{number}', number / 100)
-        self.assertLessEqual(len(self.known.own(13)), suspects.MOST_CALLS)
+        self.assertLessEqual(len(self.known.own(13)), poison_calls.MOST_CALLS)
 
     def test_ordinary_losses(self):
         """Targets crash at random; no call of thousands is refused for it.
@@ -105,17 +110,17 @@
     said = announcements.Announcement(
         target=name, service=test_admitting.SERVICE, address=f'{name}:80'
     )
-    return starts.Start(said, 0)
+    return instances.TargetInstance(said, 0)
 
 
 class Entry:
     """Be an entry with its exchange."""
 
     def __init__(self, name, hosts):
-        self.crashing = crashing.Crashing()
+        self.crashing = poison_requests.PoisonRequests()
         known, links, _ = shared_calls.entry_of(name, hosts)
         self.links = links
-        self.sharing = sharing.Sharing(
+        self.sharing = load_exchange.LoadExchange(
             known,
             self.links,
             lambda: tuple(hosts),
@@ -199,7 +204,7 @@
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
         call = test_admitting.call_of()
-        for _ in range(int(2 * suspects.REMEMBERED_SECONDS)):
+        for _ in range(int(2 * poison_calls.REMEMBERED_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
         for entry in entries:
@@ -236,7 +241,7 @@
     async def _crashed(self, hosts):
         entries = [Entry(f'e{number}', hosts) for number in range(ENTRIES)]
         call = test_admitting.call_of()
-        lost = sending.Unanswered('closed')
+        lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
             entry.crashing.failed(call, start_of(f't{number}'), lost)
@@ -253,9 +258,13 @@
     async def _same(self):
         call = test_admitting.call_of(call_id='one')
         again = test_admitting.call_of(call_id='two')
-        self.assertEqual(crashing.mark_of(call), crashing.mark_of(again))
+        self.assertEqual(
+            poison_requests.mark_of(call), poison_requests.mark_of(again)
+        )
         other = _with_body(again, b'another')
-        self.assertNotEqual(crashing.mark_of(call), crashing.mark_of(other))
+        self.assertNotEqual(
+            poison_requests.mark_of(call), poison_requests.mark_of(other)
+        )
 
 
 class CallerCase(direct_case.DirectCase):
@@ -271,7 +280,7 @@
         self.assertEqual(502, status)
         fake.close()
         # What was lost with it is known at once, so that the loss counts.
-        with mock.patch.object(suspects, 'TOGETHER_SECONDS', 0):
+        with mock.patch.object(poison_calls, 'TOGETHER_SECONDS', 0):
             rows = self.crashing.own()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
