--- a/bench/engines/group.py
+++ b/bench/engines/group.py
@@ -17,9 +17,9 @@
 from bench.engines import step_history
 from tamarackthread.agent import (
     engine,
-    loading,
     order_errors,
     switch_record,
+    weight_loading,
 )
 from tamarackthread.policy import expert_map, moves
 
@@ -132,7 +132,7 @@
         return [
             move
             for move, count in self._pieces.items()
-            if count >= loading.PIECES_EACH
+            if count >= weight_loading.PIECES_EACH
         ]
 
     async def load_piece(self, piece: moves.Piece) -> None:
--- a/bench/engines/switch_world.py
+++ b/bench/engines/switch_world.py
@@ -17,10 +17,10 @@
 
 from bench.engines import fake_control, group, network
 from tamarackthread.agent import (
-    group_part,
+    group_runtime,
     orders,
-    ranks,
-    switching,
+    rank_transport,
+    switch_coordinator,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map
@@ -44,10 +44,12 @@
     engine_class: type[group.RankEngine] = group.RankEngine
     plant: collections.abc.Callable[[orders.OrderDesk], None] = _plant_nothing
     links: network.NetworkSettings = network.NetworkSettings()
-    switching: switching.SwitchingSettings = switching.SwitchingSettings()
+    switching: switch_coordinator.SwitchingSettings = (
+        switch_coordinator.SwitchingSettings()
+    )
 
 
-class NodeRanks(ranks.RankTransport):
+class NodeRanks(rank_transport.RankTransport):
     """Reach the hosts' desks over the network from one node."""
 
     def __init__(self, node: str, world: 'World') -> None:
@@ -111,8 +113,8 @@
 
     def _build(self) -> None:
         world = self._world
-        self.part = group_part.GroupPart(
-            group_part.GroupSettings(
+        self.part = group_runtime.GroupPart(
+            group_runtime.GroupSettings(
                 GROUP,
                 self.rank,
                 self.node,
--- a/bench/experiments/switch.py
+++ b/bench/experiments/switch.py
@@ -21,7 +21,7 @@
     switch_picture,
     switch_world,
 )
-from tamarackthread.agent import switching
+from tamarackthread.agent import switch_coordinator
 
 _SEEDS = tuple(range(1, 9))
 _LONGEST_SECONDS = 600
@@ -33,7 +33,7 @@
 
 
 # A step so near that ranks hold whenever anything is late.
-_SHORT = switching.SwitchingSettings(ahead_seconds=0.3)
+_SHORT = switch_coordinator.SwitchingSettings(ahead_seconds=0.3)
 
 
 def run(quick: bool) -> dict:
@@ -45,7 +45,9 @@
     seconds = 60 if quick else 150
     disturbed = [
         run_world(
-            disturbed_settings(seed, ranks, switching.SwitchingSettings()),
+            disturbed_settings(
+                seed, ranks, switch_coordinator.SwitchingSettings()
+            ),
             seconds,
         )
         for seed in seeds
@@ -90,7 +92,7 @@
 def disturbed_settings(
     seed: int,
     ranks: int,
-    ahead: switching.SwitchingSettings,
+    ahead: switch_coordinator.SwitchingSettings,
 ) -> switch_world.WorldSettings:
     """Give odd seeds engines that ignore fencing numbers."""
     return switch_world.WorldSettings(
--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -14,7 +14,7 @@
 from tamarackthread.control import machine as machines
 from tamarackthread.control.site import book
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.platform import door
+from tamarackthread.platform import http_api
 from tamarackthread.shared import (
     documents,
     events,
@@ -204,7 +204,7 @@
 async def _take_announcement(body: bytes) -> None:
     held = book.Book(1.0)
     with held.hearing('fuzzer'):
-        held.take(door.read_announcement('t', body))
+        held.take(http_api.read_announcement('t', body))
     for said in held.after(0):
         wire.encode(announcements.to_message(said))
 
--- a/tamarackthread/agent/balancer.py
+++ b/tamarackthread/agent/balancer.py
@@ -14,7 +14,7 @@
 import attrs
 import numpy
 
-from tamarackthread.agent import maps, owner, switching
+from tamarackthread.agent import map_cache, owner, switch_coordinator
 from tamarackthread.policy import expert_map, forecast, placement
 from tamarackthread.shared import errors, offload
 
@@ -51,10 +51,10 @@
     def __init__(
         self,
         group_owner: owner.GroupOwner,
-        driver: switching.SwitchDriver,
+        driver: switch_coordinator.SwitchDriver,
         planner: placement.Planner,
         source: TokenSource,
-        book: maps.MapBook,
+        book: map_cache.MapBook,
         settings: BalancerSettings,
         work: offload.Offload,
     ) -> None:
--- a/tamarackthread/agent/gate.py
+++ b/tamarackthread/agent/gate.py
@@ -14,10 +14,10 @@
 
 from tamarackthread.agent import (
     claims,
-    loading,
-    recording,
     reports,
+    response_recorder,
     target,
+    weight_loading,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, events, stream, target_errors
@@ -46,7 +46,7 @@
         client: target.TargetClient,
         reporter: reports.Reporter,
         claimed: claims.ClaimGate,
-        urgent: loading.UrgentSignal,
+        urgent: weight_loading.UrgentSignal,
     ) -> None:
         """Start open; ``urgent`` is told of urgent calls."""
         self._options = options
@@ -171,7 +171,7 @@
         body: bytes,
     ) -> None:
         self._claimed.admit(opening)
-        recorder = recording.Recorder(call)
+        recorder = response_recorder.Recorder(call)
         answer = None
         self._enter(opening)
         try:
@@ -217,7 +217,7 @@
 
     async def _relay(
         self,
-        call: recording.Receiver,
+        call: response_recorder.Receiver,
         opening: messages.OpenCall,
         body: bytes,
     ) -> None:
@@ -250,7 +250,7 @@
 
     async def _relay_body(
         self,
-        call: recording.Receiver,
+        call: response_recorder.Receiver,
         opening: messages.OpenCall,
         response: aiohttp.ClientResponse,
     ) -> int:
--- a/tamarackthread/agent/grouping.py
+++ b/tamarackthread/agent/group_membership.py
@@ -12,12 +12,12 @@
     control_client,
     engine_client,
     engine_tokens,
-    group_members,
-    group_part,
+    group_runtime,
     http_engine,
-    loading,
-    ranks,
+    rank_addresses,
+    rank_transport,
     store_slots,
+    weight_loading,
 )
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated import settings as generated_settings
@@ -70,27 +70,27 @@
         self._links = links
         self._control = control
         self._watch = moves.UrgentCallMonitor()
-        self._urgent = loading.UrgentSignal(self._watch)
+        self._urgent = weight_loading.UrgentSignal(self._watch)
         self._client = engine_client.EngineClient(
             own.target_url,
             own.connect_timeout_seconds,
         )
         self._engine = http_engine.HttpEngine(self._client, own.rank)
-        self._members = group_members.Members(own.group)
+        self._members = rank_addresses.Members(own.group)
         self._balance: generated.Balance | None = None
-        self._part: group_part.GroupPart | None = None
+        self._part: group_runtime.GroupPart | None = None
         self._tokens: engine_tokens.EngineTokens | None = None
         self._in_force: _InForce | None = None
         self._joining: asyncio.Task[None] | None = None
         self._handling: set[asyncio.Task[messages.GroupOrderReply]] = set()
 
     @property
-    def urgent(self) -> loading.UrgentSignal:
+    def urgent(self) -> weight_loading.UrgentSignal:
         """Give what the gate tells of urgent calls."""
         return self._urgent
 
     @property
-    def part(self) -> group_part.GroupPart | None:
+    def part(self) -> group_runtime.GroupPart | None:
         """Give the group's part; ``None`` before the engine was heard."""
         return self._part
 
@@ -179,13 +179,13 @@
         own = self._own
         # Every rank counts, for engines do not tell of one that they do
         # without: while a rank is lost, no switch is decided.
-        transport = ranks.PeersTransport(
+        transport = rank_transport.PeersTransport(
             self._links,
             lambda: range(shape.ranks),
             lambda: self._members.addresses,
         )
-        part = group_part.GroupPart(
-            group_part.GroupSettings(
+        part = group_runtime.GroupPart(
+            group_runtime.GroupSettings(
                 own.group,
                 own.rank,
                 # A process that starts anew must not renew the lease of the
--- a/tamarackthread/agent/group_part.py
+++ b/tamarackthread/agent/group_runtime.py
@@ -12,16 +12,16 @@
     balancer,
     control_client,
     engine,
-    loading,
-    maps,
+    map_cache,
     order_errors,
     order_state,
     orders,
     owner,
-    ranks,
+    rank_transport,
     store_slots,
-    switch,
-    switching,
+    switch_coordinator,
+    switch_participant,
+    weight_loading,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map, moves, placement
@@ -45,7 +45,9 @@
     initial: expert_map.ExpertMap
     candidate: bool
     checks_fencing: bool = False
-    switching: switching.SwitchingSettings = switching.SwitchingSettings()
+    switching: switch_coordinator.SwitchingSettings = (
+        switch_coordinator.SwitchingSettings()
+    )
     store: store_slots.SlotSettings | None = None
 
 
@@ -56,9 +58,9 @@
         self,
         settings: GroupSettings,
         control: control_client.ControlClient,
-        transport: ranks.RankTransport,
+        transport: rank_transport.RankTransport,
         rank_engine: engine.Engine,
-        urgent: loading.UrgentSignal | None = None,
+        urgent: weight_loading.UrgentSignal | None = None,
     ) -> None:
         """Build the parts; ``start`` runs them.
 
@@ -66,18 +68,20 @@
         """
         self._settings = settings
         self._store = _store(settings, control)
-        self.urgent = urgent or loading.UrgentSignal(moves.UrgentCallMonitor())
-        self.book = maps.MapBook(
+        self.urgent = urgent or weight_loading.UrgentSignal(
+            moves.UrgentCallMonitor()
+        )
+        self.book = map_cache.MapBook(
             settings.initial,
-            ranks.PeerMaps(settings.group, transport),
+            rank_transport.PeerMaps(settings.group, transport),
         )
-        self.switch = switch.RankSwitch(
+        self.switch = switch_participant.RankSwitch(
             settings.group,
             settings.rank,
             rank_engine,
             control,
             self.book,
-            loading.WeightLoader(rank_engine, self.urgent, self._store),
+            weight_loading.WeightLoader(rank_engine, self.urgent, self._store),
         )
         self.desk = orders.OrderDesk(
             settings.group,
@@ -96,7 +100,9 @@
             control,
             transport,
         )
-        self.driver = switching.SwitchDriver(self.owner, settings.switching)
+        self.driver = switch_coordinator.SwitchDriver(
+            self.owner, settings.switching
+        )
         self._tasks: list[asyncio.Task[None]] = []
         self._planning: list[asyncio.Task[None]] = []
 
--- a/tamarackthread/agent/http_engine.py
+++ b/tamarackthread/agent/http_engine.py
@@ -13,9 +13,9 @@
 from tamarackthread.agent import (
     engine,
     engine_client,
-    loading,
     order_errors,
     switch_record,
+    weight_loading,
 )
 from tamarackthread.policy import expert_map, moves
 
@@ -114,7 +114,7 @@
                 'layer': piece.move.layer,
                 'expert': piece.move.expert,
                 'number': piece.number,
-                'of': loading.PIECES_EACH,
+                'of': weight_loading.PIECES_EACH,
                 'urgent': piece.move.urgent,
             },
         )
--- a/tamarackthread/agent/orders.py
+++ b/tamarackthread/agent/orders.py
@@ -19,12 +19,12 @@
 from tamarackthread.agent import (
     control_client,
     engine,
-    maps,
+    leased_load,
+    map_cache,
     order_errors,
     order_state,
     store_slots,
-    store_work,
-    switch,
+    switch_participant,
     switch_record,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -57,8 +57,8 @@
         group: str,
         control: control_client.ControlClient,
         rank_engine: engine.Engine,
-        rank_switch: switch.RankSwitch,
-        book: maps.MapBook,
+        rank_switch: switch_participant.RankSwitch,
+        book: map_cache.MapBook,
         store: store_slots.WeightStore,
     ) -> None:
         """Refuse every fenced order until ``start`` has learnt the number."""
@@ -230,7 +230,7 @@
         if order.action not in order_state.STORE_ACTIONS:
             return execute
         return functools.partial(
-            store_work.run,
+            leased_load.run,
             self._store,
             execute,
             urgent=bool(_fields(order)['urgent']),
--- a/tamarackthread/agent/owner.py
+++ b/tamarackthread/agent/owner.py
@@ -17,7 +17,7 @@
     group_lease,
     order_errors,
     order_state,
-    ranks,
+    rank_transport,
     switch_record,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -54,7 +54,7 @@
         self,
         settings: OwnerSettings,
         control: control_client.ControlClient,
-        transport: ranks.RankTransport,
+        transport: rank_transport.RankTransport,
     ) -> None:
         """Do nothing before ``run``."""
         self._settings = settings
@@ -85,7 +85,7 @@
         return self._control
 
     @property
-    def transport(self) -> ranks.RankTransport:
+    def transport(self) -> rank_transport.RankTransport:
         """Return the way to the ranks."""
         return self._transport
 
--- a/tamarackthread/agent/ranks.py
+++ b/tamarackthread/agent/rank_transport.py
@@ -6,7 +6,7 @@
 import collections.abc
 import json
 
-from tamarackthread.agent import maps, order_errors, order_state
+from tamarackthread.agent import map_cache, order_errors, order_state
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map
 from tamarackthread.shared import errors, peers
@@ -73,7 +73,7 @@
         return reply.order
 
 
-class PeerMaps(maps.MapSource):
+class PeerMaps(map_cache.MapSource):
     """Ask the other ranks' agents for a map."""
 
     def __init__(
--- a/tamarackthread/agent/ordered_group.py
+++ b/tamarackthread/agent/remote_group.py
@@ -11,7 +11,7 @@
 from tamarackthread.agent import (
     order_errors,
     order_state,
-    ranks,
+    rank_transport,
     rollout,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -41,7 +41,7 @@
     def __init__(
         self,
         reach: GroupReach,
-        transport: ranks.RankTransport,
+        transport: rank_transport.RankTransport,
         failed: FailedShare,
     ) -> None:
         """Take the version that the group runs from ``reach``."""
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -10,7 +10,7 @@
     claims,
     control_client,
     gate,
-    grouping,
+    group_membership,
     reports,
     target,
 )
@@ -44,7 +44,7 @@
         guard: gate.Gate,
         reporter: reports.Reporter,
         known: feed.ConfigFeed,
-        group: grouping.Grouping,
+        group: group_membership.Grouping,
     ) -> None:
         """Serve through the gate; relay the configuration to other nodes."""
         self._gate = guard
@@ -115,7 +115,7 @@
             self._client,
             self._own.report_seconds,
         )
-        self._group = grouping.Grouping(
+        self._group = group_membership.Grouping(
             self._own,
             self._place.options.identity,
             self._peers,
--- a/tamarackthread/agent/switch.py
+++ b/tamarackthread/agent/switch_participant.py
@@ -17,10 +17,10 @@
     control_client,
     engine,
     lifecycle,
-    loading,
-    maps,
+    map_cache,
     order_errors,
     switch_record,
+    weight_loading,
 )
 from tamarackthread.policy import expert_map, moves
 from tamarackthread.shared import errors
@@ -50,8 +50,8 @@
         rank: int,
         rank_engine: engine.Engine,
         control: control_client.ControlClient,
-        book: maps.MapBook,
-        loader: loading.WeightLoader,
+        book: map_cache.MapBook,
+        loader: weight_loading.WeightLoader,
         settings: SwitchSettings | None = None,
     ) -> None:
         """Do nothing before ``run``."""
--- a/tamarackthread/platform/__main__.py
+++ b/tamarackthread/platform/__main__.py
@@ -25,8 +25,8 @@
         resting.until_stopped('control: rests, this host has no disk')
         return 0
     # Loaded only now, so that a resting process holds none of it in memory.
-    starting = importlib.import_module('tamarackthread.platform.starting')
-    return starting.main(role)
+    startup = importlib.import_module('tamarackthread.platform.startup')
+    return startup.main(role)
 
 
 if __name__ == '__main__':
--- a/tamarackthread/platform/starting.py
+++ b/tamarackthread/platform/startup.py
@@ -42,13 +42,13 @@
 # cost each process some megabytes.
 async def _run_control(held: generated.Settings) -> None:
     host = importlib.import_module('tamarackthread.control.site.host')
-    door = importlib.import_module('tamarackthread.platform.door')
+    http_api = importlib.import_module('tamarackthread.platform.http_api')
     reader = importlib.import_module('tamarackthread.platform.configuration')
     ranks = importlib.import_module('tamarackthread.platform.ranks')
     await host.run(
         held,
         reader.PlatformReader(),
-        door.PlatformDoor(),
+        http_api.PlatformDoor(),
         ranks.PlatformRanks(),
     )
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from bench import load
-from tamarackthread.agent import claims, gate, loading, reports, target
+from tamarackthread.agent import claims, gate, reports, target, weight_loading
 from tamarackthread.entry import (
     calls,
     directory,
@@ -99,7 +99,7 @@
         self.client = target.TargetClient(own)
         await self.client.start()
         self.reporter = reports.Reporter(self.name, self.client, 0.02)
-        self.urgent = loading.UrgentSignal(moves.UrgentCallMonitor())
+        self.urgent = weight_loading.UrgentSignal(moves.UrgentCallMonitor())
         self.gate = gate.Gate(
             gate.GateOptions(
                 target_id=self.name,
--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -5,11 +5,11 @@
 from bench.engines import fake_control, group
 from tamarackthread.agent import (
     control_client,
-    group_part,
-    maps,
+    group_runtime,
+    map_cache,
     order_errors,
     order_state,
-    ranks,
+    rank_transport,
     switch_record,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -30,7 +30,7 @@
 class _Handler(link.Handler):
     """Answer as a control host and as the agent of rank 0."""
 
-    def __init__(self, part: group_part.GroupPart) -> None:
+    def __init__(self, part: group_runtime.GroupPart) -> None:
         self._part = part
         self._control = fake_control.Control()
 
@@ -64,16 +64,16 @@
         """Listen as control and rank 0; dial as rank 1."""
         self._map = expert_map.cold_start(SHAPE)
         self._peers = peers.Peers(_options('rank-1'))
-        transport = ranks.PeersTransport(self._peers, list, dict)
+        transport = rank_transport.PeersTransport(self._peers, list, dict)
         lockstep = group.LockStepGroup(self._map.slots[..., 0, 0], 1)
-        settings = group_part.GroupSettings(
+        settings = group_runtime.GroupSettings(
             GROUP,
             0,
             'rank-0',
             self._map,
             candidate=False,
         )
-        part = group_part.GroupPart(
+        part = group_runtime.GroupPart(
             settings,
             fake_control.LocalControl(fake_control.Control()),
             transport,
@@ -123,20 +123,20 @@
 
     async def test_map_of_full_size(self) -> None:
         """A rank without memory gets a map of 58 layers from a peer."""
-        transport = ranks.PeersTransport(
+        transport = rank_transport.PeersTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
         )
-        source = ranks.PeerMaps(GROUP, transport)
+        source = rank_transport.PeerMaps(GROUP, transport)
         fetched = await source.fetch(self._map.digest())
         self.assertEqual(fetched.digest(), self._map.digest())
         with self.assertRaises(order_errors.MapUnknown):
-            await maps.MapBook(self._map, source).get('unknown')
+            await map_cache.MapBook(self._map, source).get('unknown')
 
     async def test_refusal(self) -> None:
         """An order that the desk refuses comes back with its code."""
-        transport = ranks.PeersTransport(
+        transport = rank_transport.PeersTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
--- a/tests/test_group_part.py
+++ b/tests/test_group_part.py
@@ -14,7 +14,7 @@
     lifecycle,
     order_errors,
     order_state,
-    ordered_group,
+    remote_group,
     rollout,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -126,8 +126,8 @@
         """
 
         async def scene(world: object, host: object) -> None:
-            reached = ordered_group.OrderedGroup(
-                ordered_group.GroupReach(switch_world.GROUP, 'v1'),
+            reached = remote_group.OrderedGroup(
+                remote_group.GroupReach(switch_world.GROUP, 'v1'),
                 switch_world.NodeRanks('operator', world),
                 float,
             )
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -14,11 +14,11 @@
 from bench.engines import fake_control, journal, ranked, switch_checker
 from tamarackthread.agent import (
     control_client,
-    group_members,
-    grouping,
+    group_membership,
     lifecycle,
     order_errors,
     order_state,
+    rank_addresses,
     role,
     switch_record,
 )
@@ -114,7 +114,7 @@
             self._starts,
         )
         self.links = peers.Peers(place)
-        self.group = grouping.Grouping(
+        self.group = group_membership.Grouping(
             self.own,
             place.identity,
             self.links,
@@ -420,10 +420,10 @@
         stage = test_targets.Stage()
         await stage.targets.announce(message, 'agent')
         held = stage.log.machine.documents
-        members = group_members.Members(GROUP)
+        members = rank_addresses.Members(GROUP)
         members.follow(held)
         self.assertEqual(members.addresses, {3: '127.0.0.1:2'})
-        other = group_members.Members('group-2')
+        other = rank_addresses.Members('group-2')
         other.follow(held)
         self.assertEqual(other.addresses, {})
 
@@ -436,7 +436,7 @@
                 rank=rank,
                 candidate=candidate,
             )
-            return grouping.is_candidate(own)
+            return group_membership.is_candidate(own)
 
         self.assertTrue(stands(2, 'auto'))
         self.assertFalse(stands(3, 'auto'))
@@ -447,8 +447,10 @@
         even = documents.Balance(evenness_weight=3, move_weight=1)
         few = documents.Balance(evenness_weight=1, move_weight=3)
         self.assertLess(
-            grouping.trade_off(even).move_cost_seconds,
-            grouping.trade_off(few).move_cost_seconds,
+            group_membership.trade_off(even).move_cost_seconds,
+            group_membership.trade_off(few).move_cost_seconds,
         )
         nothing = documents.Balance(evenness_weight=0)
-        self.assertGreater(grouping.trade_off(nothing).move_cost_seconds, 1000)
+        self.assertGreater(
+            group_membership.trade_off(nothing).move_cost_seconds, 1000
+        )
--- a/tests/test_map_switch.py
+++ b/tests/test_map_switch.py
@@ -17,7 +17,7 @@
     lifecycle,
     order_errors,
     orders,
-    switch,
+    switch_participant,
     switch_record,
 )
 from tamarackthread.shared import errors
@@ -324,7 +324,9 @@
             with self.assertRaises(order_errors.RankNotReady):
                 await loading
             await host.part.switch.load(target, _no_report)
-            wanted = switch.rank_moves(target.holds(), 3, urgent=False)
+            wanted = switch_participant.rank_moves(
+                target.holds(), 3, urgent=False
+            )
             loaded = await host.engine.loaded()
             self.assertLessEqual(set(wanted), set(loaded))
 
--- a/tests/test_role_memory.py
+++ b/tests/test_role_memory.py
@@ -20,15 +20,15 @@
 ROLES = types.MappingProxyType(
     {
         'entry': (
-            'tamarackthread.platform.starting',
+            'tamarackthread.platform.startup',
             'tamarackthread.entry.direct.role',
             'tamarackthread.platform.calls',
             'tamarackthread.platform.configuration',
         ),
         'control': (
-            'tamarackthread.platform.starting',
+            'tamarackthread.platform.startup',
             'tamarackthread.control.site.host',
-            'tamarackthread.platform.door',
+            'tamarackthread.platform.http_api',
             'tamarackthread.platform.ranks',
             'tamarackthread.platform.configuration',
         ),
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -15,10 +15,10 @@
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.platform import configuration as reading
-from tamarackthread.platform import door
+from tamarackthread.platform import http_api
 from tamarackthread.shared import wire
 from tamarackthread.shared.site import announcements
-from tests import policy_case, direct_case
+from tests import direct_case, policy_case
 
 State = announcements.State
 BORN = 1_780_000_000_000
@@ -339,7 +339,7 @@
 
     async def asyncSetUp(self):
         self.targets = book.Book(BEAT)
-        self.door = door.PlatformDoor()
+        self.door = http_api.PlatformDoor()
         self.address = await self.door.open(
             '127.0.0.1:0', _NoApi(), self.targets, _NoApi()
         )
--- a/tests/test_urgent_gate.py
+++ b/tests/test_urgent_gate.py
@@ -4,7 +4,7 @@
 import types
 import unittest
 
-from tamarackthread.agent import claims, gate, loading
+from tamarackthread.agent import claims, gate, weight_loading
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import moves
 from tamarackthread.shared import target_errors
@@ -45,7 +45,9 @@
     async def near_while_open(self, priority):
         """Tell whether urgent work is near during a call and after it."""
         client = SlowClient()
-        signal = loading.UrgentSignal(moves.UrgentCallMonitor(pause_seconds=0))
+        signal = weight_loading.UrgentSignal(
+            moves.UrgentCallMonitor(pause_seconds=0)
+        )
         guard = gate.Gate(
             gate.GateOptions(target_id='t', is_model=True, call_limit=1),
             client,
