--- a/bench/engines/group.py
+++ b/bench/engines/group.py
@@ -132,7 +132,7 @@
         return [
             move
             for move, count in self._pieces.items()
-            if count >= weight_loading.PIECES_EACH
+            if count >= weight_loading.PIECES_PER_MOVE
         ]
 
     async def load_piece(self, piece: moves.Piece) -> None:
@@ -141,7 +141,7 @@
         await asyncio.sleep(_PIECE_SECONDS)
         self._pieces[piece.move] += 1
 
-    async def follow(
+    async def apply_record(
         self,
         record: switch_record.SwitchRecord,
         fence: int,
--- a/bench/engines/ranked.py
+++ b/bench/engines/ranked.py
@@ -202,7 +202,7 @@
         await self._engine.status()
         if body['incarnation'] != self._engine.incarnation:
             return _refusal('engine has started anew')
-        await self._engine.follow(record, body['fence'])
+        await self._engine.apply_record(record, body['fence'])
         return web.json_response({})
 
     async def _execute(self, request: web.Request) -> web.StreamResponse:
--- a/bench/engines/switch_world.py
+++ b/bench/engines/switch_world.py
@@ -29,7 +29,7 @@
 GROUP = 'group-1'
 
 
-def _plant_nothing(desk: orders.OrderDesk) -> None:
+def _plant_nothing(executor: orders.OrderExecutor) -> None:
     """Leave the desk as it is."""
 
 
@@ -42,10 +42,12 @@
     owners: int = 2
     checks_fencing: bool = False
     engine_class: type[group.RankEngine] = group.RankEngine
-    plant: collections.abc.Callable[[orders.OrderDesk], None] = _plant_nothing
+    plant: collections.abc.Callable[[orders.OrderExecutor], None] = (
+        _plant_nothing
+    )
     links: network.NetworkSettings = network.NetworkSettings()
-    switching: switch_coordinator.SwitchingSettings = (
-        switch_coordinator.SwitchingSettings()
+    switching: switch_coordinator.CoordinatorSettings = (
+        switch_coordinator.CoordinatorSettings()
     )
 
 
@@ -73,7 +75,7 @@
         return await self._world.links.call(
             self._node,
             host.node,
-            lambda: host.part.handle_order(order),
+            lambda: host.runtime.handle_order(order),
             timeout_seconds,
         )
 
@@ -97,13 +99,13 @@
 
     def start_agent(self) -> None:
         """Run the agent's tasks."""
-        self.part.start()
+        self.runtime.start()
         if self.rank < self._world.settings.owners:
             self._leading = asyncio.create_task(self._lead())
 
     async def restart_agent(self, seconds: float) -> None:
         """Lose the agent's memory and start it again."""
-        self.part.abandon()
+        self.runtime.abandon()
         if self._leading is not None:
             self._leading.cancel()
         self._world.links.stall(self.node, seconds)
@@ -113,7 +115,7 @@
 
     def _build(self) -> None:
         world = self._world
-        self.part = group_runtime.GroupPart(
+        self.runtime = group_runtime.GroupRuntime(
             group_runtime.GroupSettings(
                 GROUP,
                 self.rank,
@@ -127,25 +129,28 @@
             NodeRanks(self.node, world),
             self.engine,
         )
-        world.settings.plant(self.part.desk)
+        world.settings.plant(self.runtime.executor)
 
     async def _lead(self) -> None:
         """Switch to new maps and give other orders as long as we own."""
         rng = random.Random(self._world.settings.seed * 1000 + self.rank)
         while True:
-            await self.part.owner.wait_owner()
+            await self.runtime.owner.wait_owner()
             self._world.note_order(await self._order(rng))
             await asyncio.sleep(rng.uniform(0.05, 0.3))
-            if not self.part.owner.is_owner or not self._world.wants_switch():
+            if (
+                not self.runtime.owner.is_owner
+                or not self._world.wants_switch()
+            ):
                 continue
             try:
-                await self.part.driver.switch_to(self._world.next_map())
+                await self.runtime.coordinator.switch_to(self._world.next_map())
             except errors.CodedError as exc:
                 self._world.reasons[exc.code] += 1
 
     async def _order(self, rng: random.Random) -> int:
         name = f'adapter-{rng.randrange(1 << 30)}'
-        states = await self.part.owner.order_all('load_adapter', name, '{}')
+        states = await self.runtime.owner.order_all('load_adapter', name, '{}')
         return sum(
             not isinstance(state, errors.CodedError)
             for state in states.values()
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -123,7 +123,11 @@
             await asyncio.gather(*(self._ask(path, each) for each in numbers))
 
     async def _ask(self, path: str, number: int) -> None:
-        headers = {'Host': HOST, wire.CALL_ID: f'c{number}', wire.LEFT: '4000'}
+        headers = {
+            'Host': HOST,
+            wire.CALL_ID: f'c{number}',
+            wire.DEADLINE: '4000',
+        }
         async with self._session.get(
             f'http://{self._address}{path}', headers=headers
         ) as answer:
--- a/bench/experiments/switch.py
+++ b/bench/experiments/switch.py
@@ -33,7 +33,7 @@
 
 
 # A step so near that ranks hold whenever anything is late.
-_SHORT = switch_coordinator.SwitchingSettings(ahead_seconds=0.3)
+_SHORT = switch_coordinator.CoordinatorSettings(lead_seconds=0.3)
 
 
 def run(quick: bool) -> dict:
@@ -46,7 +46,7 @@
     disturbed = [
         run_world(
             disturbed_settings(
-                seed, ranks, switch_coordinator.SwitchingSettings()
+                seed, ranks, switch_coordinator.CoordinatorSettings()
             ),
             seconds,
         )
@@ -92,7 +92,7 @@
 def disturbed_settings(
     seed: int,
     ranks: int,
-    ahead: switch_coordinator.SwitchingSettings,
+    ahead: switch_coordinator.CoordinatorSettings,
 ) -> switch_world.WorldSettings:
     """Give odd seeds engines that ignore fencing numbers."""
     return switch_world.WorldSettings(
@@ -190,7 +190,7 @@
 
     def _owner(self) -> switch_world.Host:
         for host in self._world.hosts:
-            if host.part.owner.is_owner:
+            if host.runtime.owner.is_owner:
                 return host
         return self._world.hosts[0]
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -134,7 +134,7 @@
         headers = {
             'Host': _HOST,
             wire.CALL_ID: attempt.identity,
-            wire.LEFT: str(int(CALL_SECONDS * 1000)),
+            wire.DEADLINE: str(int(CALL_SECONDS * 1000)),
         }
         url = f'http://{self._world.callers_address(entry)}{_PATHS[kind]}'
         try:
--- a/bench/soak/targets.py
+++ b/bench/soak/targets.py
@@ -77,7 +77,7 @@
 
     async def _announce(self, session: aiohttp.ClientSession) -> None:
         self._sequence += 1
-        path = wire.ANNOUNCE.replace('{target}', self._name)
+        path = wire.HEARTBEAT.replace('{target}', self._name)
         body = {
             'service': self._service,
             'address': self._address,
@@ -130,7 +130,7 @@
         identity: str,
         headers: dict[str, str],
     ) -> web.StreamResponse:
-        first = int(request.headers.get(wire.POSITION) or 0) + 1
+        first = int(request.headers.get(wire.LAST_EVENT_ID) or 0) + 1
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         await response.prepare(request)
--- a/tamarackthread/agent/balancer.py
+++ b/tamarackthread/agent/balancer.py
@@ -42,7 +42,7 @@
     """Hold the constants; a plan is for the time ``ahead_seconds`` from it."""
 
     interval_seconds: float = 300
-    ahead_seconds: float = 300
+    horizon_seconds: float = 300
 
 
 class Balancer:
@@ -51,19 +51,19 @@
     def __init__(
         self,
         group_owner: owner.GroupOwner,
-        driver: switch_coordinator.SwitchDriver,
+        coordinator: switch_coordinator.SwitchCoordinator,
         planner: placement.Planner,
         source: TokenSource,
-        book: map_cache.MapBook,
+        maps: map_cache.MapCache,
         settings: BalancerSettings,
         work: offload.Offload,
     ) -> None:
         """Plan by ``work``, because a plan takes up to seconds."""
         self._owner = group_owner
-        self._driver = driver
+        self._coordinator = coordinator
         self._planner = planner
         self._source = source
-        self._book = book
+        self._maps = maps
         self._settings = settings
         self._work = work
         self._forecaster = forecast.Forecaster(
@@ -72,18 +72,18 @@
             ),
         )
         self._last: placement.Plan | None = None
-        self._held = False
+        self._paused = False
 
     @property
     def last_plan(self) -> placement.Plan | None:
         """Return the last plan made, for operators."""
         return self._last
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Stop planning, or go on; a switch under way is not touched."""
-        self._held = held
+        self._paused = paused
 
-    def use(self, planner: placement.Planner) -> None:
+    def set_planner(self, planner: placement.Planner) -> None:
         """Plan from now on as another profile wants it."""
         self._planner = planner
 
@@ -97,7 +97,7 @@
                 await self._try_balance()
 
     def _may_plan(self) -> bool:
-        if self._held or self._forecaster.is_cold:
+        if self._paused or self._forecaster.is_cold:
             return False
         return self._owner.is_owner
 
@@ -110,7 +110,9 @@
     async def _balance(self) -> None:
         today = await self._today()
         now = asyncio.get_running_loop().time()
-        outlook = self._forecaster.forecast(now + self._settings.ahead_seconds)
+        outlook = self._forecaster.forecast(
+            now + self._settings.horizon_seconds
+        )
         present = set(self._owner.transport.ranks)
         lost = set(range(today.shape.ranks)) - present
         plan = await self._work.run(self._planner.plan, today, outlook, lost)
@@ -123,10 +125,10 @@
             plan.skew_before,
             plan.skew_after,
         )
-        await self._driver.switch_to(plan.new_map)
+        await self._coordinator.switch_to(plan.new_map)
 
     async def _today(self) -> expert_map.ExpertMap:
         latest = await self._owner.control.latest(self._owner.group)
         if latest is None:
-            return await self._book.get(self._book.initial_digest)
-        return await self._book.get(latest.settled_map)
+            return await self._maps.get(self._maps.initial_digest)
+        return await self._maps.get(latest.settled_map)
--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -61,7 +61,7 @@
         return switch_record.from_reply(await self.decide(request))
 
 
-class LinkControl(ControlClient):
+class LinkControlClient(ControlClient):
     """Reach control over links, one control host after the other.
 
     A host that does not lead passes the request on to the one that does.
--- a/tamarackthread/agent/engine.py
+++ b/tamarackthread/agent/engine.py
@@ -54,7 +54,7 @@
         """Load one piece; cancelling the call drops what came of it."""
 
     @abc.abstractmethod
-    async def follow(
+    async def apply_record(
         self,
         record: switch_record.SwitchRecord,
         fence: int,
--- a/tamarackthread/agent/engine_tokens.py
+++ b/tamarackthread/agent/engine_tokens.py
@@ -15,7 +15,7 @@
 _log = logging.getLogger('tamarackthread.balancer')
 
 
-class EngineTokens(balancer.TokenSource):
+class EngineTokenSource(balancer.TokenSource):
     """Sum the engine's windows since the last call to one."""
 
     def __init__(
--- a/tamarackthread/agent/gate.py
+++ b/tamarackthread/agent/gate.py
@@ -80,7 +80,7 @@
         """Tell whether new calls are refused."""
         return self._leaving
 
-    def leave(self, leaving: bool = True) -> None:
+    def set_leaving(self, leaving: bool = True) -> None:
         """Refuse new calls from this moment, or take them again."""
         # Entries learn late that a target leaves.  The refusal here takes
         # effect at once and says 'not run', so a late entry only costs a
@@ -171,7 +171,7 @@
         body: bytes,
     ) -> None:
         self._claimed.admit(opening)
-        recorder = response_recorder.Recorder(call)
+        recorder = response_recorder.ResponseRecorder(call)
         answer = None
         self._enter(opening)
         try:
@@ -217,11 +217,11 @@
 
     async def _relay(
         self,
-        call: response_recorder.Receiver,
+        call: response_recorder.ResponseSink,
         opening: messages.OpenCall,
         body: bytes,
     ) -> None:
-        response = await self._client.hand_over(
+        response = await self._client.send_call(
             opening,
             body,
             self._idle_seconds,
@@ -250,7 +250,7 @@
 
     async def _relay_body(
         self,
-        call: response_recorder.Receiver,
+        call: response_recorder.ResponseSink,
         opening: messages.OpenCall,
         response: aiohttp.ClientResponse,
     ) -> int:
--- a/tamarackthread/agent/group_lease.py
+++ b/tamarackthread/agent/group_lease.py
@@ -63,7 +63,7 @@
                 return
             await asyncio.sleep(max(wait, self._retry_seconds))
 
-    async def keep(self) -> None:
+    async def maintain(self) -> None:
         """Renew the lease at a third of it, until it is lost."""
         pause = self._lease_ms / _MS / 3
         while self.is_held:
@@ -80,7 +80,7 @@
             # The lease ends by itself.
             return
 
-    def give_up(self, fence: int) -> None:
+    def invalidate(self, fence: int) -> None:
         """Stop at once, because a higher number than ours has been seen."""
         _log.warning('owner: %d is in force, ours is %d', fence, self._fence)
         self._until = float('-inf')
@@ -96,7 +96,7 @@
         # that was known under the old one has to be learnt again.
         is_other = bool(self._fence) and reply.fence != self._fence
         if is_other:
-            self.give_up(reply.fence)
+            self.invalidate(reply.fence)
         if is_other or not reply.granted:
             return (reply.wait_ms or 0) / _MS
         self._fence = reply.fence
--- a/tamarackthread/agent/group_membership.py
+++ b/tamarackthread/agent/group_membership.py
@@ -54,7 +54,7 @@
     settings: balancer.BalancerSettings
 
 
-class Grouping:
+class GroupMembership:
     """Build the group's part once the engine has told its size."""
 
     def __init__(
@@ -76,10 +76,10 @@
             own.connect_timeout_seconds,
         )
         self._engine = http_engine.HttpEngine(self._client, own.rank)
-        self._members = rank_addresses.Members(own.group)
+        self._addresses = rank_addresses.RankAddresses(own.group)
         self._balance: generated.Balance | None = None
-        self._part: group_runtime.GroupPart | None = None
-        self._tokens: engine_tokens.EngineTokens | None = None
+        self._runtime: group_runtime.GroupRuntime | None = None
+        self._tokens: engine_tokens.EngineTokenSource | None = None
         self._in_force: _InForce | None = None
         self._joining: asyncio.Task[None] | None = None
         self._handling: set[asyncio.Task[messages.GroupOrderReply]] = set()
@@ -90,9 +90,9 @@
         return self._urgent
 
     @property
-    def part(self) -> group_runtime.GroupPart | None:
+    def runtime(self) -> group_runtime.GroupRuntime | None:
         """Give the group's part; ``None`` before the engine was heard."""
-        return self._part
+        return self._runtime
 
     @property
     def planning(self) -> balancer.Balancer | None:
@@ -109,26 +109,26 @@
 
     async def stop(self) -> None:
         """Leave the group's engine as it is and give ownership back."""
-        if self._part is not None:
-            await self._part.stop()
+        if self._runtime is not None:
+            await self._runtime.stop()
         await self.abandon()
 
     async def abandon(self) -> None:
         """Stop without a word to control or the other ranks."""
         if self._joining is not None:
             self._joining.cancel()
-        if self._part is not None:
-            self._part.abandon()
+        if self._runtime is not None:
+            self._runtime.abandon()
         for order in self._handling:
             order.cancel()
         await self._client.stop()
 
-    def follow(self, held: catalogue.Catalogue) -> None:
+    def update_addresses(self, held: catalogue.Catalogue) -> None:
         """Take the addresses of the other ranks from the documents."""
         if self._own.group:
-            self._members.follow(held)
+            self._addresses.update(held)
 
-    def use(self, balance: generated.Balance) -> None:
+    def apply_balance(self, balance: generated.Balance) -> None:
         """Balance from now on as the profile says."""
         self._balance = balance
         self._watch.pause_seconds = balance.urgent_pause_seconds
@@ -142,9 +142,9 @@
 
         An order cut off half way leaves open what the engine has done of it.
         """
-        if self._part is None:
+        if self._runtime is None:
             raise GroupNotReady()
-        work = self._part.handle_order(order)
+        work = self._runtime.handle_order(order)
         task = asyncio.create_task(work)
         self._handling.add(task)
         task.add_done_callback(self._handling.discard)
@@ -179,12 +179,12 @@
         own = self._own
         # Every rank counts, for engines do not tell of one that they do
         # without: while a rank is lost, no switch is decided.
-        transport = rank_transport.PeersTransport(
+        transport = rank_transport.LinkTransport(
             self._links,
             lambda: range(shape.ranks),
-            lambda: self._members.addresses,
+            lambda: self._addresses.addresses,
         )
-        part = group_runtime.GroupPart(
+        runtime = group_runtime.GroupRuntime(
             group_runtime.GroupSettings(
                 own.group,
                 own.rank,
@@ -201,11 +201,11 @@
             self._engine,
             self._urgent,
         )
-        self._part = part
-        part.start()
+        self._runtime = runtime
+        runtime.start()
         _log.info('grouping: rank %d of %s', own.rank, own.group)
         if is_candidate(own):
-            self._tokens = engine_tokens.EngineTokens(self._client, shape)
+            self._tokens = engine_tokens.EngineTokenSource(self._client, shape)
             self._apply()
 
     def _apply(self) -> None:
@@ -214,17 +214,17 @@
         Only new times need a new balancer, which starts its forecast anew.
         """
         balance = self._balance
-        if balance is None or self._part is None or self._tokens is None:
+        if balance is None or self._runtime is None or self._tokens is None:
             return
-        wanted = timing(balance)
-        weights = trade_off(balance)
+        wanted = balancer_settings(balance)
+        weights = planner_settings(balance)
         held = self._in_force
         if held is None or held.settings != wanted:
-            planning = self._part.balance(self._tokens, weights, wanted)
+            planning = self._runtime.balance(self._tokens, weights, wanted)
             held = _InForce(planning, wanted)
             self._in_force = held
-        held.planning.use(placement.IncrementalPlanner(weights))
-        held.planning.hold(held=not balance.enabled)
+        held.planning.set_planner(placement.IncrementalPlanner(weights))
+        held.planning.set_paused(paused=not balance.enabled)
 
 
 def _report_fault(joining: asyncio.Task[None]) -> None:
@@ -240,7 +240,7 @@
     return own.candidate == 'yes'
 
 
-def trade_off(balance: generated.Balance) -> placement.BalanceSettings:
+def planner_settings(balance: generated.Balance) -> placement.BalanceSettings:
     """Turn a profile's weights into the planner's trade-off."""
     worth = max(balance.evenness_weight, _LEAST_WORTH)
     return placement.BalanceSettings(
@@ -250,9 +250,9 @@
     )
 
 
-def timing(balance: generated.Balance) -> balancer.BalancerSettings:
+def balancer_settings(balance: generated.Balance) -> balancer.BalancerSettings:
     """Take the balancer's times from a profile."""
     return balancer.BalancerSettings(
         interval_seconds=balance.interval_seconds,
-        ahead_seconds=balance.forecast_seconds,
+        horizon_seconds=balance.forecast_seconds,
     )
--- a/tamarackthread/agent/group_runtime.py
+++ b/tamarackthread/agent/group_runtime.py
@@ -45,13 +45,13 @@
     initial: expert_map.ExpertMap
     candidate: bool
     checks_fencing: bool = False
-    switching: switch_coordinator.SwitchingSettings = (
-        switch_coordinator.SwitchingSettings()
+    switching: switch_coordinator.CoordinatorSettings = (
+        switch_coordinator.CoordinatorSettings()
     )
     store: store_slots.SlotSettings | None = None
 
 
-class GroupPart:
+class GroupRuntime:
     """Hold the parts and run their tasks; the agent's role plugs it in."""
 
     def __init__(
@@ -71,24 +71,24 @@
         self.urgent = urgent or weight_loading.UrgentSignal(
             moves.UrgentCallMonitor()
         )
-        self.book = map_cache.MapBook(
+        self.maps = map_cache.MapCache(
             settings.initial,
-            rank_transport.PeerMaps(settings.group, transport),
+            rank_transport.PeerMapSource(settings.group, transport),
         )
-        self.switch = switch_participant.RankSwitch(
+        self.participant = switch_participant.SwitchParticipant(
             settings.group,
             settings.rank,
             rank_engine,
             control,
-            self.book,
+            self.maps,
             weight_loading.WeightLoader(rank_engine, self.urgent, self._store),
         )
-        self.desk = orders.OrderDesk(
+        self.executor = orders.OrderExecutor(
             settings.group,
             control,
             rank_engine,
-            self.switch,
-            self.book,
+            self.participant,
+            self.maps,
             self._store,
         )
         self.owner = owner.GroupOwner(
@@ -100,7 +100,7 @@
             control,
             transport,
         )
-        self.driver = switch_coordinator.SwitchDriver(
+        self.coordinator = switch_coordinator.SwitchCoordinator(
             self.owner, settings.switching
         )
         self._tasks: list[asyncio.Task[None]] = []
@@ -108,7 +108,7 @@
 
     def start(self) -> None:
         """Run the rank's side, and an owner if this rank is a candidate."""
-        work = [self.desk.start(), self.switch.run()]
+        work = [self.executor.start(), self.participant.run()]
         if self._settings.candidate:
             work.append(self.owner.run())
         self._tasks = [asyncio.create_task(one) for one in work]
@@ -125,10 +125,10 @@
         """
         planning = balancer.Balancer(
             self.owner,
-            self.driver,
+            self.coordinator,
             placement.IncrementalPlanner(weights),
             source,
-            self.book,
+            self.maps,
             settings,
             offload.ThreadOffload(),
         )
@@ -146,7 +146,7 @@
 
     def abandon(self) -> None:
         """Stop without a word to anyone."""
-        self.switch.close()
+        self.participant.close()
         for task in (*self._tasks, *self._planning):
             task.cancel()
 
@@ -161,7 +161,7 @@
         """
         is_read = order.action in orders.UNFENCED
         if is_read or order.fence != OPERATOR_FENCE:
-            return await self.desk.handle_order(order)
+            return await self.executor.handle_order(order)
         try:
             state = await self._order_all(order)
         except errors.CodedError as exc:
@@ -169,7 +169,7 @@
         return messages.GroupOrderReply(
             accepted=state.state != order_state.REFUSED,
             body=state.to_json(),
-            highest_fence=self.desk.highest_fence,
+            highest_fence=self.executor.highest_fence,
         )
 
     async def _plan(
@@ -180,7 +180,7 @@
         # A switch that is cut off after its intent has no outcome, and the
         # ranks hold at its step until the owner is lost.  Between switches
         # there is nothing to cut off.
-        while before and self.driver.is_busy:
+        while before and self.coordinator.is_busy:
             await asyncio.sleep(_RETIRE_SECONDS)
         for task in before:
             task.cancel()
@@ -200,10 +200,10 @@
             order.order_id,
             order.body,
         )
-        return combine(answers)
+        return combine_states(answers)
 
 
-def combine(
+def combine_states(
     answers: dict[int, order_state.OrderState | errors.CodedError],
 ) -> order_state.OrderState:
     """Sum up what the ranks answered; the slowest rank gives the progress.
@@ -242,10 +242,10 @@
 def _store(
     settings: GroupSettings,
     control: control_client.ControlClient,
-) -> store_slots.WeightStore:
+) -> store_slots.StoreLimiter:
     if settings.store is None:
-        return store_slots.OpenStore()
-    return store_slots.LeasedStore(
+        return store_slots.UnlimitedStore()
+    return store_slots.LeasedStoreLimiter(
         control,
         settings.holder,
         settings.store,
--- a/tamarackthread/agent/http_engine.py
+++ b/tamarackthread/agent/http_engine.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class RankState:
+class EngineState:
     """What an engine tells of itself and of its group's size."""
 
     rank: int
@@ -55,11 +55,11 @@
         self._rank = rank
         self._incarnation = 0
 
-    async def state(self) -> RankState:
+    async def state(self) -> EngineState:
         """Ask for everything that the engine tells of itself."""
         answer = await self._client.ask('GET', STATUS_PATH)
         with _readable(STATUS_PATH):
-            return RankState(
+            return EngineState(
                 rank=int(answer['rank']),
                 status=engine.EngineStatus(
                     step=int(answer['step']),
@@ -114,13 +114,13 @@
                 'layer': piece.move.layer,
                 'expert': piece.move.expert,
                 'number': piece.number,
-                'of': weight_loading.PIECES_EACH,
+                'of': weight_loading.PIECES_PER_MOVE,
                 'urgent': piece.move.urgent,
             },
         )
         await self._client.ask('POST', PIECES_PATH, text, _PIECE_SECONDS)
 
-    async def follow(
+    async def apply_record(
         self,
         record: switch_record.SwitchRecord,
         fence: int,
--- a/tamarackthread/agent/leased_load.py
+++ b/tamarackthread/agent/leased_load.py
@@ -12,7 +12,7 @@
 
 
 async def run(
-    store: store_slots.WeightStore,
+    store: store_slots.StoreLimiter,
     start: _Start,
     urgent: bool,
 ) -> str:
@@ -34,7 +34,7 @@
 
 
 async def _while_held(
-    store: store_slots.WeightStore,
+    store: store_slots.StoreLimiter,
     work: asyncio.Future[str],
 ) -> bool:
     """Tell whether the work ended before the slot was lost."""
--- a/tamarackthread/agent/map_cache.py
+++ b/tamarackthread/agent/map_cache.py
@@ -19,7 +19,7 @@
         """Return the map or raise ``MapUnknown``."""
 
 
-class MapBook:
+class MapCache:
     """Hold the latest few maps of a group, and ask peers for others.
 
     Control keeps only digests: the contents of all groups' maps would be
--- a/tamarackthread/agent/order_state.py
+++ b/tamarackthread/agent/order_state.py
@@ -82,7 +82,7 @@
         raise order_errors.OrderInvalid(f'order state: {exc}') from exc
 
 
-def read_status(
+def status_results(
     states: collections.abc.Mapping[int, OrderState | errors.CodedError],
 ) -> list[dict]:
     """Return what the ranks that answered said to a ``status`` order."""
--- a/tamarackthread/agent/orders.py
+++ b/tamarackthread/agent/orders.py
@@ -49,7 +49,7 @@
     task: asyncio.Task[None] | None = None
 
 
-class OrderDesk:
+class OrderExecutor:
     """Check, execute and remember the orders of one rank."""
 
     def __init__(
@@ -57,16 +57,16 @@
         group: str,
         control: control_client.ControlClient,
         rank_engine: engine.Engine,
-        rank_switch: switch_participant.RankSwitch,
-        book: map_cache.MapBook,
-        store: store_slots.WeightStore,
+        participant: switch_participant.SwitchParticipant,
+        maps: map_cache.MapCache,
+        store: store_slots.StoreLimiter,
     ) -> None:
         """Refuse every fenced order until ``start`` has learnt the number."""
         self._group = group
         self._control = control
         self._engine = rank_engine
-        self._switch = rank_switch
-        self._book = book
+        self._participant = participant
+        self._maps = maps
         self._store = store
         self._highest: int | None = None
         self._jobs: collections.OrderedDict[str, _Job] = (
@@ -153,10 +153,12 @@
             return self._cancel(_fields(order)['order_id'])
         if order.action == order_state.MAP_ARM:
             record = switch_record.from_json(order.body)
-            await self._switch.arm(record, order.fence)
+            await self._participant.arm(record, order.fence)
             return _done()
         if order.action == order_state.MAP_OUTCOME:
-            await self._switch.learn(switch_record.from_json(order.body))
+            await self._participant.apply_outcome(
+                switch_record.from_json(order.body)
+            )
             return _done()
         return self._long(order)
 
@@ -165,7 +167,7 @@
         order: messages.GroupOrder,
     ) -> order_state.OrderState:
         if order.action == order_state.MAP_GET:
-            found = self._book.known(_fields(order)['digest'])
+            found = self._maps.known(_fields(order)['digest'])
             if found is None:
                 raise order_errors.MapUnknown()
             return _done(found.to_json())
@@ -173,9 +175,9 @@
         jobs = {name: job.state.state for name, job in self._jobs.items()}
         fields = attrs.asdict(status)
         fields.update(
-            state=self._switch.state,
-            switch=self._switch.record.number,
-            map=self._switch.record.settled_map,
+            state=self._participant.state,
+            switch=self._participant.record.number,
+            map=self._participant.record.settled_map,
             orders=jobs,
         )
         return _done(json.dumps(fields))
@@ -241,7 +243,7 @@
         target: expert_map.ExpertMap,
         report: engine.Report,
     ) -> str:
-        await self._switch.load(target, report)
+        await self._participant.load(target, report)
         return target.digest()
 
     async def _execute(
--- a/tamarackthread/agent/owner.py
+++ b/tamarackthread/agent/owner.py
@@ -109,7 +109,7 @@
             _log.info('owner: holds %s as %d', self.group, self._lease.fence)
             taking_over = asyncio.create_task(self._take_over())
             try:
-                await self._lease.keep()
+                await self._lease.maintain()
             finally:
                 taking_over.cancel()
                 self._ready.clear()
@@ -150,7 +150,7 @@
         reply = await self._transport.send(rank, order, left)
         if reply.highest_fence > self._lease.fence:
             self._ready.clear()
-            self._lease.give_up(reply.highest_fence)
+            self._lease.invalidate(reply.highest_fence)
         state = order_state.from_json(reply.body)
         state.raise_failure()
         return state
@@ -163,9 +163,9 @@
     ) -> dict[int, order_state.OrderState | errors.CodedError]:
         """Give every rank the order at once and collect what became of it."""
         numbers = list(self._transport.ranks)
-        return await self.order_some(numbers, action, order_id, body)
+        return await self.order_ranks(numbers, action, order_id, body)
 
-    async def order_some(
+    async def order_ranks(
         self,
         numbers: collections.abc.Sequence[int],
         action: str,
@@ -245,12 +245,12 @@
         if latest is None:
             return
         if latest.is_open:
-            aborted = latest.decided(switch_record.Stage.ABORTED)
+            aborted = latest.with_outcome(switch_record.Stage.ABORTED)
             latest = await self.record(aborted)
         if latest is not None:
-            await self.tell_outcome(latest)
+            await self.send_outcome(latest)
 
-    async def tell_outcome(self, record: switch_record.SwitchRecord) -> None:
+    async def send_outcome(self, record: switch_record.SwitchRecord) -> None:
         """Tell every rank how a switch ended; those that miss it ask."""
         await self.order_all(
             order_state.MAP_OUTCOME,
--- a/tamarackthread/agent/rank_addresses.py
+++ b/tamarackthread/agent/rank_addresses.py
@@ -7,7 +7,7 @@
 from tamarackthread.shared import catalogue, documents, findings
 
 
-class Members:
+class RankAddresses:
     """Hold the addresses of one group's agents by rank."""
 
     def __init__(self, group: str) -> None:
@@ -23,7 +23,7 @@
         """Give the addresses of the ranks that are announced."""
         return self._addresses
 
-    def follow(self, held: catalogue.Catalogue) -> None:
+    def update(self, held: catalogue.Catalogue) -> None:
         """Take the addresses from the documents as they are now.
 
         Of two targets that claim one rank, the later announcement counts.
--- a/tamarackthread/agent/rank_transport.py
+++ b/tamarackthread/agent/rank_transport.py
@@ -35,7 +35,7 @@
         """Hand an order to a rank's agent; raise a coded error on silence."""
 
 
-class PeersTransport(RankTransport):
+class LinkTransport(RankTransport):
     """Reach agents over links.
 
     Members come from the engines, addresses from the target documents: a
@@ -73,7 +73,7 @@
         return reply.order
 
 
-class PeerMaps(map_cache.MapSource):
+class PeerMapSource(map_cache.MapSource):
     """Ask the other ranks' agents for a map."""
 
     def __init__(
--- a/tamarackthread/agent/remote_group.py
+++ b/tamarackthread/agent/remote_group.py
@@ -21,11 +21,11 @@
 _MS = 1000
 
 # Gives the share of a group's calls that failed lately, from 0 to 1.
-FailedShare = collections.abc.Callable[[], float]
+FailureRatio = collections.abc.Callable[[], float]
 
 
 @attrs.frozen
-class GroupReach:
+class RemoteGroupSettings:
     """Say how a group is reached; times are in seconds."""
 
     name: str
@@ -35,14 +35,14 @@
     load_seconds: float = 3600
 
 
-class OrderedGroup(rollout.RolloutGroup):
+class RemoteGroup(rollout.RolloutGroup):
     """Give orders to whichever agent owns the group at the moment."""
 
     def __init__(
         self,
-        reach: GroupReach,
+        reach: RemoteGroupSettings,
         transport: rank_transport.RankTransport,
-        failed: FailedShare,
+        failed: FailureRatio,
     ) -> None:
         """Take the version that the group runs from ``reach``."""
         self._reach = reach
--- a/tamarackthread/agent/reports.py
+++ b/tamarackthread/agent/reports.py
@@ -18,7 +18,7 @@
 FRESH_SECONDS = 1.5
 REPORTS_PER_SECOND = 40
 # Polling must stay well within the time after which a target counts as silent.
-MOST_INTERVAL_SECONDS = 1.0
+MAX_INTERVAL_SECONDS = 1.0
 MAX_NOTES = 256
 _log = logging.getLogger('tamarackthread.agent')
 
@@ -30,12 +30,12 @@
         self,
         target_id: str,
         client: target.TargetClient,
-        every_seconds: float,
+        interval_seconds: float,
     ) -> None:
         """Keep what to ask; ``run`` asks until it is cancelled."""
         self._target_id = target_id
         self._client = client
-        self._every = every_seconds
+        self._interval_seconds = interval_seconds
         self._sequence = 0
         self._last: target.TargetReport | None = None
         self._last_at = -math.inf
@@ -107,7 +107,7 @@
         so it loses little by an older report.
         """
         shared = len(self._entries) / REPORTS_PER_SECOND
-        return max(self._every, min(shared, MOST_INTERVAL_SECONDS))
+        return max(self._interval_seconds, min(shared, MAX_INTERVAL_SECONDS))
 
     async def _ask(self) -> collections.abc.Sequence[tuple[int, bool]]:
         loop = asyncio.get_running_loop()
--- a/tamarackthread/agent/response_recorder.py
+++ b/tamarackthread/agent/response_recorder.py
@@ -9,7 +9,7 @@
 from tamarackthread.shared import errors, stream
 
 
-class Receiver(typing.Protocol):
+class ResponseSink(typing.Protocol):
     """Whoever is given an answer."""
 
     def send_head(self, head: messages.CallHead) -> None:
@@ -22,7 +22,7 @@
         """Take the end of a whole answer."""
 
 
-class Recorder(Receiver):
+class ResponseRecorder(ResponseSink):
     """Pass an answer on while its stream lasts, and remember it.
 
     An entry that dies takes its stream with it, but the work at the target
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -44,7 +44,7 @@
         guard: gate.Gate,
         reporter: reports.Reporter,
         known: feed.ConfigFeed,
-        group: group_membership.Grouping,
+        group: group_membership.GroupMembership,
     ) -> None:
         """Serve through the gate; relay the configuration to other nodes."""
         self._gate = guard
@@ -61,7 +61,7 @@
         if request.feed is not None:
             return await self._relay.answer(link, request.feed)
         if request.drain is not None:
-            self._gate.leave(leaving=not request.drain.cancel)
+            self._gate.set_leaving(leaving=not request.drain.cancel)
             return messages.Reply(
                 done=messages.Done(value=self._gate.open_calls),
             )
@@ -115,11 +115,11 @@
             self._client,
             self._own.report_seconds,
         )
-        self._group = group_membership.Grouping(
+        self._group = group_membership.GroupMembership(
             self._own,
             self._place.options.identity,
             self._peers,
-            control_client.LinkControl(
+            control_client.LinkControlClient(
                 self._peers,
                 settings.control_addresses,
             ),
@@ -182,14 +182,14 @@
     def _follow(self, held: catalogue.Catalogue) -> None:
         """Leave, or come back, as the operator has said of this target."""
         self._follow_profile(held)
-        self._group.follow(held)
+        self._group.update_addresses(held)
         found = held.get(documents.TARGET, self._own.target_id)
         if found is None or self._stopping:
             return
         details = documents.parse(documents.TARGET, found.body)
         own = self._place.options.identity
         if details.incarnation == own.incarnation:
-            self._gate.leave(leaving=details.leaving)
+            self._gate.set_leaving(leaving=details.leaving)
 
     def _follow_profile(self, held: catalogue.Catalogue) -> None:
         service = held.get(documents.SERVICE, self._own.service)
@@ -201,7 +201,7 @@
             return
         profile = documents.parse(documents.PROFILE, found.body)
         self._gate.idle_seconds = profile.timeouts.idle_seconds
-        self._group.use(profile.balance)
+        self._group.apply_balance(profile.balance)
         # Only an engine counts tokens; a plain service may well work long on
         # one call before it counts it as done.
         if details.kind == 'model':
@@ -210,7 +210,7 @@
     async def _leave(self) -> None:
         self._stopping = True
         _log.info('agent: leaves, %d calls open', self._gate.open_calls)
-        self._gate.leave()
+        self._gate.set_leaving()
         self._announced.leave()
         await self._announcer.announce()
         await process.drained(
--- a/tamarackthread/agent/rollout.py
+++ b/tamarackthread/agent/rollout.py
@@ -17,7 +17,7 @@
     """What a group shows over a while; ``failed`` is a share of calls."""
 
     step_ms: float
-    failed: float
+    failure_ratio: float
 
 
 class RolloutGroup(abc.ABC):
@@ -49,9 +49,9 @@
     of them must not be blamed on the version.
     """
 
-    watch_seconds: float = 30
-    slower: float = 1.15
-    more_failed: float = 0.005
+    observe_seconds: float = 30
+    max_slowdown: float = 1.15
+    max_failure_increase: float = 0.005
 
 
 @attrs.frozen
@@ -133,7 +133,7 @@
         self,
         groups: collections.abc.Sequence[RolloutGroup],
     ) -> list[GroupHealth]:
-        seconds = self._limits.watch_seconds
+        seconds = self._limits.observe_seconds
         watching = [group.health(seconds) for group in groups]
         return await asyncio.gather(*watching)
 
@@ -148,10 +148,10 @@
             for early, late in zip(before[1:], after[1:], strict=True)
         ]
         usual = sorted(others)[len(others) // 2] if others else 1
-        slower = after[0].step_ms / max(before[0].step_ms, 1e-9) / usual
-        if slower > self._limits.slower:
-            return f'steps take {slower:.2f} times as long'
-        failed = after[0].failed - before[0].failed
-        if failed > self._limits.more_failed:
+        slowdown = after[0].step_ms / max(before[0].step_ms, 1e-9) / usual
+        if slowdown > self._limits.max_slowdown:
+            return f'steps take {slowdown:.2f} times as long'
+        failed = after[0].failure_ratio - before[0].failure_ratio
+        if failed > self._limits.max_failure_increase:
             return f'{failed:.1%} more calls fail'
         return ''
--- a/tamarackthread/agent/store_slots.py
+++ b/tamarackthread/agent/store_slots.py
@@ -18,7 +18,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 
 
-class WeightStore(abc.ABC):
+class StoreLimiter(abc.ABC):
     """Give permission to load from the store."""
 
     @abc.abstractmethod
@@ -30,7 +30,7 @@
         """Keep the permission for a long load; tell whether it is kept."""
 
 
-class OpenStore(WeightStore):
+class UnlimitedStore(StoreLimiter):
     """Let every piece through, where the store has no limit."""
 
     async def acquire(self, urgent: bool) -> None:
@@ -51,11 +51,11 @@
 
     slots: int = 16
     lease_ms: int = 3000
-    spare_ms: int = 500
+    margin_ms: int = 500
     retry_seconds: float = 0.5
 
 
-class LeasedStore(WeightStore):
+class LeasedStoreLimiter(StoreLimiter):
     """Hold one of the store's slots while pieces are loaded."""
 
     def __init__(
@@ -77,7 +77,7 @@
     async def acquire(self, urgent: bool) -> None:
         """Wait until this holder has a slot with enough time left."""
         loop = asyncio.get_running_loop()
-        while loop.time() + self._settings.spare_ms / 1000 >= self._until:
+        while loop.time() + self._settings.margin_ms / 1000 >= self._until:
             if await self._take(self._choose(urgent)):
                 continue
             self._slot = None
@@ -89,7 +89,7 @@
         if self._slot is not None:
             await self._take(self._slot)
         now = asyncio.get_running_loop().time()
-        return now + self._settings.spare_ms / 1000 < self._until
+        return now + self._settings.margin_ms / 1000 < self._until
 
     async def release(self) -> None:
         """Give the slot back when nothing is left to load."""
--- a/tamarackthread/agent/switch_coordinator.py
+++ b/tamarackthread/agent/switch_coordinator.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class SwitchingSettings:
+class CoordinatorSettings:
     """Hold the constants of a switch.
 
     ``ahead_seconds`` lie between the last step seen and the switch step:
@@ -39,27 +39,27 @@
     need not hold even when the owner is lost after they armed.
     """
 
-    ahead_seconds: float = 4
-    least_step_ms: float = 1
+    lead_seconds: float = 4
+    min_step_ms: float = 1
     arm_seconds: float = 1
-    ask_seconds: float = 0.2
-    ask_pause_seconds: float = 0.05
+    request_seconds: float = 0.2
+    retry_seconds: float = 0.05
     load_seconds: float = 600
     poll_seconds: float = 0.1
-    longest_poll_seconds: float = 2
+    max_poll_seconds: float = 2
 
 
-class SwitchDriver:
+class SwitchCoordinator:
     """Run one switch after the other for an owner."""
 
     def __init__(
         self,
         group_owner: owner.GroupOwner,
-        settings: SwitchingSettings | None = None,
+        settings: CoordinatorSettings | None = None,
     ) -> None:
         """Act only while ``group_owner`` is the owner."""
         self._owner = group_owner
-        self._settings = settings or SwitchingSettings()
+        self._settings = settings or CoordinatorSettings()
         self._busy = False
 
     @property
@@ -122,7 +122,7 @@
             # An agent that restarted has forgotten the order and its map.
             body = whole if _any_lacks_body(states.values()) else ''
             await asyncio.sleep(pause)
-            pause = min(pause * 2, self._settings.longest_poll_seconds)
+            pause = min(pause * 2, self._settings.max_poll_seconds)
         raise order_errors.SwitchAborted('weights were not loaded in time')
 
     async def _settled_state(
@@ -155,15 +155,15 @@
     def _step_ahead(self, found: list[dict]) -> int:
         """Choose the switch step by the fastest step time reported."""
         quickest = min(status['step_ms'] for status in found)
-        step_ms = max(quickest, self._settings.least_step_ms)
-        steps = int(self._settings.ahead_seconds * 1000 / step_ms) + 1
+        step_ms = max(quickest, self._settings.min_step_ms)
+        steps = int(self._settings.lead_seconds * 1000 / step_ms) + 1
         return max(status['step'] for status in found) + steps
 
     async def _statuses(self) -> list[dict]:
         answers = await self._ask_all(order_state.STATUS, 'status', '')
         if not _all_done(answers.values()):
             raise order_errors.SwitchAborted('a rank gave no status')
-        return order_state.read_status(answers)
+        return order_state.status_results(answers)
 
     async def _decide(
         self,
@@ -175,12 +175,12 @@
         stage = switch_record.Stage.ABORTED
         if await self._arm(intent):
             stage = switch_record.Stage.COMMITTED
-        wanted = intent.decided(stage)
+        wanted = intent.with_outcome(stage)
         decided = await self._owner.record(wanted)
         if decided is None:
             raise order_errors.NotOwner('another owner decides the switch')
         _log.info('owner: switch %d is %s', decided.number, decided.stage.value)
-        await self._owner.tell_outcome(decided)
+        await self._owner.send_outcome(decided)
         if decided.stage is not switch_record.Stage.COMMITTED:
             raise order_errors.SwitchAborted('not every rank armed in time')
         return decided
@@ -204,12 +204,12 @@
         answers: _Answers = {}
         silent = list(self._owner.transport.ranks)
         while silent and asyncio.get_running_loop().time() < end:
-            found = await self._owner.order_some(
+            found = await self._owner.order_ranks(
                 silent,
                 action,
                 order_id,
                 body,
-                self._settings.ask_seconds,
+                self._settings.request_seconds,
             )
             answers.update(found)
             silent = [
@@ -221,7 +221,7 @@
                 break
             # A link that is down fails at once: without a pause the asking
             # would take the whole processor until the time is up.
-            await asyncio.sleep(self._settings.ask_pause_seconds)
+            await asyncio.sleep(self._settings.retry_seconds)
         return answers
 
 
--- a/tamarackthread/agent/switch_participant.py
+++ b/tamarackthread/agent/switch_participant.py
@@ -29,19 +29,19 @@
 
 
 @attrs.frozen
-class SwitchSettings:
+class ParticipantSettings:
     """Hold the constants of a rank's switch; times are in seconds.
 
     The outcome normally comes by message within ``patience_seconds``; only
     after that does the rank ask control itself.
     """
 
-    patience_seconds: float = 0.3
+    outcome_wait_seconds: float = 0.3
     poll_seconds: float = 0.1
     retry_seconds: float = 0.1
 
 
-class RankSwitch:
+class SwitchParticipant:
     """Keep one engine on the map that control recorded for each step."""
 
     def __init__(
@@ -50,18 +50,18 @@
         rank: int,
         rank_engine: engine.Engine,
         control: control_client.ControlClient,
-        book: map_cache.MapBook,
+        maps: map_cache.MapCache,
         loader: weight_loading.WeightLoader,
-        settings: SwitchSettings | None = None,
+        settings: ParticipantSettings | None = None,
     ) -> None:
         """Do nothing before ``run``."""
         self._group = group
         self._rank = rank
         self._engine = rank_engine
         self._control = control
-        self._book = book
+        self._maps = maps
         self._loader = loader
-        self._settings = settings or SwitchSettings()
+        self._settings = settings or ParticipantSettings()
         self._life = lifecycle.Lifecycle()
         self._record = self._first_record()
         self._loaded_map = ''
@@ -107,9 +107,9 @@
             raise order_errors.RankNotReady(f'rank is {self.state}')
         starts = self._starts
         serving = self._record.settled_map
-        current = await self._book.get(serving)
+        current = await self._maps.get(serving)
         added = target.holds() & ~current.holds()
-        digest = self._book.add(target)
+        digest = self._maps.add(target)
         await self._engine.add_map(target)
         await self._loader.load(self._moves(added), report)
         if starts != self._starts or serving != self._record.settled_map:
@@ -139,12 +139,12 @@
             if not fits or not await self._is_past_last_switch():
                 raise order_errors.RankNotReady('rank serves another map')
             self._fence = max(self._fence, fence)
-            await self._engine.follow(record, self._fence)
+            await self._engine.apply_record(record, self._fence)
             self._record = record
             self._life.trigger('arm')
             self._start_watch()
 
-    async def learn(self, record: switch_record.SwitchRecord) -> None:
+    async def apply_outcome(self, record: switch_record.SwitchRecord) -> None:
         """Take the outcome of the switch that the rank is armed for."""
         async with self._lock:
             if self.state == lifecycle.ARMED:
@@ -163,10 +163,10 @@
             raise order_errors.SwitchAborted()
 
     async def _settle(self, latest: switch_record.SwitchRecord) -> None:
-        decided = self._record.outcome_by(latest)
+        decided = self._record.outcome_from(latest)
         if decided is None:
             return
-        await self._engine.follow(decided, self._fence)
+        await self._engine.apply_record(decided, self._fence)
         self._record = decided
         self._loaded_map = ''
         self._life.trigger('settle')
@@ -195,7 +195,7 @@
             return
 
     async def _place(self) -> switch_record.SwitchRecord:
-        await self._loader.adopt()
+        await self._loader.sync_loaded()
         self._fence = await self._control.fence(self._group)
         record = await self._control.latest(self._group)
         record = record or self._first_record()
@@ -203,11 +203,11 @@
         if record.is_open:
             digests.add(record.target)
         for digest in sorted(digests):
-            placement = await self._book.get(digest)
+            placement = await self._maps.get(digest)
             await self._engine.add_map(placement)
             wanted = self._moves(placement.holds(), urgent=True)
             await self._loader.load(wanted, _no_report)
-        await self._engine.follow(record, self._fence)
+        await self._engine.apply_record(record, self._fence)
         return record
 
     def _start_watch(self) -> None:
@@ -221,19 +221,21 @@
 
     async def _watch_outcome(self) -> None:
         """Ask control for the outcome when no message brought it."""
-        await asyncio.sleep(self._settings.patience_seconds)
+        await asyncio.sleep(self._settings.outcome_wait_seconds)
         while self.state == lifecycle.ARMED:
             try:
                 latest = await self._control.latest(self._group)
             except errors.CodedError:
                 latest = None
             if latest is not None:
-                await self._try_learn(latest)
+                await self._try_apply_outcome(latest)
             await asyncio.sleep(self._settings.poll_seconds)
 
-    async def _try_learn(self, latest: switch_record.SwitchRecord) -> None:
+    async def _try_apply_outcome(
+        self, latest: switch_record.SwitchRecord
+    ) -> None:
         try:
-            await self.learn(latest)
+            await self.apply_outcome(latest)
         except errors.CodedError as exc:
             _log.warning('switch: engine did not follow, %s', exc)
 
@@ -244,8 +246,8 @@
         self._loaded_map = ''
 
     async def _drop_unused(self) -> None:
-        serving = await self._book.get(self._record.settled_map)
-        self._loader.keep(self._moves(serving.holds()))
+        serving = await self._maps.get(self._record.settled_map)
+        self._loader.retain(self._moves(serving.holds()))
 
     def _moves(
         self,
@@ -255,7 +257,7 @@
         return rank_moves(held, self._rank, urgent=urgent)
 
     def _first_record(self) -> switch_record.SwitchRecord:
-        initial = self._book.initial_digest
+        initial = self._maps.initial_digest
         return switch_record.SwitchRecord(
             number=0,
             stage=switch_record.Stage.ABORTED,
--- a/tamarackthread/agent/switch_record.py
+++ b/tamarackthread/agent/switch_record.py
@@ -65,11 +65,11 @@
             return self.target
         return None
 
-    def decided(self, stage: Stage) -> 'SwitchRecord':
+    def with_outcome(self, stage: Stage) -> 'SwitchRecord':
         """Return the same switch with an outcome."""
         return attrs.evolve(self, stage=stage)
 
-    def outcome_by(self, latest: 'SwitchRecord') -> 'SwitchRecord | None':
+    def outcome_from(self, latest: 'SwitchRecord') -> 'SwitchRecord | None':
         """Work out how this switch ended from the group's latest record.
 
         Asked by a rank that armed for this switch: no later switch can have
@@ -81,8 +81,8 @@
         if latest.number == self.number:
             return None if latest.is_open else latest
         if latest.base == self.target:
-            return self.decided(Stage.COMMITTED)
-        return self.decided(Stage.ABORTED)
+            return self.with_outcome(Stage.COMMITTED)
+        return self.with_outcome(Stage.ABORTED)
 
     def to_json(self) -> str:
         """Write the record for a message's body."""
--- a/tamarackthread/agent/target.py
+++ b/tamarackthread/agent/target.py
@@ -89,7 +89,7 @@
             if session is not None:
                 await session.close()
 
-    async def hand_over(
+    async def send_call(
         self,
         opening: messages.OpenCall,
         body: bytes,
--- a/tamarackthread/agent/weight_loading.py
+++ b/tamarackthread/agent/weight_loading.py
@@ -12,7 +12,7 @@
 from tamarackthread.agent import engine, order_errors, store_slots
 from tamarackthread.policy import moves
 
-PIECES_EACH = 8
+PIECES_PER_MOVE = 8
 
 
 class UrgentSignal:
@@ -37,11 +37,11 @@
         """Take note of the end of an urgent call."""
         self._watch.finished(self._now())
 
-    def is_near(self) -> bool:
+    def must_pause(self) -> bool:
         """Tell whether loading must stand still."""
         return self._watch.must_pause(self._now())
 
-    async def wait_near(self) -> None:
+    async def wait_urgent(self) -> None:
         """Wait for the next urgent call."""
         self._came.clear()
         await self._came.wait()
@@ -57,7 +57,7 @@
         self,
         rank_engine: engine.Engine,
         urgent: UrgentSignal,
-        store: store_slots.WeightStore,
+        store: store_slots.StoreLimiter,
         pause_seconds: float = 0.01,
     ) -> None:
         """Look again after ``pause_seconds`` while loading stands still."""
@@ -66,9 +66,9 @@
         self._store = store
         self._pause_seconds = pause_seconds
         self._loaded: set[moves.Move] = set()
-        self._adopted = 0
+        self._syncs = 0
 
-    async def adopt(self) -> None:
+    async def sync_loaded(self) -> None:
         """Take over what the engine has loaded.
 
         An agent that restarts beside a running engine would else load all
@@ -76,10 +76,10 @@
         Loads under way fail: after a start of the engine, the pieces that
         came before it are gone, and the last ones alone make no weight.
         """
-        self._adopted += 1
+        self._syncs += 1
         self._loaded = set(await self._engine.loaded())
 
-    def keep(self, wanted: collections.abc.Collection[moves.Move]) -> None:
+    def retain(self, wanted: collections.abc.Collection[moves.Move]) -> None:
         """Forget loads that no map in use wants any more."""
         self._loaded.intersection_update(wanted)
 
@@ -89,15 +89,15 @@
         report: engine.Report,
     ) -> None:
         """Load what is not loaded yet, in pieces; urgent moves first."""
-        adopted = self._adopted
-        queue = moves.MoveQueue(wanted, PIECES_EACH, self._loaded)
+        syncs = self._syncs
+        queue = moves.MoveQueue(wanted, PIECES_PER_MOVE, self._loaded)
         while not queue.progress.is_complete:
-            piece = queue.start(self._urgent.is_near())
+            piece = queue.start(self._urgent.must_pause())
             if piece is None:
                 await asyncio.sleep(self._pause_seconds)
                 continue
             await self._load_piece(queue, piece)
-            if adopted != self._adopted:
+            if syncs != self._syncs:
                 raise order_errors.RankNotReady('rank restarted in the load')
             self._note(piece, queue)
             progress = queue.progress
@@ -109,7 +109,7 @@
         piece: moves.Piece,
     ) -> None:
         loading = asyncio.ensure_future(self._through_store(piece))
-        warning = asyncio.ensure_future(self._urgent.wait_near())
+        warning = asyncio.ensure_future(self._urgent.wait_urgent())
         try:
             await self._first_of(loading, warning, piece.move.urgent)
         finally:
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -15,9 +15,9 @@
 _OWN_HEADERS = frozenset(
     name.lower()
     for name in (
-        wire.LEFT,
-        wire.POSITION,
-        wire.CREDENTIAL,
+        wire.DEADLINE,
+        wire.LAST_EVENT_ID,
+        wire.AUTHORIZATION,
         wire.EXPECTED_TARGET,
         wire.ORGANISATION,
     )
@@ -26,7 +26,7 @@
 _FOR_ENTRY = frozenset(
     name.lower()
     for name in (
-        wire.REFUSAL,
+        wire.NOT_EXECUTED,
         wire.LOAD,
         wire.TARGET,
         wire.AT_SERVER,
@@ -49,16 +49,16 @@
         call_id = headers.get(wire.CALL_ID, '')
         if not call_id:
             raise failures.CallInvalid(f'{wire.CALL_ID} is missing')
-        left_ms = _number(headers.get(wire.LEFT, ''))
+        left_ms = _number(headers.get(wire.DEADLINE, ''))
         return calls.CallRequest(
             call_id=call_id,
             method=request.method,
             host=_host(headers.get('Host', '')),
             path=request.raw_path,
             headers=tuple(headers.items()),
-            key=_key(headers.get(wire.CREDENTIAL, '')),
+            key=_key(headers.get(wire.AUTHORIZATION, '')),
             left=None if left_ms is None else left_ms / MILLISECONDS,
-            position=headers.get(wire.POSITION, ''),
+            position=headers.get(wire.LAST_EVENT_ID, ''),
         )
 
     def outgoing(
@@ -74,10 +74,10 @@
             for name, value in call.asked.headers
             if name.lower() not in _OWN_HEADERS
         ]
-        headers.append((wire.LEFT, str(max(1, int(left * MILLISECONDS)))))
+        headers.append((wire.DEADLINE, str(max(1, int(left * MILLISECONDS)))))
         headers.append((wire.EXPECTED_TARGET, target))
         if position:
-            headers.append((wire.POSITION, position))
+            headers.append((wire.LAST_EVENT_ID, position))
         if call.organisation:
             headers.append((wire.ORGANISATION, call.organisation))
         return tuple(headers)
@@ -96,7 +96,7 @@
             return dialect.ResponseKind.STRAY
         if status == wire.MISDIRECTED:
             return dialect.ResponseKind.ELSEWHERE
-        if wire.REFUSAL in headers:
+        if wire.NOT_EXECUTED in headers:
             return dialect.ResponseKind.NOT_RUN
         if wire.SIGNATURE not in headers or echoed is None:
             return dialect.ResponseKind.STRAY
@@ -110,11 +110,15 @@
         headers: multidict.CIMultiDictProxy[str],
     ) -> backpressure.Backpressure:
         """Read what a target's head asks of this entry."""
-        rest = headers.get(wire.REST, '') if status == wire.REFUSED else ''
+        rest = (
+            headers.get(wire.RETRY_AFTER, '')
+            if status == wire.REFUSAL_STATUS
+            else ''
+        )
         return backpressure.Backpressure(
             is_leaving=headers.get(wire.LEAVING) == _YES,
             rest=backpressure.seconds(rest),
-            rate=backpressure.rate(headers.get(wire.LIMIT, '')),
+            rate=backpressure.rate(headers.get(wire.RATE_LIMIT, '')),
         )
 
     def answer(
@@ -145,6 +149,6 @@
 
 
 def _key(credential: str) -> str:
-    if not credential.startswith(wire.CREDENTIAL_SCHEME):
+    if not credential.startswith(wire.BEARER):
         return ''
-    return credential.removeprefix(wire.CREDENTIAL_SCHEME).strip()
+    return credential.removeprefix(wire.BEARER).strip()
--- a/tamarackthread/platform/http_api.py
+++ b/tamarackthread/platform/http_api.py
@@ -27,7 +27,7 @@
 )
 
 
-class PlatformDoor(host.Door):
+class PlatformApi(host.Door):
     """Translate between the platform's paths and the product's calls."""
 
     def __init__(self) -> None:
@@ -51,8 +51,10 @@
         ):
             handler = functools.partial(_set_zone, is_evacuated)
             app.router.add_post(path, answering.coded(handler, zones))
-        app.router.add_post(wire.ANNOUNCE, answering.coded(_announce, targets))
-        app.router.add_post(wire.FAREWELL, answering.coded(_farewell, targets))
+        app.router.add_post(wire.HEARTBEAT, answering.coded(_announce, targets))
+        app.router.add_post(
+            wire.DEREGISTER, answering.coded(_farewell, targets)
+        )
         self._runner = web.AppRunner(
             app, access_log=None, handle_signals=False, shutdown_timeout=0.5
         )
--- a/tamarackthread/platform/ranks.py
+++ b/tamarackthread/platform/ranks.py
@@ -11,7 +11,7 @@
 from tamarackthread.shared import fields
 
 # Orders that may be on their way at once, to one or two groups.
-ENCODED_ORDERS = 4
+CACHED_ORDERS = 4
 # A group rests so long for so many numbers that are read from another host.
 REST_SECONDS = 0.0005
 REST_NUMBERS = 400
@@ -54,7 +54,7 @@
 
     async def placement(self, rank: ranks.Rank) -> ranks.Placement | None:
         """Ask for the version in force and the rank's experts by set."""
-        body = await self._get(rank, wire.LISTS)
+        body = await self._get(rank, wire.PLACEMENT)
         try:
             return None if body is None else _placement(body)
         except _UNREADABLE:
@@ -152,7 +152,7 @@
     )
 
 
-@functools.lru_cache(ENCODED_ORDERS)
+@functools.lru_cache(CACHED_ORDERS)
 def _encoded(asked: ranks.Order) -> bytes:
     """Encode an order, which goes to all ranks of a group alike.
 
--- a/tamarackthread/platform/startup.py
+++ b/tamarackthread/platform/startup.py
@@ -48,7 +48,7 @@
     await host.run(
         held,
         reader.PlatformReader(),
-        http_api.PlatformDoor(),
+        http_api.PlatformApi(),
         ranks.PlatformRanks(),
     )
 
--- a/tests/test_call_path.py
+++ b/tests/test_call_path.py
@@ -134,7 +134,7 @@
         async with stage.running(agents) as (entry, caller):
 
             async def cut_and_leave(request):
-                agents[0].gate.leave()
+                agents[0].gate.set_leaving()
                 await cut(request)
 
             broken._answer = cut_and_leave
--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -30,8 +30,8 @@
 class _Handler(link.Handler):
     """Answer as a control host and as the agent of rank 0."""
 
-    def __init__(self, part: group_runtime.GroupPart) -> None:
-        self._part = part
+    def __init__(self, runtime: group_runtime.GroupRuntime) -> None:
+        self._runtime = runtime
         self._control = fake_control.Control()
 
     async def on_request(
@@ -47,7 +47,7 @@
             reply = await self._control.decide(request.decision)
             return messages.Reply(decision=reply)
         return messages.Reply(
-            order=await self._part.handle_order(request.order)
+            order=await self._runtime.handle_order(request.order)
         )
 
     async def on_stream(
@@ -64,7 +64,7 @@
         """Listen as control and rank 0; dial as rank 1."""
         self._map = expert_map.cold_start(SHAPE)
         self._peers = peers.Peers(_options('rank-1'))
-        transport = rank_transport.PeersTransport(self._peers, list, dict)
+        transport = rank_transport.LinkTransport(self._peers, list, dict)
         lockstep = group.LockStepGroup(self._map.slots[..., 0, 0], 1)
         settings = group_runtime.GroupSettings(
             GROUP,
@@ -73,13 +73,15 @@
             self._map,
             candidate=False,
         )
-        part = group_runtime.GroupPart(
+        runtime = group_runtime.GroupRuntime(
             settings,
             fake_control.LocalControl(fake_control.Control()),
             transport,
             group.RankEngine(0, lockstep),
         )
-        self._listener = listener.Listener(_options('rank-0'), _Handler(part))
+        self._listener = listener.Listener(
+            _options('rank-0'), _Handler(runtime)
+        )
         self._address = await self._listener.start('127.0.0.1', 0)
 
     async def asyncTearDown(self) -> None:
@@ -90,7 +92,7 @@
     async def test_control(self) -> None:
         """A silent control host is passed over; records come back whole."""
         dead = '127.0.0.1:1'
-        control = control_client.LinkControl(
+        control = control_client.LinkControlClient(
             self._peers,
             [dead, self._address],
         )
@@ -117,26 +119,26 @@
 
     async def test_no_control(self) -> None:
         """Without any control host the caller gets one coded error."""
-        control = control_client.LinkControl(self._peers, ['127.0.0.1:1'])
+        control = control_client.LinkControlClient(self._peers, ['127.0.0.1:1'])
         with self.assertRaises(order_errors.ControlUnreachable):
             await control.fence(GROUP)
 
     async def test_map_of_full_size(self) -> None:
         """A rank without memory gets a map of 58 layers from a peer."""
-        transport = rank_transport.PeersTransport(
+        transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
         )
-        source = rank_transport.PeerMaps(GROUP, transport)
+        source = rank_transport.PeerMapSource(GROUP, transport)
         fetched = await source.fetch(self._map.digest())
         self.assertEqual(fetched.digest(), self._map.digest())
         with self.assertRaises(order_errors.MapUnknown):
-            await map_cache.MapBook(self._map, source).get('unknown')
+            await map_cache.MapCache(self._map, source).get('unknown')
 
     async def test_refusal(self) -> None:
         """An order that the desk refuses comes back with its code."""
-        transport = rank_transport.PeersTransport(
+        transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
--- a/tests/test_group_part.py
+++ b/tests/test_group_part.py
@@ -21,7 +21,7 @@
 from tamarackthread.policy import placement
 
 RANKS = 4
-SETTINGS = balancer.BalancerSettings(interval_seconds=10, ahead_seconds=10)
+SETTINGS = balancer.BalancerSettings(interval_seconds=10, horizon_seconds=10)
 
 
 class _Source(balancer.TokenSource):
@@ -51,7 +51,7 @@
             world.switching = False
             world.start()
             await asyncio.sleep(5)
-            owners = [one for one in world.hosts if one.part.owner.is_owner]
+            owners = [one for one in world.hosts if one.runtime.owner.is_owner]
             await scene(world, owners[0])
 
         experiment.run_paused(whole)
@@ -62,11 +62,11 @@
         tokens[0, 1] = 8
         world.group.retune(tokens * 1000)
         return balancer.Balancer(
-            host.part.owner,
-            host.part.driver,
+            host.runtime.owner,
+            host.runtime.coordinator,
             placement.IncrementalPlanner(placement.EVEN),
             _Source(tokens * 1000),
-            host.part.book,
+            host.runtime.maps,
             SETTINGS,
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
@@ -92,7 +92,7 @@
 
         async def scene(world: object, host: object) -> None:
             planning = self._balancer(world, host)
-            planning.hold(held=True)
+            planning.set_paused(paused=True)
             running = asyncio.create_task(planning.run())
             await asyncio.sleep(60)
             running.cancel()
@@ -113,7 +113,7 @@
             before = other.engine.pieces_loaded
             await other.restart_agent(0.1)
             await asyncio.sleep(5)
-            self.assertEqual(other.part.switch.state, lifecycle.STEADY)
+            self.assertEqual(other.runtime.participant.state, lifecycle.STEADY)
             self.assertEqual(other.engine.pieces_loaded, before)
 
         self._run(scene)
@@ -126,8 +126,8 @@
         """
 
         async def scene(world: object, host: object) -> None:
-            reached = remote_group.OrderedGroup(
-                remote_group.GroupReach(switch_world.GROUP, 'v1'),
+            reached = remote_group.RemoteGroup(
+                remote_group.RemoteGroupSettings(switch_world.GROUP, 'v1'),
                 switch_world.NodeRanks('operator', world),
                 float,
             )
@@ -135,7 +135,7 @@
                 'r1',
                 'v2',
                 [reached],
-                rollout.RolloutLimits(watch_seconds=3),
+                rollout.RolloutLimits(observe_seconds=3),
             )
             running = asyncio.create_task(rolling.run())
             await asyncio.sleep(3.005)
@@ -168,7 +168,7 @@
             )
             states = []
             for _ in range(3):
-                reply = await host.part.handle_order(order)
+                reply = await host.runtime.handle_order(order)
                 states.append(order_state.from_json(reply.body).state)
                 await asyncio.sleep(0.2)
             self.assertEqual(states[0], order_state.RUNNING)
@@ -180,7 +180,7 @@
             ]
             self.assertEqual(sorted(run), list(range(RANKS)))
             other = next(one for one in world.hosts if one != host)
-            reply = await other.part.handle_order(order)
+            reply = await other.runtime.handle_order(order)
             state = order_state.from_json(reply.body)
             self.assertEqual(state.code, order_errors.NotOwner.code)
 
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -100,8 +100,8 @@
         self._starts = 0
 
     @property
-    def part(self):
-        return self.group.part
+    def runtime(self):
+        return self.group.runtime
 
     async def start(self):
         self._starts += 1
@@ -114,11 +114,11 @@
             self._starts,
         )
         self.links = peers.Peers(place)
-        self.group = group_membership.Grouping(
+        self.group = group_membership.GroupMembership(
             self.own,
             place.identity,
             self.links,
-            control_client.LinkControl(self.links, [self._scene.address]),
+            control_client.LinkControlClient(self.links, [self._scene.address]),
         )
         known = feed.ConfigFeed(
             self.links,
@@ -211,19 +211,19 @@
             self.held.advance(self.held.revision + 1)
             self.held.put(agent.document(self.held.revision))
         for agent in self.agents:
-            agent.group.follow(self.held)
+            agent.group.update_addresses(self.held)
 
     def is_steady(self):
         """Tell whether every rank serves and one owns the group."""
-        parts = [agent.part for agent in self.agents]
+        parts = [agent.runtime for agent in self.agents]
         if not all(parts):
             return False
-        steady = all(one.switch.state == lifecycle.STEADY for one in parts)
+        steady = all(one.participant.state == lifecycle.STEADY for one in parts)
         return steady and self.owner() is not None
 
     def owner(self):
         for agent in self.agents:
-            if agent.part is not None and agent.part.owner.is_owner:
+            if agent.runtime is not None and agent.runtime.owner.is_owner:
                 return agent
         return None
 
@@ -269,7 +269,7 @@
     async def test_switch_by_orders(self):
         target = self.scene.other_map()
         owner = self.scene.owner()
-        record = await owner.part.driver.switch_to(target)
+        record = await owner.runtime.coordinator.switch_to(target)
         await self._past(record)
         self._check(target)
 
@@ -292,7 +292,7 @@
                 await lost.kill()
 
         scene.handler.before_answer = kill
-        record = await owner.part.driver.switch_to(target)
+        record = await owner.runtime.coordinator.switch_to(target)
         self.assertTrue(engine.record.is_open)
         self.assertLess(scene.ranked.group.step, record.from_step)
         await lost.start()
@@ -310,7 +310,9 @@
         target = scene.other_map()
         owner = scene.owner()
         lost = next(one for one in scene.agents if one is not owner)
-        switching = asyncio.create_task(owner.part.driver.switch_to(target))
+        switching = asyncio.create_task(
+            owner.runtime.coordinator.switch_to(target)
+        )
         engine = scene.ranked.group.engines[lost.rank]
         await until(lambda: engine.record.number)
         await lost.kill()
@@ -335,9 +337,9 @@
             hysteresis_share=0.02,
         )
         for agent in scene.agents:
-            agent.group.use(balance)
+            agent.group.apply_balance(balance)
         planning = owner.group.planning
-        owner.group.use(attrs.evolve(balance, move_weight=2))
+        owner.group.apply_balance(attrs.evolve(balance, move_weight=2))
         self.assertIs(owner.group.planning, planning)
         first = expert_map.cold_start(SHAPE).digest()
         steps = scene.ranked.group.history.steps
@@ -345,7 +347,7 @@
         found, _ = scene.findings()
         self.assertEqual(found.mixed_map_steps, 0)
         self.assertEqual(found.unrecorded_map_steps, 0)
-        owner.group.use(attrs.evolve(balance, interval_seconds=2))
+        owner.group.apply_balance(attrs.evolve(balance, interval_seconds=2))
         self.assertIsNot(owner.group.planning, planning)
 
     async def test_operator_order(self):
@@ -371,19 +373,19 @@
     async def test_planned_stop_gives_ownership_back(self):
         """The next owner takes over at once, under a higher number."""
         owner = self.scene.owner()
-        fence = owner.part.owner.fence
+        fence = owner.runtime.owner.fence
         await owner.stop()
         others = [one for one in self.scene.agents if one is not owner]
         await owner.start()
         self.scene.publish()
         await until(
             lambda: any(
-                one.part.owner.is_owner
+                one.runtime.owner.is_owner
                 for one in (*others, owner)
-                if one.part is not None
+                if one.runtime is not None
             ),
         )
-        self.assertGreater(self.scene.owner().part.owner.fence, fence)
+        self.assertGreater(self.scene.owner().runtime.owner.fence, fence)
 
 
 async def ordered(agent, order):
@@ -420,11 +422,11 @@
         stage = test_targets.Stage()
         await stage.targets.announce(message, 'agent')
         held = stage.log.machine.documents
-        members = rank_addresses.Members(GROUP)
-        members.follow(held)
-        self.assertEqual(members.addresses, {3: '127.0.0.1:2'})
-        other = rank_addresses.Members('group-2')
-        other.follow(held)
+        addresses = rank_addresses.RankAddresses(GROUP)
+        addresses.update(held)
+        self.assertEqual(addresses.addresses, {3: '127.0.0.1:2'})
+        other = rank_addresses.RankAddresses('group-2')
+        other.update(held)
         self.assertEqual(other.addresses, {})
 
     def test_candidates(self):
@@ -447,10 +449,10 @@
         even = documents.Balance(evenness_weight=3, move_weight=1)
         few = documents.Balance(evenness_weight=1, move_weight=3)
         self.assertLess(
-            group_membership.trade_off(even).move_cost_seconds,
-            group_membership.trade_off(few).move_cost_seconds,
+            group_membership.planner_settings(even).move_cost_seconds,
+            group_membership.planner_settings(few).move_cost_seconds,
         )
         nothing = documents.Balance(evenness_weight=0)
         self.assertGreater(
-            group_membership.trade_off(nothing).move_cost_seconds, 1000
+            group_membership.planner_settings(nothing).move_cost_seconds, 1000
         )
--- a/tests/test_http_engine.py
+++ b/tests/test_http_engine.py
@@ -98,7 +98,7 @@
             saying({}, 503),
             saying({}),
         )
-        await engine.follow(RECORD, 7)
+        await engine.apply_record(RECORD, 7)
         self.assertEqual(len(fake.asked), 3)
         sent = json.loads(fake.asked[0])
         self.assertEqual(sent['fence'], 7)
@@ -108,7 +108,7 @@
         refusal = saying({'reason': http_engine.TOO_LATE}, 409)
         fake, engine = await self.reach(http_engine.RECORD_PATH, refusal)
         with self.assertRaises(order_errors.ArmTooLate):
-            await engine.follow(RECORD, 1)
+            await engine.apply_record(RECORD, 1)
         self.assertEqual(len(fake.asked), 1)
 
     async def test_refused(self):
@@ -117,7 +117,7 @@
             saying({'reason': 'old number'}, 409),
         )
         with self.assertRaises(order_errors.EngineFailed):
-            await engine.follow(RECORD, 1)
+            await engine.apply_record(RECORD, 1)
         self.assertEqual(len(fake.asked), 1)
 
     async def test_engine_started_anew(self):
@@ -134,10 +134,10 @@
         emulated = group.group.engines[0]
         await emulated.restart(0)
         with self.assertRaises(engine_client.EngineRefused):
-            await engine.follow(RECORD, 1)
+            await engine.apply_record(RECORD, 1)
         self.assertIsNone(emulated.record)
         await engine.loaded()
-        await engine.follow(RECORD, 1)
+        await engine.apply_record(RECORD, 1)
         self.assertEqual(emulated.record, RECORD)
 
 
@@ -220,7 +220,7 @@
             saying({'sequence': 3, 'windows': bad}),
             saying({}, 503),
         )
-        source = engine_tokens.EngineTokens(self.client, SHAPE)
+        source = engine_tokens.EngineTokenSource(self.client, SHAPE)
         windows = await source.windows()
         self.assertEqual(len(windows), 1)
         self.assertEqual(windows[0].tokens.tolist(), [[2, 3, 4, 5]])
--- a/tests/test_map_switch.py
+++ b/tests/test_map_switch.py
@@ -65,9 +65,9 @@
         )
 
 
-def remove_check(desk: orders.OrderDesk) -> None:
+def remove_check(executor: orders.OrderExecutor) -> None:
     """Have the desk relay every order, whatever its number."""
-    desk._check = lambda order, expires_at: None
+    executor._check = lambda order, expires_at: None
 
 
 def _disturbed(seed: int, **planted: object) -> switch_checker.Findings:
@@ -144,7 +144,9 @@
     async def settle(self) -> None:
         """Wait until an owner leads and all ranks are placed."""
         await asyncio.sleep(5)
-        owners = [host for host in self.world.hosts if host.part.owner.is_owner]
+        owners = [
+            host for host in self.world.hosts if host.runtime.owner.is_owner
+        ]
         self.owner = owners[0]
 
     def check(self) -> switch_checker.Findings:
@@ -175,9 +177,11 @@
             await world.settle()
             host = world.world.hosts[3]
             switching = asyncio.create_task(
-                world.owner.part.driver.switch_to(world.world.next_map()),
+                world.owner.runtime.coordinator.switch_to(
+                    world.world.next_map()
+                ),
             )
-            while host.part.switch.state != lifecycle.ARMED:
+            while host.runtime.participant.state != lifecycle.ARMED:
                 await asyncio.sleep(0.001)
             await asyncio.gather(
                 host.engine.restart(0.4),
@@ -187,7 +191,7 @@
             await asyncio.sleep(5)
             self.assertEqual(decided.stage, switch_record.Stage.COMMITTED)
             self.assertEqual(
-                host.part.switch.record.settled_map, decided.target
+                host.runtime.participant.record.settled_map, decided.target
             )
             found = world.check()
             self.assertEqual(found.mixed_map_steps, 0)
@@ -209,9 +213,14 @@
             world = _Scene()
             await world.settle()
             switching = asyncio.create_task(
-                world.owner.part.driver.switch_to(world.world.next_map()),
+                world.owner.runtime.coordinator.switch_to(
+                    world.world.next_map()
+                ),
             )
-            while world.world.hosts[3].part.switch.state != lifecycle.ARMED:
+            while (
+                world.world.hosts[3].runtime.participant.state
+                != lifecycle.ARMED
+            ):
                 await asyncio.sleep(0.001)
             nodes = {host.node for host in world.world.hosts}
             nodes.add(fake_control.CONTROL)
@@ -239,7 +248,7 @@
             await world.settle()
             own = world.owner.node
             world.world.links.delay_next(own, 'rank-3', 8)
-            owner = world.owner.part.owner
+            owner = world.owner.runtime.owner
             giving = owner.order(3, 'load_adapter', 'late', '{}')
             late = asyncio.create_task(giving)
             await asyncio.sleep(0.01)
@@ -276,9 +285,14 @@
             world = _Scene()
             await world.settle()
             switching = asyncio.create_task(
-                world.owner.part.driver.switch_to(world.world.next_map()),
+                world.owner.runtime.coordinator.switch_to(
+                    world.world.next_map()
+                ),
             )
-            while world.world.hosts[3].part.switch.state != lifecycle.ARMED:
+            while (
+                world.world.hosts[3].runtime.participant.state
+                != lifecycle.ARMED
+            ):
                 await asyncio.sleep(0.001)
             nodes = [host.node for host in world.world.hosts]
             world.world.links.cut(fake_control.CONTROL, nodes)
@@ -312,18 +326,18 @@
             host = world.world.hosts[3]
             target = world.world.next_map()
             loading = asyncio.create_task(
-                host.part.switch.load(target, _no_report),
+                host.runtime.participant.load(target, _no_report),
             )
             await asyncio.sleep(0.01)
-            host.part.urgent.arrived()
+            host.runtime.urgent.arrived()
             await asyncio.sleep(0.01)
             await host.engine.restart(0.1)
             await asyncio.sleep(2)
-            self.assertEqual(host.part.switch.state, lifecycle.STEADY)
-            host.part.urgent.finished()
+            self.assertEqual(host.runtime.participant.state, lifecycle.STEADY)
+            host.runtime.urgent.finished()
             with self.assertRaises(order_errors.RankNotReady):
                 await loading
-            await host.part.switch.load(target, _no_report)
+            await host.runtime.participant.load(target, _no_report)
             wanted = switch_participant.rank_moves(
                 target.holds(), 3, urgent=False
             )
@@ -340,7 +354,9 @@
             await world.settle()
             host = world.world.hosts[3]
             switching = asyncio.create_task(
-                world.owner.part.driver.switch_to(world.world.next_map()),
+                world.owner.runtime.coordinator.switch_to(
+                    world.world.next_map()
+                ),
             )
             while not world.world.control.records:
                 await asyncio.sleep(0.001)
@@ -349,7 +365,7 @@
                 await switching
             await asyncio.sleep(3)
             self.assertEqual(world.check().mixed_map_steps, 0)
-            self.assertEqual(host.part.switch.state, lifecycle.STEADY)
+            self.assertEqual(host.runtime.participant.state, lifecycle.STEADY)
 
         self._run(scene)
 
@@ -361,7 +377,7 @@
             await world.settle()
             host = world.world.hosts[3]
             target = world.world.next_map()
-            await host.part.switch.load(target, _no_report)
+            await host.runtime.participant.load(target, _no_report)
             status: engine.EngineStatus = await host.engine.status()
             record = switch_record.SwitchRecord(
                 1,
@@ -371,8 +387,8 @@
                 target.digest(),
             )
             with self.assertRaises(order_errors.ArmTooLate):
-                await host.part.switch.arm(record, 1)
-            self.assertEqual(host.part.switch.state, lifecycle.LOADED)
+                await host.runtime.participant.arm(record, 1)
+            self.assertEqual(host.runtime.participant.state, lifecycle.LOADED)
 
         self._run(scene)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -47,7 +47,7 @@
         experiment.run_paused(whole)
 
     async def _give(self, world: object, order: object) -> object:
-        reply = await world.hosts[0].part.desk.handle_order(order)
+        reply = await world.hosts[0].runtime.executor.handle_order(order)
         return order_state.from_json(reply.body)
 
     def test_stale(self) -> None:
@@ -183,7 +183,7 @@
             got: list[str] = []
 
             async def take(name: str, urgent: bool) -> None:
-                store = store_slots.LeasedStore(
+                store = store_slots.LeasedStoreLimiter(
                     fake_control.LocalControl(control),
                     name,
                     settings,
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -339,7 +339,7 @@
 
     async def asyncSetUp(self):
         self.targets = book.Book(BEAT)
-        self.door = http_api.PlatformDoor()
+        self.door = http_api.PlatformApi()
         self.address = await self.door.open(
             '127.0.0.1:0', _NoApi(), self.targets, _NoApi()
         )
--- a/tests/test_urgent_gate.py
+++ b/tests/test_urgent_gate.py
@@ -19,7 +19,7 @@
         self.entered = asyncio.Event()
         self.going_on = asyncio.Event()
 
-    async def hand_over(self, opening, body, idle_seconds):
+    async def send_call(self, opening, body, idle_seconds):
         self.entered.set()
         await self.going_on.wait()
         raise target_errors.TargetUnreachable()
@@ -63,10 +63,10 @@
         )
         serving = asyncio.create_task(guard.serve(Call(), opening))
         await client.entered.wait()
-        during = signal.is_near()
+        during = signal.must_pause()
         client.going_on.set()
         await serving
-        return during, signal.is_near()
+        return during, signal.must_pause()
 
     async def test_urgent_call(self):
         self.assertEqual(await self.near_while_open(0), (True, False))
