--- a/tamarackthread/agent/__init__.py
+++ b/tamarackthread/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Guard one target: gate, reports, drain and orders."""
+"""Run the agent beside one target: admission, load reports and orders."""
--- a/tamarackthread/agent/balancer.py
+++ b/tamarackthread/agent/balancer.py
@@ -1,8 +1,5 @@
-"""Keep a group's ranks even: observe, plan, and switch when it pays.
-
-Runs beside each owner of a group; only the one that holds the lease plans
-and switches.  Others go on observing, so that a new owner does not start
-from nothing.
+"""Rebalance a group's experts.  Every owner candidate observes the load, so
+that its forecast is warm; only the lease holder plans and switches maps.
 """
 
 from __future__ import annotations
@@ -23,23 +20,23 @@
 
 @attrs.frozen(eq=False)
 class TokenWindow:
-    """The tokens ``[layer, expert]`` of a window; seconds of the loop."""
+    """Token counts ``[layer, expert]`` from ``started``, in loop seconds."""
 
     tokens: numpy.ndarray
     started: float
 
 
 class TokenSource(abc.ABC):
-    """Give the token counts that engines report, late and with gaps."""
+    """Provide token counts reported by engines, delayed and with gaps."""
 
     @abc.abstractmethod
     async def windows(self) -> list[TokenWindow]:
-        """Return the windows that came since the last call."""
+        """Return the windows received since the last call."""
 
 
 @attrs.frozen
 class BalancerSettings:
-    """Hold the constants; a plan is for the time ``ahead_seconds`` from it."""
+    """Set the planning interval and the horizon of the load forecast."""
 
     interval_seconds: float = 300
     horizon_seconds: float = 300
@@ -58,7 +55,7 @@
         settings: BalancerSettings,
         work: offload.Offload,
     ) -> None:
-        """Plan by ``work``, because a plan takes up to seconds."""
+        """Run the planner through ``work``, since it may take seconds."""
         self._owner = group_owner
         self._coordinator = coordinator
         self._planner = planner
@@ -71,63 +68,65 @@
                 window_seconds=settings.interval_seconds,
             ),
         )
-        self._last: placement.Plan | None = None
+        self._last_plan: placement.Plan | None = None
         self._paused = False
 
     @property
     def last_plan(self) -> placement.Plan | None:
-        """Return the last plan made, for operators."""
-        return self._last
+        """Return the last plan made."""
+        return self._last_plan
 
     def set_paused(self, paused: bool) -> None:
-        """Stop planning, or go on; a switch under way is not touched."""
+        """Pause or resume planning; a switch in progress continues."""
         self._paused = paused
 
     def set_planner(self, planner: placement.Planner) -> None:
-        """Plan from now on as another profile wants it."""
+        """Replace the planner used from the next interval on."""
         self._planner = planner
 
     async def run(self) -> None:
-        """Observe and plan at each interval, for ever."""
+        """Observe and plan at each interval until cancelled."""
         while True:
             await asyncio.sleep(self._settings.interval_seconds)
             for window in await self._source.windows():
                 self._forecaster.observe(window.tokens, window.started)
             if self._may_plan():
-                await self._try_balance()
+                await self._balance_or_log()
 
     def _may_plan(self) -> bool:
         if self._paused or self._forecaster.is_cold:
             return False
         return self._owner.is_owner
 
-    async def _try_balance(self) -> None:
+    async def _balance_or_log(self) -> None:
         try:
             await self._balance()
         except errors.CodedError as exc:
-            _log.warning('balancer: no switch, %s %s', exc.code, exc)
+            _log.warning('balancer: map switch failed, %s %s', exc.code, exc)
 
     async def _balance(self) -> None:
-        today = await self._today()
+        current = await self._current_map()
         now = asyncio.get_running_loop().time()
-        outlook = self._forecaster.forecast(
+        expected_load = self._forecaster.forecast(
             now + self._settings.horizon_seconds
         )
-        present = set(self._owner.transport.ranks)
-        lost = set(range(today.shape.ranks)) - present
-        plan = await self._work.run(self._planner.plan, today, outlook, lost)
-        self._last = plan
+        active = set(self._owner.transport.ranks)
+        lost = set(range(current.shape.ranks)) - active
+        plan = await self._work.run(
+            self._planner.plan, current, expected_load, lost
+        )
+        self._last_plan = plan
         if not plan.is_change:
             return
         _log.info(
-            'balancer: %d moves for skew %.3f to %.3f',
+            'balancer: switching with %d moves, skew from %.3f to %.3f',
             len(plan.moves),
             plan.skew_before,
             plan.skew_after,
         )
         await self._coordinator.switch_to(plan.new_map)
 
-    async def _today(self) -> expert_map.ExpertMap:
+    async def _current_map(self) -> expert_map.ExpertMap:
         latest = await self._owner.control.latest(self._owner.group)
         if latest is None:
             return await self._maps.get(self._maps.initial_digest)
--- a/tamarackthread/agent/claims.py
+++ b/tamarackthread/agent/claims.py
@@ -1,12 +1,5 @@
-"""Guard the target against claimed calls that must not start.
-
-A claim's record at its shard says where the call may start and until when.
-This process has the last word: it starts each claim at most once, refuses a
-fence lower than one it knows, and on request seals a claim so that it never
-starts here.  A seal is the proof with which another entry may take over.
-
-Memory is bounded.  What was forgotten is refused by its window, and a probe
-about it is answered with 'not known' and never with 'did not come'.
+"""Start each claimed call at most once at this target, and seal a claim on
+request, so that another entry may take it over.
 """
 
 from __future__ import annotations
@@ -34,7 +27,7 @@
 
 @attrs.frozen
 class Answer:
-    """The small whole answer of a claimed call."""
+    """A complete response of a claimed call, small enough to keep."""
 
     status: int
     headers: tuple[messages.Header, ...]
@@ -42,36 +35,36 @@
 
     @property
     def size(self) -> int:
-        """Count the bytes that keeping it takes."""
+        """Return its size in bytes, headers included."""
         names = sum(len(header.name) for header in self.headers)
         values = sum(len(header.value) for header in self.headers)
         return len(self.body) + names + values
 
 
 @attrs.define(eq=False)
-class _Known:
-    """What is remembered of one key; times on this process's clock."""
+class _ClaimEntry:
+    """State of one claim; times in milliseconds of the loop's clock."""
 
     fence: int
     state: _State
-    forget_at_ms: int
+    expires_at_ms: int
     answer: Answer | None = None
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the target may have begun it."""
+        """Tell whether the call may have reached the target."""
         return self.state in {_State.STARTED, _State.FINISHED}
 
-    def keep_past(self, time_ms: int) -> None:
-        """Remember it for the whole period after this time."""
-        self.forget_at_ms = max(
-            self.forget_at_ms,
+    def extend_past(self, time_ms: int) -> None:
+        """Extend the time to live to a whole retention period from here."""
+        self.expires_at_ms = max(
+            self.expires_at_ms,
             time_ms + claim_times.remember_ms(self.fence),
         )
 
 
 class ClaimGate:
-    """Remember the claims that came here and refuse those that may not run."""
+    """Track claims in a bounded table and reject calls that must not start."""
 
     def __init__(
         self,
@@ -79,46 +72,41 @@
         incarnation: int,
         max_claims: int = MAX_CLAIMS,
     ) -> None:
-        """Know nothing yet; ``incarnation`` names this start of the process.
-
-        An earlier start's memory is lost.  Claims that name it are refused,
-        and probes about them prove nothing.
+        """Start with an empty table.  Claims of an earlier ``incarnation`` are
+        refused, because the table of that start is lost.
         """
         self._target = target
         self._incarnation = incarnation
         self._max_claims = max_claims
-        self._known: dict[bytes, _Known] = {}
-        self._forgets: list[tuple[int, bytes]] = []
+        self._entries: dict[bytes, _ClaimEntry] = {}
+        self._expirations: list[tuple[int, bytes]] = []
         self._answer_bytes = 0
 
     def __len__(self) -> int:
-        """Count the claims remembered now."""
-        return len(self._known)
+        """Return the number of claims in the table."""
+        return len(self._entries)
 
     def admit(self, opening: messages.OpenCall) -> None:
-        """Let a claimed call start, once; raise a coded error otherwise.
-
-        Call it in the same step of the loop as the hand-over to the target:
-        what is admitted here counts as started from now on.
+        """Mark a claimed call as started; raise a coded error if it must not.
+        Send the call to the target without yielding to the loop in between.
         """
         handover = self._check_window(opening.handover)
-        self._forget_old()
-        known = self._known.get(opening.claim)
+        self._evict_expired()
+        known = self._entries.get(opening.claim)
         if known is None:
-            known = self._remember(opening.claim, opening.fence, handover)
-        # A higher fence after a start would mean that the claim was given
-        # away without proof.  The order would be delivered twice; refused
-        # here, it runs once however the mistake came about.
+            known = self._add(opening.claim, opening.fence, handover)
+        # A started claim is refused under a higher fencing number too: the
+        # call would run twice if a takeover was granted by mistake.
         stale = opening.fence < known.fence or known.has_started
         if stale or _is_sealed(known, opening.fence):
             raise claim_errors.ClaimFenced
         known.fence = opening.fence
         known.state = _State.STARTED
-        known.keep_past(handover.until_ms)
+        known.extend_past(handover.until_ms)
 
     def withdraw(self, opening: messages.OpenCall) -> None:
-        """Note that an admitted call did not reach the target after all."""
-        known = self._known.get(opening.claim)
+        """Undo ``admit`` for a call that did not reach the target."""
+        known = self._entries.get(opening.claim)
         if known is not None and known.fence == opening.fence:
             known.state = _State.WAITING
 
@@ -127,108 +115,111 @@
         opening: messages.OpenCall,
         answer: Answer | None,
     ) -> None:
-        """Note that an admitted call is over, with its answer if whole."""
-        known = self._known.get(opening.claim)
+        """Record that an admitted call ended, with its complete answer if any."""
+        known = self._entries.get(opening.claim)
         if known is None or known.fence != opening.fence:
             return
         if known.state is not _State.STARTED:
             return
         known.state = _State.FINISHED
-        known.keep_past(_now_ms())
+        known.extend_past(_now_ms())
         if answer is not None and self._has_room(answer):
             known.answer = answer
             self._answer_bytes += answer.size
 
-    def probe(self, ask: messages.ClaimProbe) -> messages.ClaimProof:
-        """Tell whether a claim started here, and seal it on request."""
-        self._forget_old()
-        handover = ask.handover
-        if not self._can_tell(handover, ask.fence):
+    def probe(self, request: messages.ClaimProbe) -> messages.ClaimProof:
+        """Report whether a claim started here, and seal it on request."""
+        self._evict_expired()
+        handover = request.handover
+        if not self._is_retained(handover, request.fence):
             return messages.ClaimProof(
                 known=False,
                 reached=False,
                 finished=False,
                 sealed=False,
             )
-        known = self._known.get(ask.claim)
+        known = self._entries.get(request.claim)
         if known is not None and known.has_started:
-            return _started(known)
+            return _proof_of_start(known)
         return messages.ClaimProof(
             known=True,
             reached=False,
             finished=False,
-            sealed=self._seal(ask, known) if ask.seal else False,
+            sealed=self._seal(request, known) if request.seal else False,
         )
 
     def _check_window(
         self,
         handover: messages.Handover | None,
     ) -> messages.Handover:
-        if handover is None or not self._is_own(handover):
+        if handover is None or not self._is_for_this_start(handover):
             raise claim_errors.HandoverMismatch
-        # The frame may have waited in a buffer while one of the processes
-        # was stopped.  By then the claim may be forgotten and granted anew,
-        # and the call would run twice.  Past its window it never starts.
+        # A frame delayed past its window may belong to a claim that has been
+        # evicted and granted again; starting it would run the call twice.
         left_ms = handover.until_ms - _now_ms()
         if left_ms < 0 or left_ms > claim_times.WINDOW_MS:
             raise claim_errors.HandoverExpired
         return handover
 
-    def _is_own(self, handover: messages.Handover) -> bool:
+    def _is_for_this_start(self, handover: messages.Handover) -> bool:
         return (
             handover.target == self._target
             and handover.incarnation == self._incarnation
         )
 
-    def _can_tell(
+    def _is_retained(
         self,
         handover: messages.Handover | None,
         fence: int,
     ) -> bool:
-        if handover is None or not self._is_own(handover):
+        if handover is None or not self._is_for_this_start(handover):
             return False
         period = claim_times.remember_ms(fence)
         return _now_ms() < handover.until_ms + period
 
-    def _remember(
+    def _add(
         self,
         key: bytes,
         fence: int,
         handover: messages.Handover,
-    ) -> _Known:
-        if len(self._known) >= self._max_claims:
+    ) -> _ClaimEntry:
+        if len(self._entries) >= self._max_claims:
             raise claim_errors.GateFull
-        forget_at = handover.until_ms + claim_times.remember_ms(fence)
-        known = _Known(fence, _State.WAITING, forget_at)
-        self._known[key] = known
-        heapq.heappush(self._forgets, (forget_at, key))
+        expires_at = handover.until_ms + claim_times.remember_ms(fence)
+        known = _ClaimEntry(fence, _State.WAITING, expires_at)
+        self._entries[key] = known
+        heapq.heappush(self._expirations, (expires_at, key))
         return known
 
-    def _seal(self, ask: messages.ClaimProbe, known: _Known | None) -> bool:
+    def _seal(
+        self, request: messages.ClaimProbe, known: _ClaimEntry | None
+    ) -> bool:
         if known is None:
             try:
-                known = self._remember(ask.claim, ask.fence, ask.handover)
+                known = self._add(
+                    request.claim, request.fence, request.handover
+                )
             except claim_errors.GateFull:
-                # Without room for a seal, the end of the window is one.
-                return _now_ms() > ask.handover.until_ms
-        if ask.fence >= known.fence:
-            known.fence = ask.fence
+                # Without room for an entry, an expired window is the seal.
+                return _now_ms() > request.handover.until_ms
+        if request.fence >= known.fence:
+            known.fence = request.fence
             known.state = _State.SEALED
-            known.keep_past(ask.handover.until_ms)
+            known.extend_past(request.handover.until_ms)
         return True
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         now = _now_ms()
-        while self._forgets and self._forgets[0][0] <= now:
-            key = heapq.heappop(self._forgets)[1]
-            known = self._known[key]
+        while self._expirations and self._expirations[0][0] <= now:
+            key = heapq.heappop(self._expirations)[1]
+            known = self._entries[key]
             if known.state is _State.STARTED:
-                # Still with the target: looked at again after the period.
-                known.keep_past(now)
-            if known.forget_at_ms > now:
-                heapq.heappush(self._forgets, (known.forget_at_ms, key))
+                # A running call is never evicted.
+                known.extend_past(now)
+            if known.expires_at_ms > now:
+                heapq.heappush(self._expirations, (known.expires_at_ms, key))
                 continue
-            self._known.pop(key)
+            self._entries.pop(key)
             if known.answer is not None:
                 self._answer_bytes -= known.answer.size
 
@@ -238,11 +229,11 @@
         return self._answer_bytes + answer.size <= MAX_ANSWERS_BYTES
 
 
-def _is_sealed(known: _Known, fence: int) -> bool:
+def _is_sealed(known: _ClaimEntry, fence: int) -> bool:
     return known.state is _State.SEALED and known.fence >= fence
 
 
-def _started(known: _Known) -> messages.ClaimProof:
+def _proof_of_start(known: _ClaimEntry) -> messages.ClaimProof:
     proof = messages.ClaimProof(
         known=True,
         reached=True,
--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -1,4 +1,4 @@
-"""Ask control about leases and decisions."""
+"""Request leases and decisions from control."""
 
 from __future__ import annotations
 
@@ -11,35 +11,32 @@
 from tamarackthread.shared import errors, peers
 
 _TIMEOUT_SECONDS = 0.5
-_ROUNDS = 2
+_ATTEMPTS_PER_HOST = 2
 _RETRY_SECONDS = 0.05
 
 
 class ControlClient(abc.ABC):
-    """Reach control; every method raises ``ControlUnreachable``."""
+    """Call control; every method raises ``ControlUnreachable``."""
 
     @abc.abstractmethod
     async def lease(
         self,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        """Take, renew or release a lease."""
+        """Acquire, renew or release a lease."""
 
     @abc.abstractmethod
     async def decide(
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Record a decision unless there is one; return the one in force.
-
-        With an empty decision it only reads; id 0 reads the group's latest.
+        """Record a decision unless one exists; return the recorded one.  An
+        empty decision only reads; id 0 reads the group's latest.
         """
 
     async def fence(self, name: str) -> int:
-        """Return the highest fencing number given out for a lease.
-
-        It is asked as a release by nobody, which changes no lease.
-        """
+        """Return the highest fencing number issued for a lease."""
+        # Releasing with an empty holder reads it without changing the lease.
         request = messages.LeaseRequest(
             name=name,
             holder='',
@@ -50,7 +47,7 @@
         return (await self.lease(request)).fence or 0
 
     async def latest(self, group: str) -> switch_record.SwitchRecord | None:
-        """Return the group's latest switch, open or decided."""
+        """Return the group's latest switch record, open or decided."""
         request = messages.DecisionRequest(
             group=group,
             fence=0,
@@ -62,9 +59,8 @@
 
 
 class LinkControlClient(ControlClient):
-    """Reach control over links, one control host after the other.
-
-    A host that does not lead passes the request on to the one that does.
+    """Reach control over links, one control host after the other.  A host that
+    does not lead passes the request on to the one that does.
     """
 
     def __init__(
@@ -93,10 +89,10 @@
         return reply.decision
 
     async def _ask(self, request: messages.Request) -> messages.Reply:
-        # Both requests are idempotent, so a host that did not answer may
-        # have passed them on without harm.
-        last = ''
-        for turn in range(_ROUNDS * len(self._addresses)):
+        # Both requests are idempotent, so retrying at another host is safe
+        # even if the first has executed them.
+        last_error = ''
+        for attempt in range(_ATTEMPTS_PER_HOST * len(self._addresses)):
             address = self._addresses[0]
             try:
                 return await self._peers.request(
@@ -105,8 +101,8 @@
                     _TIMEOUT_SECONDS,
                 )
             except errors.CodedError as exc:
-                last = f'{address}: {exc.code} {exc}'
+                last_error = f'{address}: {exc.code} {exc}'
             self._addresses.append(self._addresses.pop(0))
-            if turn % len(self._addresses) == 0:
+            if attempt % len(self._addresses) == 0:
                 await asyncio.sleep(_RETRY_SECONDS)
-        raise order_errors.ControlUnreachable(last)
+        raise order_errors.ControlUnreachable(last_error)
--- a/tamarackthread/agent/engine.py
+++ b/tamarackthread/agent/engine.py
@@ -1,4 +1,4 @@
-"""Say what an agent needs of the engine process of its rank."""
+"""Define the interface to the engine process of a rank."""
 
 from __future__ import annotations
 
@@ -10,16 +10,14 @@
 from tamarackthread.agent import switch_record
 from tamarackthread.policy import expert_map, moves
 
-# Called with the part done, from 0 to 1.
+# Called with the progress, from 0 to 1.
 Report = collections.abc.Callable[[float], None]
 
 
 @attrs.frozen
 class EngineStatus:
-    """What the engine says of itself.
-
-    ``step`` is the last step begun, ``incarnation`` grows at each start and
-    ``step_ms`` is the recent mean time of a step.
+    """State reported by an engine.  ``step`` is the last step begun,
+    ``step_ms`` the recent mean step time.
     """
 
     step: int
@@ -28,30 +26,29 @@
 
 
 class Engine(abc.ABC):
-    """Drive one rank's engine; methods raise ``EngineFailed``."""
+    """Control one rank's engine; methods raise ``EngineFailed``."""
 
     @abc.abstractmethod
     async def status(self) -> EngineStatus:
-        """Ask for step, incarnation and step time."""
+        """Return step, incarnation and step time."""
 
     @abc.abstractmethod
     async def wait_started(self, incarnation: int) -> int:
-        """Wait for a start after ``incarnation`` and return the new one.
-
-        An engine that has started runs no step before it got a record.
+        """Wait for another incarnation and return it.  A started engine runs
+        no step before ``apply_record``.
         """
 
     @abc.abstractmethod
     async def add_map(self, placement: expert_map.ExpertMap) -> None:
-        """Make a map known; its weights are loaded by pieces."""
+        """Register a map; its weights are loaded separately, in pieces."""
 
     @abc.abstractmethod
     async def loaded(self) -> collections.abc.Collection[moves.Move]:
-        """List the weights that are loaded whole."""
+        """List the moves whose weights are completely loaded."""
 
     @abc.abstractmethod
     async def load_piece(self, piece: moves.Piece) -> None:
-        """Load one piece; cancelling the call drops what came of it."""
+        """Load one piece; cancelling discards it."""
 
     @abc.abstractmethod
     async def apply_record(
@@ -59,11 +56,8 @@
         record: switch_record.SwitchRecord,
         fence: int,
     ) -> None:
-        """Serve each step with the map that the record gives for it.
-
-        The engine holds where the record says so, and may drop weights that
-        no map of a decided record needs any more.  Raises ``ArmTooLate`` when
-        an open switch's step has begun already.
+        """Use the record's map for each step, and hold where it has none.
+        Raises ``ArmTooLate`` when the step of an open switch has begun.
         """
 
     @abc.abstractmethod
@@ -74,7 +68,6 @@
         fence: int,
         report: Report,
     ) -> str:
-        """Execute an order of its own kind and return its result.
-
-        Cancelling the call stops it; calling again resumes.
+        """Execute an engine order and return its result.  Cancelling stops the
+        order; calling again resumes it.
         """
--- a/tamarackthread/agent/engine_client.py
+++ b/tamarackthread/agent/engine_client.py
@@ -1,7 +1,5 @@
-"""Ask a rank's engine over HTTP and tell a refusal from silence.
-
-After a refusal nothing was done.  After silence the engine may have done what
-it was asked, now or later, for a stalled process still reads its socket.
+"""Send HTTP requests to a rank's engine.  A refused request was not executed;
+one without an answer may have been, or may be later.
 """
 
 from __future__ import annotations
@@ -15,36 +13,34 @@
 from tamarackthread.agent import order_errors
 
 ASK_SECONDS = 1.0
-# An engine sends a line of an order's progress at least each second.
+# Engines send a progress line of a running order at least every second.
 LINE_SECONDS = 5.0
-_REFUSALS = range(400, 500)
-_NO_ANSWER = (aiohttp.ClientError, OSError, ValueError)
+_REFUSAL_STATUSES = range(400, 500)
+_REQUEST_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
 Answer = dict[str, typing.Any]
 
 
 class EngineSilent(order_errors.EngineFailed):
-    """Engine gave no whole answer; it may have done what it was asked."""
+    """Engine gave no complete answer; the request may have been executed."""
 
     code = 'TT5900'
 
 
 class EngineRefused(order_errors.EngineFailed):
-    """Engine refused a request and did nothing."""
+    """Engine refused a request without executing it."""
 
     code = 'TT5901'
 
     def __init__(self, text: str = '', reason: str = '') -> None:
-        """Keep the engine's word for the reason."""
+        """Keep the reason code given by the engine."""
         super().__init__(text)
         self.reason = reason
 
 
 class EngineClient:
-    """Send requests to one engine in a session of its own.
-
-    Calls of the target have other connections: a full pool of them must not
-    keep an order waiting.
+    """Send requests to one engine over dedicated connections.  A pool shared
+    with calls could be exhausted and delay orders.
     """
 
     def __init__(self, url: str, connect_seconds: float) -> None:
@@ -55,13 +51,13 @@
 
     async def start(self) -> None:
         """Open the session."""
-        # A pooled connection may have gone silent for good, and each try on
-        # it would wait for its timeout; a fresh one fails or works at once.
+        # A pooled connection may be half-open, and each request on it would
+        # wait for its timeout.
         connector = aiohttp.TCPConnector(force_close=True)
         self._session = aiohttp.ClientSession(connector=connector)
 
     async def stop(self) -> None:
-        """Close all connections, which stops what runs on them."""
+        """Close all connections, which cancels the requests on them."""
         if self._session is not None:
             await self._session.close()
 
@@ -72,16 +68,14 @@
         text: str | None = None,
         seconds: float = ASK_SECONDS,
     ) -> Answer:
-        """Send JSON text and return the answer's object.
-
-        Raises ``EngineRefused`` or ``EngineSilent``.  Cancelling closes the
-        connection.
+        """Send JSON text and return the JSON object of the answer.  Raises
+        ``EngineRefused`` or ``EngineSilent``.
         """
         timeout = self._timeout(total=seconds)
         try:
             async with self._request(method, path, text, timeout) as response:
-                return _object(await _body(response))
-        except _NO_ANSWER as exc:
+                return _parse_object(await _read_body(response))
+        except _REQUEST_ERRORS as exc:
             raise EngineSilent(f'{path}: {exc!r}') from exc
 
     async def lines(
@@ -89,15 +83,15 @@
         path: str,
         text: str,
     ) -> collections.abc.AsyncIterator[Answer]:
-        """Post JSON text and yield the objects that come, one a line."""
+        """Post JSON text and yield the JSON objects streamed in reply."""
         timeout = self._timeout(sock_read=LINE_SECONDS)
         try:
             async with self._request('POST', path, text, timeout) as response:
                 if not response.ok:
-                    _object(await _body(response))
+                    _parse_object(await _read_body(response))
                 async for line in response.content:
-                    yield _object(line)
-        except _NO_ANSWER as exc:
+                    yield _parse_object(line)
+        except _REQUEST_ERRORS as exc:
             raise EngineSilent(f'{path}: {exc!r}') from exc
 
     def _request(
@@ -108,7 +102,7 @@
         timeout: aiohttp.ClientTimeout,
     ) -> typing.Any:
         if self._session is None:
-            raise EngineSilent('session is not open')
+            raise EngineSilent('HTTP session is not open')
         return self._session.request(
             method,
             self._url + path,
@@ -125,24 +119,24 @@
         )
 
 
-async def _body(response: aiohttp.ClientResponse) -> bytes:
+async def _read_body(response: aiohttp.ClientResponse) -> bytes:
     body = await response.read()
-    if response.status in _REFUSALS:
-        raise _refusal(response.status, body)
+    if response.status in _REFUSAL_STATUSES:
+        raise _refusal_error(response.status, body)
     response.raise_for_status()
     return body
 
 
-def _refusal(status: int, body: bytes) -> EngineRefused:
+def _refusal_error(status: int, body: bytes) -> EngineRefused:
     try:
-        reason = str(_object(body).get('reason', ''))
+        reason = str(_parse_object(body).get('reason', ''))
     except ValueError:
         reason = ''
     return EngineRefused(f'{status} {reason}', reason)
 
 
-def _object(body: bytes) -> Answer:
-    found = json.loads(body)
-    if not isinstance(found, dict):
-        raise ValueError('answer is not an object')
-    return found
+def _parse_object(body: bytes) -> Answer:
+    parsed = json.loads(body)
+    if not isinstance(parsed, dict):
+        raise ValueError('answer is not a JSON object')
+    return parsed
--- a/tamarackthread/agent/gate.py
+++ b/tamarackthread/agent/gate.py
@@ -1,7 +1,5 @@
-"""The last gate in front of the target.
-
-Only this process hands calls to the target, so only it can say that a call
-was not run: it says so before it sends the first byte, and never after.
+"""Check calls at admission and relay them to the target.  A call is reported
+as not run only if none of its bytes were sent.
 """
 
 from __future__ import annotations
@@ -30,7 +28,7 @@
 
 @attrs.frozen
 class GateOptions:
-    """Say which target is guarded and how much it may hold."""
+    """Identify the target and set its concurrency limit."""
 
     target_id: str
     is_model: bool
@@ -38,23 +36,23 @@
 
 
 class Gate:
-    """Check each call, hand it to the target and relay the answer."""
+    """Check each call, send it to the target and relay the answer."""
 
     def __init__(
         self,
         options: GateOptions,
         client: target.TargetClient,
         reporter: reports.Reporter,
-        claimed: claims.ClaimGate,
+        claim_gate: claims.ClaimGate,
         urgent: weight_loading.UrgentSignal,
     ) -> None:
-        """Start open; ``urgent`` is told of urgent calls."""
+        """Accept calls; report urgent ones to ``urgent``."""
         self._options = options
         self._client = client
         self._reporter = reporter
-        self._claimed = claimed
+        self._claims = claim_gate
         self._urgent = urgent
-        self._claimed_runs: set[asyncio.Task[None]] = set()
+        self._claimed_tasks: set[asyncio.Task[None]] = set()
         self._leaving = False
         self._idle_seconds = DEFAULT_IDLE_SECONDS
         self._open = 0
@@ -63,12 +61,12 @@
 
     @property
     def open_calls(self) -> int:
-        """Count the calls that are with the target or on their way."""
+        """Return the number of calls in progress."""
         return self._open
 
     @property
     def idle_seconds(self) -> float:
-        """Give the longest silence between two parts of an answer."""
+        """Return the idle timeout between two reads of an answer."""
         return self._idle_seconds
 
     @idle_seconds.setter
@@ -81,17 +79,16 @@
         return self._leaving
 
     def set_leaving(self, leaving: bool = True) -> None:
-        """Refuse new calls from this moment, or take them again."""
-        # Entries learn late that a target leaves.  The refusal here takes
-        # effect at once and says 'not run', so a late entry only costs a
-        # second attempt elsewhere, never a call on a leaving target.
+        """Start or stop refusing new calls."""
+        # Entries learn of the drain with a delay.  Until then their calls are
+        # refused here as not run, and retried at another target.
         if leaving == self._leaving:
             return
         self._leaving = leaving
         self._reporter.set_leaving(leaving)
 
     async def wait_idle(self) -> None:
-        """Wait until no call is in flight."""
+        """Wait until no call is in progress."""
         await self._idle.wait()
 
     async def serve(
@@ -99,16 +96,16 @@
         call: stream.Stream,
         opening: messages.OpenCall,
     ) -> None:
-        """Run one call from its opening to its end."""
+        """Serve one call and send its end, or the error that ended it."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + (opening.deadline_ms or 0) / 1000
-        self._enter(opening)
+        self._call_started(opening)
         try:
             await self._serve(call, opening, deadline)
         except errors.CodedError as exc:
-            call.finish(_failed(opening, exc))
+            call.finish(_error_end(opening, exc))
         finally:
-            self._leave_one(opening)
+            self._call_ended(opening)
 
     async def _serve(
         self,
@@ -118,8 +115,8 @@
     ) -> None:
         self._check(opening, deadline)
         body = await _read_body(call)
-        # Checked once more: the body may have taken long to arrive, and the
-        # target may have begun to leave or fallen silent meanwhile.
+        # Repeated, because reading the body takes time and the target may
+        # have started to drain or stopped answering.
         self._check(opening, deadline)
         if opening.claim:
             await self._run_claimed(call, opening, body)
@@ -129,7 +126,7 @@
     def _check(self, opening: messages.OpenCall, deadline: float) -> None:
         if opening.target != self._options.target_id:
             raise target_errors.WrongTarget(
-                f'this is {self._options.target_id}'
+                f'agent serves target {self._options.target_id}'
             )
         if self._leaving:
             raise target_errors.TargetLeaving
@@ -140,9 +137,9 @@
         if self._open > self._options.call_limit:
             raise target_errors.TargetFull
 
-    def probe(self, ask: messages.ClaimProbe) -> messages.ClaimProof:
-        """Tell what became of a claim here."""
-        return self._claimed.probe(ask)
+    def probe(self, request: messages.ClaimProbe) -> messages.ClaimProof:
+        """Report the state of a claim at this target."""
+        return self._claims.probe(request)
 
     async def _run_claimed(
         self,
@@ -150,17 +147,16 @@
         opening: messages.OpenCall,
         body: bytes,
     ) -> None:
-        # A claimed call can't be taken back once the target has it, so it
-        # outlives the link of an entry that died.  Its end and its answer
-        # are what the second try of its caller will ask for.
+        # A claimed call is not cancelled when its link is lost: the caller's
+        # retry probes for its outcome and its answer.
         work = self._relay_claimed(call, opening, body)
         run = asyncio.get_running_loop().create_task(work)
-        self._claimed_runs.add(run)
-        run.add_done_callback(self._end_claimed)
+        self._claimed_tasks.add(run)
+        run.add_done_callback(self._on_claimed_done)
         await asyncio.shield(run)
 
-    def _end_claimed(self, run: asyncio.Task[None]) -> None:
-        self._claimed_runs.discard(run)
+    def _on_claimed_done(self, run: asyncio.Task[None]) -> None:
+        self._claimed_tasks.discard(run)
         if not run.cancelled() and run.exception() is not None:
             _log.info('agent: claimed call failed, %s', run.exception())
 
@@ -170,19 +166,19 @@
         opening: messages.OpenCall,
         body: bytes,
     ) -> None:
-        self._claimed.admit(opening)
+        self._claims.admit(opening)
         recorder = response_recorder.ResponseRecorder(call)
         answer = None
-        self._enter(opening)
+        self._call_started(opening)
         try:
             await self._relay(recorder, opening, body)
             answer = recorder.answer
         except target_errors.TargetUnreachable:
-            self._claimed.withdraw(opening)
+            self._claims.withdraw(opening)
             raise
         finally:
-            self._claimed.finish(opening, answer)
-            self._leave_one(opening)
+            self._claims.finish(opening, answer)
+            self._call_ended(opening)
 
     async def _run(
         self,
@@ -198,14 +194,14 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not relaying.done():
-                await self._stop(relaying, opening)
+                await self._cancel_relay(relaying, opening)
                 raise target_errors.CallCancelled
             relaying.result()
         finally:
             watching.cancel()
             relaying.cancel()
 
-    async def _stop(
+    async def _cancel_relay(
         self,
         relaying: asyncio.Future[None],
         opening: messages.OpenCall,
@@ -236,7 +232,9 @@
             )
             sent = await self._relay_body(call, opening, response)
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
-            raise target_errors.TargetBroke(f'in its answer: {exc!r}') from exc
+            raise target_errors.TargetBroke(
+                f'while reading the answer: {exc!r}'
+            ) from exc
         finally:
             response.close()
         call.finish(
@@ -258,27 +256,28 @@
             async for received in response.content.iter_any():
                 await call.send(received)
             return 0
-        cutter = events.EventCutter()
+        splitter = events.EventCutter()
         async for received in response.content.iter_any():
-            whole = cutter.cut(received)
+            whole = splitter.cut(received)
             if whole:
                 await call.send(whole)
-        # An engine that dies may close its connection cleanly.  Without its
-        # closing event the answer is not whole and must not end as if it
-        # were: the caller would take the first half for all of it.
-        if self._options.is_model and not cutter.done:
-            raise target_errors.TargetBroke('closed without its closing event')
-        if cutter.rest:
-            await call.send(cutter.rest)
-        return (opening.resume_events or 0) + cutter.count
-
-    def _enter(self, opening: messages.OpenCall) -> None:
+        # A crashing engine may close its connection cleanly; without the
+        # closing event the answer is truncated.
+        if self._options.is_model and not splitter.done:
+            raise target_errors.TargetBroke(
+                'answer ended without its closing event'
+            )
+        if splitter.rest:
+            await call.send(splitter.rest)
+        return (opening.resume_events or 0) + splitter.count
+
+    def _call_started(self, opening: messages.OpenCall) -> None:
         self._open += 1
         self._idle.clear()
         if opening.priority == URGENT:
             self._urgent.arrived()
 
-    def _leave_one(self, opening: messages.OpenCall) -> None:
+    def _call_ended(self, opening: messages.OpenCall) -> None:
         self._open -= 1
         if opening.priority == URGENT:
             self._urgent.finished()
@@ -286,7 +285,7 @@
             self._idle.set()
 
 
-def _failed(
+def _error_end(
     opening: messages.OpenCall,
     failure: errors.CodedError,
 ) -> messages.CallEnd:
--- a/tests/test_claim_gate.py
+++ b/tests/test_claim_gate.py
@@ -1,4 +1,4 @@
-"""Prove that an agent starts each claim once and seals what it says it does."""
+"""Test that a gate starts each claim at most once and honours its seals."""
 
 import asyncio
 import unittest
@@ -58,11 +58,7 @@
 
     @shards.virtual_time
     async def test_sealed_claim_never_starts(self):
-        """A holder that wakes up late is refused by the seal.
-
-        A second try had the claim sealed and runs under the next fence; the
-        first holder was only stopped, and its call arrives at last.
-        """
+        """A delayed call of the first holder doesn't run after a takeover."""
         gate = claims.ClaimGate('a', 1)
         proof = gate.probe(probe())
         self.assertTrue(proof.known and proof.sealed)
@@ -94,11 +90,9 @@
         gate.admit(call())
 
     @shards.virtual_time
-    async def test_window_bounds_the_start(self):
-        """A call that was stuck in a buffer doesn't run after its claim ended.
-
-        The frame waits while the agent is stopped.  Its claim is forgotten
-        and granted anew in the meantime; started now, it would run twice.
+    async def test_call_past_its_window_never_starts(self):
+        """A call delayed past its window never runs: its claim may have been
+        granted again.
         """
         gate = claims.ClaimGate('a', 1)
         late = call()
@@ -117,26 +111,21 @@
             self.refused(
                 gate, call(window=window), claim_errors.HandoverMismatch
             )
-        bare = messages.OpenCall(claim=KEY, fence=1)
-        self.refused(gate, bare, claim_errors.HandoverMismatch)
+        without_handover = messages.OpenCall(claim=KEY, fence=1)
+        self.refused(gate, without_handover, claim_errors.HandoverMismatch)
 
     @shards.virtual_time
     async def test_restart_proves_nothing_about_before(self):
-        """The caller is told 'may have run' after the agent was killed.
-
-        The call may have started under the agent's earlier start.  An empty
-        memory read as 'never came' would run the order again.
+        """A restarted agent doesn't report a call as not run that its earlier
+        start may have run.
         """
         gate = claims.ClaimGate('a', 2)
         proof = gate.probe(probe(window=handover(incarnation=1)))
         self.assertFalse(proof.known or proof.sealed or proof.reached)
 
     @shards.virtual_time
-    async def test_forgotten_is_unknown_and_never_starts(self):
-        """What was forgotten proves nothing and can't start.
-
-        The claim ran; long after that the agent no longer remembers it.
-        """
+    async def test_evicted_claim_is_unknown_and_never_starts(self):
+        """A claim that ran isn't reported as not run after its eviction."""
         gate = claims.ClaimGate('a', 1)
         ran = call()
         gate.admit(ran)
@@ -150,7 +139,7 @@
         self.refused(gate, ran, claim_errors.HandoverExpired)
 
     @shards.virtual_time
-    async def test_running_claim_is_never_forgotten(self):
+    async def test_running_claim_is_never_evicted(self):
         gate = claims.ClaimGate('a', 1)
         ran = call()
         gate.admit(ran)
@@ -160,7 +149,7 @@
         self.refused(gate, call(fence=2))
 
     @shards.virtual_time
-    async def test_keyless_call_is_forgotten_sooner(self):
+    async def test_unkeyed_call_is_evicted_sooner(self):
         gate = claims.ClaimGate('a', 1)
         ran = call(fence=claim_times.UNKEYED_FENCE)
         gate.admit(ran)
