--- a/tamarackthread/agent/group_membership.py
+++ b/tamarackthread/agent/group_membership.py
@@ -1,4 +1,4 @@
-"""Take part in the lock-step group of this agent's target, if it has one."""
+"""Join the lock-step group of this agent's target, if it has one."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 FIRST_CANDIDATES = 3
 _RETRY_SECONDS = 0.5
-# Stands for no worth at all, where a division by zero would plan nonsense.
-_LEAST_WORTH = 1e-6
+# Lower bound of the evenness weight, which is a divisor.
+_MIN_EVENNESS = 1e-6
 _log = logging.getLogger('tamarackthread.grouping')
 
 
 class GroupNotReady(errors.CodedError):
-    """Agent's target has no group, or its engine was not heard from yet."""
+    """Agent's target has no group, or its engine has not answered yet."""
 
     code = 'TT5902'
     status = 503
@@ -47,15 +47,15 @@
 
 
 @attrs.frozen
-class _InForce:
-    """A balancer and the settings that it was made with."""
+class _ActiveBalancer:
+    """A balancer and the settings that it was created with."""
 
     planning: balancer.Balancer
     settings: balancer.BalancerSettings
 
 
 class GroupMembership:
-    """Build the group's part once the engine has told its size."""
+    """Start the group runtime once the engine has reported its size."""
 
     def __init__(
         self,
@@ -64,13 +64,13 @@
         links: peers.Peers,
         control: control_client.ControlClient,
     ) -> None:
-        """Do nothing before ``start``."""
+        """Prepare the engine client; ``start`` connects."""
         self._own = own
         self._node = node
         self._links = links
         self._control = control
-        self._watch = moves.UrgentCallMonitor()
-        self._urgent = weight_loading.UrgentSignal(self._watch)
+        self._monitor = moves.UrgentCallMonitor()
+        self._urgent = weight_loading.UrgentSignal(self._monitor)
         self._client = engine_client.EngineClient(
             own.target_url,
             own.connect_timeout_seconds,
@@ -80,84 +80,81 @@
         self._balance: generated.Balance | None = None
         self._runtime: group_runtime.GroupRuntime | None = None
         self._tokens: engine_tokens.EngineTokenSource | None = None
-        self._in_force: _InForce | None = None
+        self._active: _ActiveBalancer | None = None
         self._joining: asyncio.Task[None] | None = None
-        self._handling: set[asyncio.Task[messages.GroupOrderReply]] = set()
+        self._orders: set[asyncio.Task[messages.GroupOrderReply]] = set()
 
     @property
     def urgent(self) -> weight_loading.UrgentSignal:
-        """Give what the gate tells of urgent calls."""
+        """Return the signal to which the gate reports urgent calls."""
         return self._urgent
 
     @property
     def runtime(self) -> group_runtime.GroupRuntime | None:
-        """Give the group's part; ``None`` before the engine was heard."""
+        """Return the group runtime, ``None`` until the engine has answered."""
         return self._runtime
 
     @property
     def planning(self) -> balancer.Balancer | None:
-        """Give the balancer in force; candidates have one by a profile."""
-        return None if self._in_force is None else self._in_force.planning
+        """Return the balancer; only candidates with a profile have one."""
+        return None if self._active is None else self._active.planning
 
     async def start(self) -> None:
-        """Start to wait for the engine, in a group."""
+        """Start waiting for the engine, if the target has a group."""
         if not self._own.group:
             return
         await self._client.start()
         self._joining = asyncio.create_task(self._join())
-        self._joining.add_done_callback(_report_fault)
+        self._joining.add_done_callback(_log_failure)
 
     async def stop(self) -> None:
-        """Leave the group's engine as it is and give ownership back."""
+        """Stop and release the group's lease; the engine keeps running."""
         if self._runtime is not None:
             await self._runtime.stop()
         await self.abandon()
 
     async def abandon(self) -> None:
-        """Stop without a word to control or the other ranks."""
+        """Stop without releasing the lease."""
         if self._joining is not None:
             self._joining.cancel()
         if self._runtime is not None:
             self._runtime.abandon()
-        for order in self._handling:
+        for order in self._orders:
             order.cancel()
         await self._client.stop()
 
     def update_addresses(self, held: catalogue.Catalogue) -> None:
-        """Take the addresses of the other ranks from the documents."""
+        """Read the addresses of the other ranks from the documents."""
         if self._own.group:
             self._addresses.update(held)
 
     def apply_balance(self, balance: generated.Balance) -> None:
-        """Balance from now on as the profile says."""
+        """Apply a profile's settings for balancing."""
         self._balance = balance
-        self._watch.pause_seconds = balance.urgent_pause_seconds
+        self._monitor.pause_seconds = balance.urgent_pause_seconds
         self._apply()
 
     async def handle_order(
         self,
         order: messages.GroupOrder,
     ) -> messages.GroupOrderReply:
-        """Take an order, and finish it also when its link is lost.
-
-        An order cut off half way leaves open what the engine has done of it.
-        """
+        """Handle an order to its end, even if its link is lost."""
         if self._runtime is None:
             raise GroupNotReady()
         work = self._runtime.handle_order(order)
         task = asyncio.create_task(work)
-        self._handling.add(task)
-        task.add_done_callback(self._handling.discard)
+        self._orders.add(task)
+        task.add_done_callback(self._orders.discard)
         return await asyncio.shield(task)
 
     async def _join(self) -> None:
-        last = ''
+        last_error = ''
         while True:
             try:
                 shape = await self._shape()
             except errors.CodedError as exc:
-                if str(exc) != last:
-                    last = str(exc)
+                if str(exc) != last_error:
+                    last_error = str(exc)
                     _log.warning('grouping: not ready, %s %s', exc.code, exc)
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
@@ -165,20 +162,20 @@
         self._build(shape)
 
     async def _shape(self) -> expert_map.GroupShape:
-        """Ask the engine for the group's size and compare it with ours."""
+        """Read the group's shape from the engine and check it against settings."""
         state = await self._engine.state()
-        found = (state.rank, state.shape.ranks)
+        reported = (state.rank, state.shape.ranks)
         wanted = (self._own.rank, self._own.ranks)
-        if found != wanted:
-            text = f'engine has rank {found[0]} of {found[1]}'
+        if reported != wanted:
+            text = f'engine has rank {reported[0]} of {reported[1]}'
             raise GroupMismatch(f'{text}, settings {wanted[0]} of {wanted[1]}')
         expert_map.cold_start(state.shape).check()
         return state.shape
 
     def _build(self, shape: expert_map.GroupShape) -> None:
         own = self._own
-        # Every rank counts, for engines do not tell of one that they do
-        # without: while a rank is lost, no switch is decided.
+        # Engines don't report lost ranks, so all ranks must take part in a
+        # switch: none is committed while a rank is lost.
         transport = rank_transport.LinkTransport(
             self._links,
             lambda: range(shape.ranks),
@@ -188,8 +185,8 @@
             group_runtime.GroupSettings(
                 own.group,
                 own.rank,
-                # A process that starts anew must not renew the lease of the
-                # one before, whose orders may still be on their way.
+                # A restarted process must not renew its earlier lease, whose
+                # orders may still be in flight.
                 f'{self._node.node}-{self._node.incarnation}',
                 expert_map.cold_start(shape),
                 candidate=is_candidate(own),
@@ -203,55 +200,56 @@
         )
         self._runtime = runtime
         runtime.start()
-        _log.info('grouping: rank %d of %s', own.rank, own.group)
+        _log.info('grouping: joined as rank %d of %s', own.rank, own.group)
         if is_candidate(own):
             self._tokens = engine_tokens.EngineTokenSource(self._client, shape)
             self._apply()
 
     def _apply(self) -> None:
-        """Plan as the profile says, and not before there is one.
-
-        Only new times need a new balancer, which starts its forecast anew.
+        """Configure the balancer from the profile.  Only a change of its times
+        creates a new one, because that resets the forecast.
         """
         balance = self._balance
         if balance is None or self._runtime is None or self._tokens is None:
             return
         wanted = balancer_settings(balance)
         weights = planner_settings(balance)
-        held = self._in_force
+        held = self._active
         if held is None or held.settings != wanted:
             planning = self._runtime.balance(self._tokens, weights, wanted)
-            held = _InForce(planning, wanted)
-            self._in_force = held
+            held = _ActiveBalancer(planning, wanted)
+            self._active = held
         held.planning.set_planner(placement.IncrementalPlanner(weights))
         held.planning.set_paused(paused=not balance.enabled)
 
 
-def _report_fault(joining: asyncio.Task[None]) -> None:
-    """Log what a defect ended; nobody waits for the task."""
+def _log_failure(joining: asyncio.Task[None]) -> None:
+    """Log an unexpected error of the task, which is not awaited."""
     if not joining.cancelled() and joining.exception() is not None:
-        _log.error('grouping: cannot join', exc_info=joining.exception())
+        _log.error(
+            'grouping: joining the group failed', exc_info=joining.exception()
+        )
 
 
 def is_candidate(own: generated_settings.Agent) -> bool:
-    """Tell whether an agent stands for owner of its group."""
+    """Tell whether an agent is a candidate owner of its group."""
     if own.candidate == 'auto':
         return own.rank < FIRST_CANDIDATES
     return own.candidate == 'yes'
 
 
 def planner_settings(balance: generated.Balance) -> placement.BalanceSettings:
-    """Turn a profile's weights into the planner's trade-off."""
-    worth = max(balance.evenness_weight, _LEAST_WORTH)
+    """Convert a profile's weights to the planner's settings."""
+    evenness = max(balance.evenness_weight, _MIN_EVENNESS)
     return placement.BalanceSettings(
-        move_cost_seconds=balance.move_weight / worth,
+        move_cost_seconds=balance.move_weight / evenness,
         min_gain=balance.hysteresis_share,
         max_moves_per_layer=balance.moves_per_change,
     )
 
 
 def balancer_settings(balance: generated.Balance) -> balancer.BalancerSettings:
-    """Take the balancer's times from a profile."""
+    """Read the balancer's times from a profile."""
     return balancer.BalancerSettings(
         interval_seconds=balance.interval_seconds,
         horizon_seconds=balance.forecast_seconds,
--- a/tamarackthread/agent/group_runtime.py
+++ b/tamarackthread/agent/group_runtime.py
@@ -1,4 +1,4 @@
-"""Put together what an agent does for the group of its rank."""
+"""Build and run the parts of an agent that serve its rank's group."""
 
 from __future__ import annotations
 
@@ -28,15 +28,13 @@
 from tamarackthread.shared import errors, offload
 
 OPERATOR_FENCE = 0
-_RETIRE_SECONDS = 0.1
+_REPLACE_POLL_SECONDS = 0.1
 
 
 @attrs.frozen
 class GroupSettings:
-    """Say which rank of which group this is.
-
-    Only a few ranks of a group are ``candidate`` owners, because each of
-    them asks control for the lease again and again.
+    """Identify the rank.  Only a few ranks of a group are ``candidate``
+    owners, because each of them polls control for the lease.
     """
 
     group: str
@@ -52,7 +50,7 @@
 
 
 class GroupRuntime:
-    """Hold the parts and run their tasks; the agent's role plugs it in."""
+    """Own the group components of one agent and run their tasks."""
 
     def __init__(
         self,
@@ -62,12 +60,9 @@
         rank_engine: engine.Engine,
         urgent: weight_loading.UrgentSignal | None = None,
     ) -> None:
-        """Build the parts; ``start`` runs them.
-
-        ``urgent`` is what the gate tells of urgent calls.
-        """
+        """Build the components; the gate reports its calls to ``urgent``."""
         self._settings = settings
-        self._store = _store(settings, control)
+        self._limiter = _limiter(settings, control)
         self.urgent = urgent or weight_loading.UrgentSignal(
             moves.UrgentCallMonitor()
         )
@@ -81,7 +76,9 @@
             rank_engine,
             control,
             self.maps,
-            weight_loading.WeightLoader(rank_engine, self.urgent, self._store),
+            weight_loading.WeightLoader(
+                rank_engine, self.urgent, self._limiter
+            ),
         )
         self.executor = orders.OrderExecutor(
             settings.group,
@@ -89,7 +86,7 @@
             rank_engine,
             self.participant,
             self.maps,
-            self._store,
+            self._limiter,
         )
         self.owner = owner.GroupOwner(
             owner.OwnerSettings(
@@ -104,10 +101,10 @@
             self.owner, settings.switching
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._planning: list[asyncio.Task[None]] = []
+        self._balancers: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Run the rank's side, and an owner if this rank is a candidate."""
+        """Run the rank's tasks, and an owner if this rank is a candidate."""
         work = [self.executor.start(), self.participant.run()]
         if self._settings.candidate:
             work.append(self.owner.run())
@@ -119,10 +116,7 @@
         weights: placement.BalanceSettings,
         settings: balancer.BalancerSettings,
     ) -> balancer.Balancer:
-        """Plan for the group while this rank owns it.
-
-        Called again, it takes the place of the planning before.
-        """
+        """Start a balancer, in place of an earlier one."""
         planning = balancer.Balancer(
             self.owner,
             self.coordinator,
@@ -132,38 +126,36 @@
             settings,
             offload.ThreadOffload(),
         )
-        before = tuple(self._planning)
-        work = asyncio.create_task(self._plan(planning, before))
-        self._planning = [task for task in before if not task.done()]
-        self._planning.append(work)
+        previous = tuple(self._balancers)
+        work = asyncio.create_task(self._replace_balancer(planning, previous))
+        self._balancers = [task for task in previous if not task.done()]
+        self._balancers.append(work)
         return planning
 
     async def stop(self) -> None:
-        """Stop, and let another owner begin at once."""
+        """Stop and release the lease."""
         self.abandon()
         if self.owner.is_owner:
             await self.owner.release()
 
     def abandon(self) -> None:
-        """Stop without a word to anyone."""
+        """Stop without releasing the lease."""
         self.participant.close()
-        for task in (*self._tasks, *self._planning):
+        for task in (*self._tasks, *self._balancers):
             task.cancel()
 
     async def handle_order(
         self,
         order: messages.GroupOrder,
     ) -> messages.GroupOrderReply:
-        """Take an owner's order for this rank, or an operator's for all.
-
-        Operators send fencing number 0, which no owner ever has; the agent
-        that owns the group gives the order to every rank under its own.
+        """Execute an owner's order at this rank.  An operator's, with fencing
+        number 0, is sent by the owner to all ranks under its own number.
         """
         is_read = order.action in orders.UNFENCED
         if is_read or order.fence != OPERATOR_FENCE:
             return await self.executor.handle_order(order)
         try:
-            state = await self._order_all(order)
+            state = await self._relay_to_all(order)
         except errors.CodedError as exc:
             state = order_state.from_failure(exc, order_state.REFUSED)
         return messages.GroupOrderReply(
@@ -172,21 +164,20 @@
             highest_fence=self.executor.highest_fence,
         )
 
-    async def _plan(
+    async def _replace_balancer(
         self,
         planning: balancer.Balancer,
-        before: tuple[asyncio.Task[None], ...],
+        previous: tuple[asyncio.Task[None], ...],
     ) -> None:
-        # A switch that is cut off after its intent has no outcome, and the
-        # ranks hold at its step until the owner is lost.  Between switches
-        # there is nothing to cut off.
-        while before and self.coordinator.is_busy:
-            await asyncio.sleep(_RETIRE_SECONDS)
-        for task in before:
+        # Cancelling a switch after its intent leaves it undecided, and the
+        # ranks hold at its step until the next owner takes over.
+        while previous and self.coordinator.is_busy:
+            await asyncio.sleep(_REPLACE_POLL_SECONDS)
+        for task in previous:
             task.cancel()
         await planning.run()
 
-    async def _order_all(
+    async def _relay_to_all(
         self,
         order: messages.GroupOrder,
     ) -> order_state.OrderState:
@@ -206,25 +197,24 @@
 def combine_states(
     answers: dict[int, order_state.OrderState | errors.CodedError],
 ) -> order_state.OrderState:
-    """Sum up what the ranks answered; the slowest rank gives the progress.
-
-    The result has each rank's state or error code as JSON.
+    """Merge the answers of all ranks; progress is that of the slowest one.
+    The result maps each rank to its state or error code, as JSON.
     """
     states = {
         rank: _as_state(answer) for rank, answer in sorted(answers.items())
     }
-    found = {one.state for one in states.values()}
+    distinct = {one.state for one in states.values()}
     overall = order_state.RUNNING
-    if len(found) == 1:
-        overall = found.pop()
-    elif order_state.REFUSED in found or order_state.FAILED in found:
+    if len(distinct) == 1:
+        overall = distinct.pop()
+    elif order_state.REFUSED in distinct or order_state.FAILED in distinct:
         overall = order_state.FAILED
-    bad = next((one for one in states.values() if one.code), None)
+    first_error = next((one for one in states.values() if one.code), None)
     return order_state.OrderState(
         overall,
         done=min(one.done for one in states.values()),
-        code=bad.code if bad else '',
-        text=bad.text if bad else '',
+        code=first_error.code if first_error else '',
+        text=first_error.text if first_error else '',
         result=json.dumps(
             {rank: one.code or one.state for rank, one in states.items()},
         ),
@@ -239,7 +229,7 @@
     return order_state.from_failure(answer, order_state.FAILED)
 
 
-def _store(
+def _limiter(
     settings: GroupSettings,
     control: control_client.ControlClient,
 ) -> store_slots.StoreLimiter:
--- a/tamarackthread/agent/http_engine.py
+++ b/tamarackthread/agent/http_engine.py
@@ -1,4 +1,4 @@
-"""Drive a rank's engine over its target's HTTP, as docs/ENGINES.md tells."""
+"""Control a rank's engine over HTTP, see docs/ENGINES.md."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 RECORD_PATH = '/ranks/record'
 ORDERS_PATH = '/ranks/orders'
 
-# The engine's word for a switch step that it has begun.
+# Refusal reason for a switch whose step has begun.
 TOO_LATE = 'too_late'
 
 _POLL_SECONDS = 5.0
 _POLL_MARGIN_SECONDS = 1.0
-_PIECE_SECONDS = 30.0
+_PIECE_TIMEOUT_SECONDS = 30.0
 _RETRY_SECONDS = 0.1
-_UNREADABLE = (KeyError, TypeError, ValueError)
+_PARSE_ERRORS = (KeyError, TypeError, ValueError)
 
 
 @attrs.frozen
 class EngineState:
-    """What an engine tells of itself and of its group's size."""
+    """Rank, status and group shape reported by an engine."""
 
     rank: int
     status: engine.EngineStatus
@@ -47,18 +47,18 @@
 
 
 class HttpEngine(engine.Engine):
-    """The engine of one rank; a caller may cancel any method."""
+    """Engine of one rank; every method may be cancelled."""
 
     def __init__(self, client: engine_client.EngineClient, rank: int) -> None:
-        """Ask through ``client``, which its owner starts and stops."""
+        """Send requests through ``client``, which the caller starts and stops."""
         self._client = client
         self._rank = rank
         self._incarnation = 0
 
     async def state(self) -> EngineState:
-        """Ask for everything that the engine tells of itself."""
+        """Request the engine's state."""
         answer = await self._client.ask('GET', STATUS_PATH)
-        with _readable(STATUS_PATH):
+        with _parsing(STATUS_PATH):
             return EngineState(
                 rank=int(answer['rank']),
                 status=engine.EngineStatus(
@@ -70,14 +70,12 @@
             )
 
     async def status(self) -> engine.EngineStatus:
-        """Ask for step, incarnation and step time."""
+        """Return step, incarnation and step time."""
         return (await self.state()).status
 
     async def wait_started(self, incarnation: int) -> int:
-        """Poll for a start other than ``incarnation``, however long.
-
-        An engine without a disk may count from 1 again, so any other number
-        is a new start.
+        """Poll, without a timeout, for another incarnation.  It may be a lower
+        one, because an engine without a disk counts from 1 again.
         """
         wait_ms = int(_POLL_SECONDS * 1000)
         path = f'{START_PATH}?after={incarnation}&wait_ms={wait_ms}'
@@ -93,13 +91,13 @@
                 return found
 
     async def add_map(self, placement: expert_map.ExpertMap) -> None:
-        """Make a map known; sending it again does nothing."""
+        """Register a map; idempotent."""
         await self._client.ask('POST', MAPS_PATH, placement.to_json())
 
     async def loaded(self) -> collections.abc.Collection[moves.Move]:
-        """List the weights that are loaded whole, and note whose they are."""
+        """List the loaded weights and record the incarnation they belong to."""
         answer = await self._client.ask('GET', WEIGHTS_PATH)
-        with _readable(WEIGHTS_PATH):
+        with _parsing(WEIGHTS_PATH):
             found = [
                 moves.Move(int(layer), self._rank, int(expert))
                 for layer, expert in answer['weights']
@@ -108,7 +106,7 @@
         return found
 
     async def load_piece(self, piece: moves.Piece) -> None:
-        """Load one piece; closing the connection has the engine drop it."""
+        """Load one piece; cancelling closes the connection, which discards it."""
         text = json.dumps(
             {
                 'layer': piece.move.layer,
@@ -118,20 +116,18 @@
                 'urgent': piece.move.urgent,
             },
         )
-        await self._client.ask('POST', PIECES_PATH, text, _PIECE_SECONDS)
+        await self._client.ask(
+            'POST', PIECES_PATH, text, _PIECE_TIMEOUT_SECONDS
+        )
 
     async def apply_record(
         self,
         record: switch_record.SwitchRecord,
         fence: int,
     ) -> None:
-        """Send a record until the engine has taken or refused it."""
-        # The failure: the answer to an arm is lost, the agent takes it as
-        # failed and the owner aborts; the engine has armed all the same and
-        # holds at the step for ever, because its agent tells an outcome only
-        # when it knows of the arm.  Sending on until there is an answer is
-        # enough, because taking a record again does nothing, and an engine
-        # that has started anew refuses by the incarnation.
+        """Send a record until the engine has accepted or refused it."""
+        # Without the retries a lost answer leaves the engine armed while the
+        # agent takes it as not armed and never sends the outcome.
         text = json.dumps(
             {
                 'record': json.loads(record.to_json()),
@@ -139,7 +135,7 @@
                 'incarnation': self._incarnation,
             },
         )
-        while not await self._is_record_taken(text):
+        while not await self._is_record_accepted(text):
             await asyncio.sleep(_RETRY_SECONDS)
 
     async def execute(
@@ -149,7 +145,7 @@
         fence: int,
         report: engine.Report,
     ) -> str:
-        """Execute an order; closing the connection has the engine stop it."""
+        """Execute an order; cancelling closes the connection, which stops it."""
         order = json.dumps({'action': action, 'body': body, 'fence': fence})
         async with contextlib.aclosing(
             self._client.lines(ORDERS_PATH, order),
@@ -158,12 +154,14 @@
                 ended = _result(line)
                 if ended is not None:
                     return ended
-                with _readable(ORDERS_PATH):
+                with _parsing(ORDERS_PATH):
                     report(float(line['done']))
-        raise engine_client.EngineSilent(f'{ORDERS_PATH}: ended half way')
+        raise engine_client.EngineSilent(
+            f'{ORDERS_PATH}: answer ended before the result'
+        )
 
-    async def _is_record_taken(self, text: str) -> bool:
-        """Send a record once; raise when the engine refuses it."""
+    async def _is_record_accepted(self, text: str) -> bool:
+        """Send a record once; raise if the engine refuses it."""
         try:
             await self._client.ask('POST', RECORD_PATH, text)
         except engine_client.EngineSilent:
@@ -176,17 +174,17 @@
 
 
 @contextlib.contextmanager
-def _readable(path: str) -> typing.Iterator[None]:
-    """Turn an answer that lacks something into a coded failure."""
+def _parsing(path: str) -> typing.Iterator[None]:
+    """Raise ``EngineFailed`` for an answer with missing or invalid fields."""
     try:
         yield
-    except _UNREADABLE as exc:
-        text = f'{path}: cannot read the answer, {exc!r}'
+    except _PARSE_ERRORS as exc:
+        text = f'{path}: invalid answer, {exc!r}'
         raise order_errors.EngineFailed(text) from exc
 
 
 def _result(line: engine_client.Answer) -> str | None:
-    """Return the result once there is one; raise the engine's failure."""
+    """Return the result if the line has one; raise the engine's failure."""
     failure = line.get('failed')
     if failure is not None:
         raise order_errors.EngineFailed(str(failure))
@@ -195,7 +193,7 @@
 
 
 def _incarnation(path: str, answer: engine_client.Answer) -> int:
-    with _readable(path):
+    with _parsing(path):
         return int(answer['incarnation'])
 
 
--- a/tamarackthread/agent/lifecycle.py
+++ b/tamarackthread/agent/lifecycle.py
@@ -1,7 +1,4 @@
-"""Name the states of a rank between two expert maps.
-
-Transitions that make no sense, such as arming before loading, raise.
-"""
+"""Define the states of a rank in a map switch; invalid transitions raise."""
 
 from __future__ import annotations
 
@@ -14,12 +11,12 @@
 
 
 class Lifecycle:
-    """The rank's state; a restart of the engine leads to UNPLACED."""
+    """State machine of one rank; an engine restart resets it to UNPLACED."""
 
     state = UNPLACED
 
     def __init__(self) -> None:
-        """Wait for the engine's first start."""
+        """Start as UNPLACED, until the engine's first start."""
         self._machine = transitions.Machine(
             model=self,
             states=[UNPLACED, STEADY, LOADED, ARMED],
--- a/tamarackthread/agent/map_cache.py
+++ b/tamarackthread/agent/map_cache.py
@@ -1,4 +1,4 @@
-"""Keep the contents of expert maps that are named by their digests."""
+"""Cache expert maps by digest."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tamarackthread.agent import order_errors
 from tamarackthread.policy import expert_map
 
-_KEPT = 4
+_CAPACITY = 4
 
 
 class MapSource(abc.ABC):
-    """Find the content of a map elsewhere."""
+    """Fetch a map that is not cached."""
 
     @abc.abstractmethod
     async def fetch(self, digest: str) -> expert_map.ExpertMap:
@@ -20,10 +20,8 @@
 
 
 class MapCache:
-    """Hold the latest few maps of a group, and ask peers for others.
-
-    Control keeps only digests: the contents of all groups' maps would be
-    the larger part of its state.
+    """Cache a group's recent maps and fetch others from peers; control stores
+    only digests, to keep its state small.
     """
 
     def __init__(
@@ -31,7 +29,7 @@
         initial: expert_map.ExpertMap,
         source: MapSource,
     ) -> None:
-        """Know the initial map, which the group's settings give."""
+        """Start with the initial map, which is never evicted."""
         self._initial = initial
         self._source = source
         self._maps: collections.OrderedDict[str, expert_map.ExpertMap] = (
@@ -40,32 +38,34 @@
 
     @property
     def initial_digest(self) -> str:
-        """Name the map of a group that has never switched."""
+        """Return the digest of the map before the first switch."""
         return self._initial.digest()
 
     def add(self, placement: expert_map.ExpertMap) -> str:
-        """Keep a map, dropping the one used longest ago; return its digest."""
+        """Cache a map, evicting the least recently used; return its digest."""
         digest = placement.digest()
         self._maps[digest] = placement
         self._maps.move_to_end(digest)
-        if len(self._maps) > _KEPT:
+        if len(self._maps) > _CAPACITY:
             self._maps.popitem(last=False)
         return digest
 
     def known(self, digest: str) -> expert_map.ExpertMap | None:
-        """Return a map that is here."""
+        """Return a cached map or ``None``."""
         if digest == self.initial_digest:
             return self._initial
         return self._maps.get(digest)
 
     async def get(self, digest: str) -> expert_map.ExpertMap:
-        """Return a map, from a peer if need be; raise ``MapUnknown``."""
-        found = self.known(digest)
-        if found is not None:
-            self.add(found)
-            return found
+        """Return a map, fetched if not cached; raise ``MapUnknown``."""
+        cached = self.known(digest)
+        if cached is not None:
+            self.add(cached)
+            return cached
         fetched = await self._source.fetch(digest)
         if fetched.digest() != digest:
-            raise order_errors.MapUnknown(f'a peer gave another map: {digest}')
+            raise order_errors.MapUnknown(
+                f'peer returned a map with another digest than {digest}'
+            )
         self.add(fetched)
         return fetched
--- a/tamarackthread/agent/rank_addresses.py
+++ b/tamarackthread/agent/rank_addresses.py
@@ -1,4 +1,4 @@
-"""Find the agents of a group's ranks in the target documents."""
+"""Look up the agents of a group's ranks in the target documents."""
 
 from __future__ import annotations
 
@@ -8,38 +8,37 @@
 
 
 class RankAddresses:
-    """Hold the addresses of one group's agents by rank."""
+    """Map the ranks of one group to the addresses of their agents."""
 
     def __init__(self, group: str) -> None:
-        """Know nobody before ``follow``."""
+        """Start empty until the first ``update``."""
         self._group = group
         self._addresses: dict[int, str] = {}
-        # Reading each body anew at each change would hold the event loop
-        # where there are thousands of targets.
-        self._read: dict[str, tuple[int, generated.Target | None]] = {}
+        # Parsed documents by revision: parsing thousands of targets at each
+        # change would block the event loop.
+        self._parsed: dict[str, tuple[int, generated.Target | None]] = {}
 
     @property
     def addresses(self) -> dict[int, str]:
-        """Give the addresses of the ranks that are announced."""
+        """Return the addresses of the announced ranks."""
         return self._addresses
 
     def update(self, held: catalogue.Catalogue) -> None:
-        """Take the addresses from the documents as they are now.
-
-        Of two targets that claim one rank, the later announcement counts.
+        """Read the addresses; of two targets with one rank, the later document
+        wins.
         """
-        read: dict[str, tuple[int, generated.Target | None]] = {}
+        parsed: dict[str, tuple[int, generated.Target | None]] = {}
         found: dict[int, str] = {}
         for document in held.each(documents.TARGET):
             target = self._target(document)
-            read[document.name] = (document.revision, target)
+            parsed[document.name] = (document.revision, target)
             if target is not None and target.group == self._group:
                 found[target.rank] = target.address
-        self._read = read
+        self._parsed = parsed
         self._addresses = found
 
     def _target(self, document: messages.Document) -> generated.Target | None:
-        known = self._read.get(document.name)
+        known = self._parsed.get(document.name)
         if known is not None and known[0] == document.revision:
             return known[1]
         try:
--- a/tamarackthread/agent/weight_loading.py
+++ b/tamarackthread/agent/weight_loading.py
@@ -1,7 +1,5 @@
-"""Load weights in the background, out of the way of urgent work.
-
-Pieces come one at a time.  When an urgent call is hinted or arrives, the
-piece in flight is dropped and loading stands still until the quiet after it.
+"""Load weights in the background, one piece at a time.  An urgent call cancels
+the piece in flight and pauses loading until a quiet period after it.
 """
 
 from __future__ import annotations
@@ -16,71 +14,67 @@
 
 
 class UrgentSignal:
-    """Tell a loader about urgent work the moment that it is known."""
+    """Notify the loader of urgent calls."""
 
-    def __init__(self, watch: moves.UrgentCallMonitor) -> None:
-        """Share the watch with the gate, which calls the three methods."""
-        self._watch = watch
-        self._came = asyncio.Event()
+    def __init__(self, monitor: moves.UrgentCallMonitor) -> None:
+        """Track urgent calls in ``monitor``."""
+        self._monitor = monitor
+        self._arrival = asyncio.Event()
 
     def hint(self) -> None:
-        """Take note of an urgent call on its way here."""
-        self._watch.hint(self._now())
-        self._came.set()
+        """Note an urgent call that is expected."""
+        self._monitor.hint(self._now())
+        self._arrival.set()
 
     def arrived(self) -> None:
-        """Take note of an urgent call before it is handed over."""
-        self._watch.arrived(self._now())
-        self._came.set()
+        """Note the start of an urgent call."""
+        self._monitor.arrived(self._now())
+        self._arrival.set()
 
     def finished(self) -> None:
-        """Take note of the end of an urgent call."""
-        self._watch.finished(self._now())
+        """Note the end of an urgent call."""
+        self._monitor.finished(self._now())
 
     def must_pause(self) -> bool:
-        """Tell whether loading must stand still."""
-        return self._watch.must_pause(self._now())
+        """Tell whether loading must pause."""
+        return self._monitor.must_pause(self._now())
 
     async def wait_urgent(self) -> None:
         """Wait for the next urgent call."""
-        self._came.clear()
-        await self._came.wait()
+        self._arrival.clear()
+        await self._arrival.wait()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
 class WeightLoader:
-    """Load one rank's part of a plan."""
+    """Load the weights that a plan assigns to one rank."""
 
     def __init__(
         self,
         rank_engine: engine.Engine,
         urgent: UrgentSignal,
         store: store_slots.StoreLimiter,
-        pause_seconds: float = 0.01,
+        poll_seconds: float = 0.01,
     ) -> None:
-        """Look again after ``pause_seconds`` while loading stands still."""
+        """Poll every ``poll_seconds`` while loading is paused."""
         self._engine = rank_engine
         self._urgent = urgent
         self._store = store
-        self._pause_seconds = pause_seconds
+        self._poll_seconds = poll_seconds
         self._loaded: set[moves.Move] = set()
         self._syncs = 0
 
     async def sync_loaded(self) -> None:
-        """Take over what the engine has loaded.
-
-        An agent that restarts beside a running engine would else load all
-        of the rank's weights again, through the store that groups share.
-        Loads under way fail: after a start of the engine, the pieces that
-        came before it are gone, and the last ones alone make no weight.
+        """Read what the engine has loaded, so that an agent restart reloads
+        nothing; fail loads in progress, whose pieces an engine restart lost.
         """
         self._syncs += 1
         self._loaded = set(await self._engine.loaded())
 
     def retain(self, wanted: collections.abc.Collection[moves.Move]) -> None:
-        """Forget loads that no map in use wants any more."""
+        """Forget loaded weights that no map in use needs."""
         self._loaded.intersection_update(wanted)
 
     async def load(
@@ -88,18 +82,20 @@
         wanted: collections.abc.Collection[moves.Move],
         report: engine.Report,
     ) -> None:
-        """Load what is not loaded yet, in pieces; urgent moves first."""
+        """Load the missing weights in pieces, urgent moves first."""
         syncs = self._syncs
         queue = moves.MoveQueue(wanted, PIECES_PER_MOVE, self._loaded)
         while not queue.progress.is_complete:
             piece = queue.start(self._urgent.must_pause())
             if piece is None:
-                await asyncio.sleep(self._pause_seconds)
+                await asyncio.sleep(self._poll_seconds)
                 continue
             await self._load_piece(queue, piece)
             if syncs != self._syncs:
-                raise order_errors.RankNotReady('rank restarted in the load')
-            self._note(piece, queue)
+                raise order_errors.RankNotReady(
+                    'rank restarted during the load'
+                )
+            self._mark_loaded(piece, queue)
             progress = queue.progress
             report(progress.loaded / progress.total)
 
@@ -108,12 +104,12 @@
         queue: moves.MoveQueue,
         piece: moves.Piece,
     ) -> None:
-        loading = asyncio.ensure_future(self._through_store(piece))
-        warning = asyncio.ensure_future(self._urgent.wait_urgent())
+        loading = asyncio.ensure_future(self._load_limited(piece))
+        urgent_arrival = asyncio.ensure_future(self._urgent.wait_urgent())
         try:
-            await self._first_of(loading, warning, piece.move.urgent)
+            await self._wait_first(loading, urgent_arrival, piece.move.urgent)
         finally:
-            warning.cancel()
+            urgent_arrival.cancel()
             if not loading.done():
                 queue.interrupt(piece)
                 loading.cancel()
@@ -121,24 +117,24 @@
             loading.result()
             queue.finish(piece)
 
-    def _note(self, piece: moves.Piece, queue: moves.MoveQueue) -> None:
+    def _mark_loaded(self, piece: moves.Piece, queue: moves.MoveQueue) -> None:
         if queue.is_whole(piece):
             self._loaded.add(piece.move)
 
-    async def _first_of(
+    async def _wait_first(
         self,
         loading: asyncio.Future[None],
-        warning: asyncio.Future[None],
+        urgent_arrival: asyncio.Future[None],
         urgent: bool,
     ) -> None:
         if urgent:
             await asyncio.wait((loading,))
             return
         await asyncio.wait(
-            (loading, warning),
+            (loading, urgent_arrival),
             return_when=asyncio.FIRST_COMPLETED,
         )
 
-    async def _through_store(self, piece: moves.Piece) -> None:
+    async def _load_limited(self, piece: moves.Piece) -> None:
         await self._store.acquire(urgent=piece.move.urgent)
         await self._engine.load_piece(piece)
