--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -14,7 +14,7 @@
 from tamarackthread.control import machine as machines
 from tamarackthread.control.site import target_registry
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.platform import door
+from tamarackthread.platform import http_api
 from tamarackthread.shared import (
     documents,
     events,
@@ -204,7 +204,7 @@
 async def _take_announcement(body: bytes) -> None:
     held = target_registry.TargetRegistry(1.0)
     with held.validating('fuzzer'):
-        held.record(door.read_announcement('t', body))
+        held.record(http_api.read_announcement('t', body))
     for said in held.changed_since(0):
         wire.encode(announcements.to_message(said))
 
--- a/tamarackthread/platform/door.py
+++ b/tamarackthread/platform/http_api.py
@@ -27,7 +27,7 @@
 )
 
 
-class PlatformDoor(host.HttpServer):
+class PlatformApi(host.HttpServer):
     """Translate between the platform's paths and the product's calls."""
 
     def __init__(self) -> None:
@@ -51,8 +51,12 @@
         ):
             handler = functools.partial(_set_zone, is_evacuated)
             app.router.add_post(path, http_errors.bind(handler, zones))
-        app.router.add_post(wire.ANNOUNCE, http_errors.bind(_announce, targets))
-        app.router.add_post(wire.FAREWELL, http_errors.bind(_farewell, targets))
+        app.router.add_post(
+            wire.HEARTBEAT, http_errors.bind(_announce, targets)
+        )
+        app.router.add_post(
+            wire.DEREGISTER, http_errors.bind(_farewell, targets)
+        )
         self._runner = web.AppRunner(
             app, access_log=None, handle_signals=False, shutdown_timeout=0.5
         )
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -20,7 +20,7 @@
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.platform import configuration as reading
-from tamarackthread.platform import door
+from tamarackthread.platform import http_api
 from tamarackthread.shared import wire
 from tamarackthread.shared.site import announcements
 from tests import direct_case, policy_case
@@ -358,7 +358,7 @@
 
     async def asyncSetUp(self):
         self.targets = target_registry.TargetRegistry(BEAT)
-        self.door = door.PlatformDoor()
+        self.door = http_api.PlatformApi()
         self.address = await self.door.open(
             '127.0.0.1:0', _NoApi(), self.targets, _NoApi()
         )
--- a/tests/test_urgent_gate.py
+++ b/tests/test_urgent_gate.py
@@ -4,7 +4,7 @@
 import types
 import unittest
 
-from tamarackthread.agent import claims, gate, loading
+from tamarackthread.agent import claims, gate, weight_loading
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import moves
 from tamarackthread.shared import target_errors
@@ -19,7 +19,7 @@
         self.entered = asyncio.Event()
         self.going_on = asyncio.Event()
 
-    async def hand_over(self, opening, body, idle_seconds):
+    async def send_call(self, opening, body, idle_seconds):
         self.entered.set()
         await self.going_on.wait()
         raise target_errors.TargetUnreachable()
@@ -45,7 +45,9 @@
     async def near_while_open(self, priority):
         """Tell whether urgent work is near during a call and after it."""
         client = SlowClient()
-        signal = loading.UrgentSignal(moves.UrgentCallMonitor(pause_seconds=0))
+        signal = weight_loading.UrgentSignal(
+            moves.UrgentCallMonitor(pause_seconds=0)
+        )
         guard = gate.Gate(
             gate.GateOptions(target_id='t', is_model=True, call_limit=1),
             client,
@@ -61,10 +63,10 @@
         )
         serving = asyncio.create_task(guard.serve(Call(), opening))
         await client.entered.wait()
-        during = signal.is_near()
+        during = signal.must_pause()
         client.going_on.set()
         await serving
-        return during, signal.is_near()
+        return during, signal.must_pause()
 
     async def test_urgent_call(self):
         self.assertEqual(await self.near_while_open(0), (True, False))
