--- a/bench/engines/fake_control.py
+++ b/bench/engines/fake_control.py
@@ -24,7 +24,7 @@
         """Start with nothing granted."""
         self._table = leases.LeaseTable()
         self._decisions = decisions.Decisions(self._table)
-        self._keeper = leases.LeaseKeeper(
+        self._keeper = leases.LeaseManager(
             lambda: self._table,
             self._commit,
             lambda: asyncio.get_running_loop().time(),
--- a/bench/history/breaks.py
+++ b/bench/history/breaks.py
@@ -13,7 +13,6 @@
 import attrs
 
 from tamarackthread.control import (
-    answers,
     configuration,
     election_timer,
     following,
@@ -22,6 +21,7 @@
     reign,
     replica,
     replication,
+    reply_cache,
     segments,
     timing,
     voting,
@@ -277,7 +277,7 @@
     Break(
         'forget-answers',
         'a resent change is taken for a new one',
-        answers.Answers,
+        reply_cache.ReplyCache,
         'find',
         lambda *_arguments: None,
         seed=6,
@@ -285,7 +285,7 @@
     Break(
         'answers-not-in-snapshot',
         'answers to earlier changes are left out of snapshots',
-        answers.Answers,
+        reply_cache.ReplyCache,
         'everything',
         lambda _self: [],
     ),
--- a/tamarackthread/control/trail.py
+++ b/tamarackthread/control/audit_trail.py
@@ -19,7 +19,7 @@
 RECORD_OVERHEAD_BYTES = 128
 
 
-class Trail:
+class AuditTrail:
     """Hold audit records in the order of their revisions."""
 
     def __init__(self, limit: int = RECORDS_LIMIT) -> None:
--- a/tamarackthread/control/claim_record.py
+++ b/tamarackthread/control/claim_record.py
@@ -208,7 +208,9 @@
     return OVERHEAD_BYTES + len(packed)
 
 
-def join(state: bytes, records: collections.abc.Iterable[bytes]) -> bytes:
+def pack_snapshot(
+    state: bytes, records: collections.abc.Iterable[bytes]
+) -> bytes:
     """Build a snapshot from the machine's own state and its records."""
     parts = [_LENGTH.pack(len(state)), state]
     for packed in records:
@@ -217,7 +219,7 @@
     return b''.join(parts)
 
 
-def split(data: bytes) -> tuple[bytes, list[bytes]]:
+def unpack_snapshot(data: bytes) -> tuple[bytes, list[bytes]]:
     """Read a snapshot's state and records."""
     parts = []
     place = 0
--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -106,7 +106,9 @@
             stamp_ms=self._stamp_ms,
             fence=self._fence,
         )
-        return claim_record.join(wire.encode(state), self._records.values())
+        return claim_record.pack_snapshot(
+            wire.encode(state), self._records.values()
+        )
 
     def restore(self, data: bytes) -> None:
         """Replace all claims by those of a snapshot; empty means none.
@@ -120,7 +122,7 @@
         held = messages.ClaimSnapshot()
         packed: list[bytes] = []
         if data:
-            state, packed = claim_record.split(data)
+            state, packed = claim_record.unpack_snapshot(data)
             held = wire.decode(messages.ClaimSnapshot, state)
         self._clock_ms = held.clock_ms or 0
         self._proposer = held.proposer or ''
--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -12,13 +12,13 @@
 import types
 
 from tamarackthread.control import (
-    answers,
+    audit_trail,
     decisions,
     history,
     leases,
     machine,
     references,
-    trail,
+    reply_cache,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import catalogue, errors, wire
@@ -43,7 +43,7 @@
 class Configuration(machine.Machine):
     """Apply changes, hand-overs of leases and decisions in their order."""
 
-    def __init__(self, audit_records: int = trail.RECORDS_LIMIT) -> None:
+    def __init__(self, audit_records: int = audit_trail.RECORDS_LIMIT) -> None:
         """Start empty; ``audit_records`` bounds the audit trail."""
         self._audit_records = audit_records
         self._watchers: list[Watcher] = []
@@ -60,12 +60,12 @@
         return self._history
 
     @property
-    def trail(self) -> trail.Trail:
+    def audit_trail(self) -> audit_trail.AuditTrail:
         """Give the audit trail."""
         return self._trail
 
     @property
-    def table(self) -> leases.LeaseTable:
+    def lease_table(self) -> leases.LeaseTable:
         """Give who holds each lease."""
         return self._table
 
@@ -121,8 +121,8 @@
         self._clock_ms = 0
         self._documents = catalogue.Catalogue()
         self._history = history.History()
-        self._trail = trail.Trail(self._audit_records)
-        self._answers = answers.Answers()
+        self._trail = audit_trail.AuditTrail(self._audit_records)
+        self._answers = reply_cache.ReplyCache()
         self._table = leases.LeaseTable()
         self._decisions = decisions.Decisions(self._table)
 
--- a/tamarackthread/control/consensus.py
+++ b/tamarackthread/control/consensus.py
@@ -9,7 +9,8 @@
 import random
 
 from tamarackthread.control import (
-    applying,
+    applier,
+    dependencies,
     disk,
     election,
     failures,
@@ -17,7 +18,6 @@
     installing,
     leading,
     machine,
-    parts,
     proposing,
     reconfiguration,
     replica,
@@ -53,7 +53,7 @@
         group; it's empty for a host that is added to a running group.
         """
         self._state = replica.Replica(
-            parts.Parts(
+            dependencies.Dependencies(
                 group=group,
                 node=node,
                 machine=machine,
@@ -64,7 +64,7 @@
                 bootstrap=dict(members),
             )
         )
-        self._applier = applying.Applier(self._state)
+        self._applier = applier.Applier(self._state)
         self._installer = installing.Installer(
             self._state, self._applier.restore
         )
--- a/tamarackthread/control/decisions.py
+++ b/tamarackthread/control/decisions.py
@@ -12,7 +12,7 @@
 from tamarackthread.control import leases
 from tamarackthread.generated.messages import ttypes as messages
 
-KEPT_FOR_EACH_GROUP = 16
+MAX_PER_GROUP = 16
 # Asks for the highest id of a group; nothing is ever recorded under it.
 LATEST = 0
 
@@ -31,7 +31,7 @@
             collections.OrderedDict[int, messages.DecisionRequest],
         ] = {}
 
-    def known(
+    def lookup(
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
@@ -62,7 +62,7 @@
         An owner whose fencing number is no longer the group's decides
         nothing: it may act on what it knew before it was cut off.
         """
-        found = self.known(request)
+        found = self.lookup(request)
         is_read = not request.decision or not request.switch_id
         if found.decision or is_read:
             return found
@@ -74,9 +74,9 @@
             collections.OrderedDict(),
         )
         group[request.switch_id] = request
-        if len(group) > KEPT_FOR_EACH_GROUP:
+        if len(group) > MAX_PER_GROUP:
             group.popitem(last=False)
-        return self.known(request)
+        return self.lookup(request)
 
     def everything(self) -> list[messages.DecisionRequest]:
         """List all decisions that are kept."""
--- a/tamarackthread/control/parts.py
+++ b/tamarackthread/control/dependencies.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen(eq=False)
-class Parts:
+class Dependencies:
     """What a member is built on.
 
     ``bootstrap`` maps the nodes of the group's first formation to addresses.
--- a/tamarackthread/control/election.py
+++ b/tamarackthread/control/election.py
@@ -9,9 +9,9 @@
 from tamarackthread.control import (
     failures,
     formation,
+    member_role,
     membership,
     replica,
-    role,
     voting,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -89,7 +89,7 @@
 
 
 async def _win(state: replica.Replica) -> bool:
-    if state.role.state != role.FOLLOWER or not _may_stand(state):
+    if state.role.state != member_role.FOLLOWER or not _may_stand(state):
         return False
     # The leader may have been heard again while the others were asked.  Its
     # lease then rests on this member too, whose own vote would break it.
@@ -104,7 +104,7 @@
     granted = False
     if state.hard.term == term:
         granted = await _collect(state, _request(state, term))
-    if state.hard.term != term or state.role.state != role.CANDIDATE:
+    if state.hard.term != term or state.role.state != member_role.CANDIDATE:
         return False
     if not granted:
         state.step_down('too few votes')
--- a/tamarackthread/control/entries.py
+++ b/tamarackthread/control/entries.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from tamarackthread.control import configuration, targets
+from tamarackthread.control import configuration, target_documents
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents
@@ -23,7 +23,7 @@
     def __init__(
         self,
         machine: configuration.Configuration,
-        written: targets.DocumentWriter,
+        written: target_documents.DocumentWriter,
     ) -> None:
         """Write through ``written``; ``machine`` shows what is committed."""
         self._machine = machine
@@ -42,7 +42,7 @@
             incarnation=announced.incarnation or 0,
         )
         body = json.dumps(attrs.asdict(wanted), separators=(',', ':'))
-        for _ in range(targets.TRIES):
+        for _ in range(target_documents.MAX_ATTEMPTS):
             latest = self._machine.documents.latest(
                 documents.ENTRY,
                 announced.entry,
@@ -57,4 +57,4 @@
                 node,
             ):
                 return self._machine.documents.revision
-        raise targets.TargetBusy(announced.entry)
+        raise target_documents.TargetBusy(announced.entry)
--- a/tamarackthread/control/source.py
+++ b/tamarackthread/control/feed_source.py
@@ -63,7 +63,7 @@
         leading.on_lead(upstream.changed.notify)
 
     @property
-    def lapse_seconds(self) -> float:
+    def max_lease_seconds(self) -> float:
         """Give the time after which no lease granted before still runs."""
         return self._lease_seconds * DRIFT_RATIO
 
@@ -100,7 +100,7 @@
         """Have the feed report further; as leader it has no parent."""
         self._upstream.take_report()
 
-    def lapses_at(self, revision: int) -> float:
+    def old_leases_end(self, revision: int) -> float:
         """Tell when no node without a revision can take work any more.
 
         Leases that were granted after the revision was applied hold only for
@@ -108,7 +108,7 @@
         """
         for applied, at in self._applied:
             if applied >= revision:
-                return at + self.lapse_seconds
+                return at + self.max_lease_seconds
         return 0
 
     def _on_revision(self, revision: int) -> None:
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -15,15 +15,15 @@
     consensus,
     disk,
     entries,
+    feed_source,
     folder,
     forwarding,
     leadership,
     operations,
     proposer,
-    requests,
+    request_handler,
     shards,
-    source,
-    targets,
+    target_documents,
     timing,
     transport,
 )
@@ -63,11 +63,11 @@
         self._links = peers.Peers(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
         self._machine = configuration.Configuration(self._own.audit_records)
-        self._config = self._group(requests.CONFIG, self._machine)
+        self._config = self._group(request_handler.CONFIG, self._machine)
         self._leading = leadership.Leadership(self._config)
         self._feed = self._build_feed()
         self._leading.on_other_leader(self._feed.retry_now)
-        self._source = source.ControlSource(
+        self._source = feed_source.ControlSource(
             self._leading,
             self._machine,
             self._feed,
@@ -75,7 +75,7 @@
         )
         self._propose = proposer.Proposer(self._config, time.time)
         self._written = {
-            kind: targets.DocumentWriter(kind, self._propose)
+            kind: target_documents.DocumentWriter(kind, self._propose)
             for kind in (documents.TARGET, documents.ENTRY)
         }
         self._sweeps = self._build_sweeps()
@@ -122,7 +122,7 @@
             disk=disk.FolderDisk(self._folder.of_group(name)),
             transport=transport.LinkTransport(self._links),
             members=members,
-            timing=times_of(self._own),
+            timing=timing_of(self._own),
             rng=self._rng,
         )
         self._groups[name] = group
@@ -132,15 +132,17 @@
         return feed.ConfigFeed(
             self._links,
             self._place.options.identity,
-            source.LeaderParent(self._config, self._address_of, self._node),
+            feed_source.LeaderParent(
+                self._config, self._address_of, self._node
+            ),
             self._settings.feed.wait_seconds,
             self._rng,
         )
 
-    def _build_sweeps(self) -> list[targets.LivenessSweep]:
+    def _build_sweeps(self) -> list[target_documents.LivenessSweep]:
         sweeps = []
         for kind, written in self._written.items():
-            sweep = targets.LivenessSweep(
+            sweep = target_documents.LivenessSweep(
                 self._machine,
                 self._feed.below,
                 written,
@@ -151,8 +153,8 @@
             sweeps.append(sweep)
         return sweeps
 
-    def _build_handler(self) -> requests.RequestHandler:
-        handler = requests.RequestHandler(
+    def _build_handler(self) -> request_handler.RequestHandler:
+        handler = request_handler.RequestHandler(
             self._groups,
             self._build_claims(),
             relay.FeedServer(
@@ -162,17 +164,17 @@
                 self._rng,
             ),
         )
-        handler.use(
+        handler.attach(
             self._machine,
             self._leading,
             operations.Operations(
-                operations.Parts(
+                operations.Dependencies(
                     machine=self._machine,
                     leading=self._leading,
                     origin=self._source,
                     below=self._feed.below,
                     propose=self._propose,
-                    targets=targets.Targets(
+                    targets=target_documents.TargetDocuments(
                         self._machine,
                         self._written[documents.TARGET],
                     ),
@@ -196,7 +198,7 @@
     def _build_claims(self) -> dict[str, claim_service.ClaimService]:
         incarnation = self._place.options.identity.incarnation
         services = {}
-        for name in shards.names(self._own.claim_shards):
+        for name in shards.group_names(self._own.claim_shards):
             machine = claims.ClaimsMachine()
             services[name] = claim_service.ClaimService(
                 machine,
@@ -231,7 +233,7 @@
             if not self._leading.leads():
                 continue
             with contextlib.suppress(errors.CodedError):
-                await shards.ensure(
+                await shards.create_documents(
                     self._machine,
                     self._propose,
                     self._own.claim_shards,
@@ -257,7 +259,7 @@
         await asyncio.gather(*stopping)
 
 
-def times_of(own: generated.Control) -> timing.Timing:
+def timing_of(own: generated.Control) -> timing.Timing:
     """Turn settings into the times of the replicated groups."""
     given = own.timing
     return timing.Timing(
--- a/tamarackthread/control/leases.py
+++ b/tamarackthread/control/leases.py
@@ -84,7 +84,7 @@
     contested: bool = False
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Count lease times on the clock of the leader.
 
     ``propose`` commits a request to the table and gives the table's reply.
@@ -108,7 +108,7 @@
         self._clock = clock
         self._terms: dict[str, _Term] = {}
 
-    def lead(self) -> None:
+    def begin_term(self) -> None:
         """Give every holder a full lease from now on.
 
         The leader before may have renewed any of them a moment ago.  Shorter
--- a/tamarackthread/control/member_history.py
+++ b/tamarackthread/control/member_history.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from tamarackthread.control import membership, segments
-from tamarackthread.control import parts as building
+from tamarackthread.control import dependencies, membership, segments
 from tamarackthread.generated.messages import ttypes as messages
 
 
@@ -14,7 +13,7 @@
     be voided, or a snapshot of an earlier index may be taken.
     """
 
-    def __init__(self, parts: building.Parts) -> None:
+    def __init__(self, parts: dependencies.Dependencies) -> None:
         """Begin with no members; addresses are told to the transport."""
         self._parts = parts
         self._rows = [(0, membership.Membership())]
--- a/tamarackthread/control/role.py
+++ b/tamarackthread/control/member_role.py
@@ -20,7 +20,7 @@
 )
 
 
-class Role:
+class MemberRole:
     """Follower, candidate or leader; a wrong move raises.
 
     A learner is a follower that doesn't stand.
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -9,13 +9,13 @@
 from tamarackthread.control import (
     configuration,
     entries,
+    feed_source,
     leadership,
-    portioning,
+    portion_allocator,
     proposer,
-    source,
-    status,
+    rollout_status,
 )
-from tamarackthread.control import targets as announcing
+from tamarackthread.control import target_documents as announcing
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, subtree
 from tamarackthread.shared import peers as dialling
@@ -25,15 +25,15 @@
 
 
 @attrs.frozen
-class Parts:
+class Dependencies:
     """What the leader's operations work on."""
 
     machine: configuration.Configuration
     leading: leadership.Leadership
-    origin: source.ControlSource
+    origin: feed_source.ControlSource
     below: subtree.Subtree
     propose: proposer.Proposer
-    targets: announcing.Targets
+    targets: announcing.TargetDocuments
     entry_list: entries.Entries
     links: dialling.Peers
     own_node: str
@@ -42,12 +42,12 @@
 class Operations:
     """Answer each request that needs the leader."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: Dependencies) -> None:
         """Hold soft state anew for each term that this host leads."""
         self._parts = parts
         self._keeper = parts.propose.keeper(parts.machine)
-        self._portioning = portioning.Portioning(parts.machine)
-        parts.leading.on_lead(self._keeper.lead)
+        self._portioning = portion_allocator.PortionAllocator(parts.machine)
+        parts.leading.on_lead(self._keeper.begin_term)
         parts.leading.on_lead(self._portioning.restart)
 
     async def answer(
@@ -118,7 +118,7 @@
         self,
         request: messages.DecisionRequest,
     ) -> messages.Reply:
-        known = self._parts.machine.decisions.known(request)
+        known = self._parts.machine.decisions.lookup(request)
         if known.decision or not request.decision:
             return messages.Reply(decision=known)
         decided = await self._parts.propose.decide(request)
@@ -129,7 +129,7 @@
         request: messages.StatusRequest,
     ) -> messages.StatusReply:
         newest = self._parts.machine.documents.revision
-        reply = status.build(
+        reply = rollout_status.build(
             request.revision or newest,
             newest,
             self._parts.below,
--- a/tamarackthread/control/portioning.py
+++ b/tamarackthread/control/portion_allocator.py
@@ -13,7 +13,7 @@
 MILLISECONDS = 1000
 
 
-class Portioning:
+class PortionAllocator:
     """Split ``requests_per_second`` of each organisation that is asked for.
 
     Nothing here is replicated: a portion lapses by itself, and a new leader
--- a/tamarackthread/control/proposer.py
+++ b/tamarackthread/control/proposer.py
@@ -62,10 +62,12 @@
     def keeper(
         self,
         machine: configuration.Configuration,
-    ) -> leases.LeaseKeeper:
+    ) -> leases.LeaseManager:
         """Make the keeper that counts lease times on this host."""
         clock = asyncio.get_running_loop().time
-        return leases.LeaseKeeper(lambda: machine.table, self.lease, clock)
+        return leases.LeaseManager(
+            lambda: machine.lease_table, self.lease, clock
+        )
 
     async def _propose(
         self,
--- a/tamarackthread/control/proposing.py
+++ b/tamarackthread/control/proposing.py
@@ -8,7 +8,7 @@
 import attrs
 
 from tamarackthread.control import (
-    applying,
+    applier,
     failures,
     leading,
     reign,
@@ -41,7 +41,7 @@
     def __init__(
         self,
         state: replica.Replica,
-        applier: applying.Applier,
+        applier: applier.Applier,
         leadership: leading.Leadership,
     ) -> None:
         """Share the member's state."""
--- a/tamarackthread/control/reads.py
+++ b/tamarackthread/control/reads.py
@@ -33,7 +33,7 @@
 ) -> messages.AuditReply:
     """List audit records after a revision."""
     limit = request.limit or AUDIT_LIMIT
-    records = machine.trail.after(request.after or 0, limit)
+    records = machine.audit_trail.after(request.after or 0, limit)
     return messages.AuditReply(records=records)
 
 
--- a/tamarackthread/control/replica.py
+++ b/tamarackthread/control/replica.py
@@ -7,17 +7,17 @@
 import logging
 
 from tamarackthread.control import (
+    dependencies,
     election_timer,
     hard_state,
     log,
     member_history,
+    member_role,
     membership,
     reign,
-    role,
     segments,
     snapshots,
 )
-from tamarackthread.control import parts as building
 from tamarackthread.generated.messages import ttypes as messages
 
 _log = logging.getLogger('tamarackthread.control.replica')
@@ -30,7 +30,7 @@
     awaits must look again at the term before acting on what it saw before.
     """
 
-    def __init__(self, parts: building.Parts) -> None:
+    def __init__(self, parts: dependencies.Dependencies) -> None:
         """Hold nothing until ``load``."""
         self._parts = parts
         self._hard = hard_state.HardState(parts.files)
@@ -42,7 +42,7 @@
         self._snapshots = snapshots.SnapshotStore(parts.files)
         self._members = member_history.MemberHistory(parts)
         self._timer = election_timer.ElectionTimer(parts.times, parts.rng)
-        self._role = role.Role()
+        self._role = member_role.MemberRole()
         self._reign: reign.Reign | None = None
         self._leader = ''
         self._commit_index = 0
@@ -50,7 +50,7 @@
         self._committed = asyncio.Event()
 
     @property
-    def parts(self) -> building.Parts:
+    def parts(self) -> dependencies.Dependencies:
         """Return what this member is built on."""
         return self._parts
 
@@ -85,7 +85,7 @@
         return self._timer
 
     @property
-    def role(self) -> role.Role:
+    def role(self) -> member_role.MemberRole:
         """Return whether this member follows, stands or leads."""
         return self._role
 
@@ -218,7 +218,7 @@
 
     def hear(self, leader: str) -> None:
         """Note that the leader of this term has just spoken."""
-        if self._role.state != role.FOLLOWER:
+        if self._role.state != member_role.FOLLOWER:
             self.step_down(f'{leader} leads')
         self._leader = leader
         self._timer.hear()
--- a/tamarackthread/control/answers.py
+++ b/tamarackthread/control/reply_cache.py
@@ -14,11 +14,11 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import wire
 
-KEEP_MS = 24 * 60 * 60 * 1000
+RETENTION_MS = 24 * 60 * 60 * 1000
 REUSED_CODE = 'change-id-reused'
 
 
-class Answers:
+class ReplyCache:
     """Hold answers by change id for 24 hours of the leaders' time."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
         clock_ms: int,
     ) -> collections.abc.Iterator[tuple[str, messages.KeptAnswer]]:
         for change_id, kept in self._kept.items():
-            if clock_ms - kept.clock_ms <= KEEP_MS:
+            if clock_ms - kept.clock_ms <= RETENTION_MS:
                 return
             yield change_id, kept
 
--- a/tamarackthread/control/requests.py
+++ b/tamarackthread/control/request_handler.py
@@ -43,7 +43,7 @@
         self._claims = claims
         self._feeds = feeds
 
-    def use(
+    def attach(
         self,
         machine: configuration.Configuration,
         leading: leadership.Leadership,
--- a/tamarackthread/control/status.py
+++ b/tamarackthread/control/rollout_status.py
@@ -6,7 +6,7 @@
 import collections.abc
 import math
 
-from tamarackthread.control import source
+from tamarackthread.control import feed_source
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import subtree
 
@@ -19,7 +19,7 @@
     revision: int,
     newest: int,
     below: subtree.Subtree,
-    origin: source.ControlSource,
+    origin: feed_source.ControlSource,
     led_since: float,
 ) -> messages.StatusReply:
     """Count the nodes that confirmed a revision and name those that lag.
@@ -34,8 +34,8 @@
         state for state in below.nodes().values() if state.role in _TAKING_WORK
     ]
     laggards = [state for state in nodes if state.revision < revision]
-    knows_all = now >= led_since + origin.lapse_seconds
-    waiting = _waiting(origin.lapses_at(revision) - now)
+    knows_all = now >= led_since + origin.max_lease_seconds
+    waiting = _waiting(origin.old_leases_end(revision) - now)
     if knows_all and not laggards:
         waiting = 0
     in_force = revision <= newest and not waiting
--- a/tamarackthread/control/shards.py
+++ b/tamarackthread/control/shards.py
@@ -11,12 +11,12 @@
 OWN_ACTOR = 'control'
 
 
-def names(count: int) -> list[str]:
+def group_names(count: int) -> list[str]:
     """List the names of the groups of claims."""
     return [f'claims-{number}' for number in range(count)]
 
 
-async def ensure(
+async def create_documents(
     machine: configuration.Configuration,
     propose: proposer.Proposer,
     count: int,
@@ -28,7 +28,7 @@
     """
     if any(machine.documents.each(documents.SHARD)):
         return
-    for name in names(count):
+    for name in group_names(count):
         change = messages.ChangeRequest(
             change_id='',
             actor=OWN_ACTOR,
--- a/tamarackthread/control/targets.py
+++ b/tamarackthread/control/target_documents.py
@@ -17,7 +17,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents, errors, subtree
 
-TRIES = 4
+MAX_ATTEMPTS = 4
 OWN_ACTOR = 'control'
 
 
@@ -74,12 +74,12 @@
             raise AnnouncementInvalid(text)
         return reply.status == messages.ChangeStatus.ACCEPTED
 
-    async def forget(self, name: str, version: int) -> None:
+    async def delete(self, name: str, version: int) -> None:
         """Delete a document whose process has gone, unless it changed."""
         await self.write(name, '', version, OWN_ACTOR)
 
 
-class Targets:
+class TargetDocuments:
     """Announce and drain targets as the leader."""
 
     def __init__(
@@ -97,7 +97,7 @@
         node: str,
     ) -> int:
         """Record a target as announced; give the revision that holds it."""
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             held, version = self._held(announced.target)
             wanted = _merge(announced, held)
             if wanted is None or wanted == held:
@@ -110,7 +110,7 @@
     async def drain(self, request: messages.DrainRequest, origin: str) -> int:
         """Mark a target as leaving, or take the mark back."""
         leaving = not request.cancel
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             held, version = self._held(request.target)
             if held is None:
                 raise TargetUnknown(request.target)
@@ -184,7 +184,7 @@
                 overdue.append(document)
         self._unseen_since = unseen
         for document in overdue:
-            await self._written.forget(document.name, document.version)
+            await self._written.delete(document.name, document.version)
 
     def _address(self, document: messages.Document) -> str:
         known = self._addresses.get(document.name)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from tamarackthread.control import answers, configuration, leases
+from tamarackthread.control import configuration, leases, reply_cache
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import portions
 from tamarackthread.shared import wire
@@ -69,7 +69,7 @@
         self.assertEqual(lost.current.body, '{"a":2}')
         outcomes = [
             (record.actor, record.outcome, record.before, record.after)
-            for record in self.log.machine.trail.after(1, 10)
+            for record in self.log.machine.audit_trail.after(1, 10)
         ]
         self.assertEqual(
             outcomes,
@@ -103,7 +103,7 @@
 
     def test_answers_are_kept_for_the_stated_time(self):
         self.log.change('p', 0, change_id='one')
-        self.log.change('q', 0, elapsed_ms=answers.KEEP_MS)
+        self.log.change('q', 0, elapsed_ms=reply_cache.RETENTION_MS)
         self.assertTrue(self.log.change('p', 0, change_id='one').repeated)
         late = self.log.change('p', 0, change_id='one', elapsed_ms=1)
         self.assertEqual((late.status, late.repeated), (CONFLICT, False))
@@ -112,7 +112,7 @@
         self.log.change('p', 0, change_id='one')
         reply = self.log.change('q', 0, change_id='one')
         self.assertEqual(reply.status, INVALID)
-        self.assertEqual(reply.findings[0].code, answers.REUSED_CODE)
+        self.assertEqual(reply.findings[0].code, reply_cache.REUSED_CODE)
         self.assertIsNone(self.log.machine.documents.get('profile', 'q'))
 
     def test_refused_attempts_are_in_the_trail(self):
@@ -123,7 +123,7 @@
         reply = self.log.apply(change=change, findings=[finding]).change
         codes = [found.code for found in reply.findings]
         self.assertEqual(codes, ['TT1', 'reference-missing'])
-        records = self.log.machine.trail.after(0, 10)
+        records = self.log.machine.audit_trail.after(0, 10)
         self.assertEqual([kept.outcome for kept in records], ['invalid'])
 
     def test_profile_in_use_stays(self):
@@ -166,10 +166,10 @@
             return self.log.apply(lease=request).lease
 
         loop = asyncio.get_running_loop()
-        made = leases.LeaseKeeper(
-            lambda: self.log.machine.table, propose, loop.time
+        made = leases.LeaseManager(
+            lambda: self.log.machine.lease_table, propose, loop.time
         )
-        made.lead()
+        made.begin_term()
         return made
 
     def ask(self, holder, fence=0, release=False):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -52,7 +52,7 @@
             self.assertFalse(found.recorded)
 
     def test_latest_survives_a_snapshot(self):
-        for switch in range(1, 2 * decisions.KEPT_FOR_EACH_GROUP):
+        for switch in range(1, 2 * decisions.MAX_PER_GROUP):
             self.decisions.decide(asked(switch, 'commit', self.fence))
         newest = self.latest()
         self.decisions.replace(self.decisions.everything())
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -5,11 +5,11 @@
 import unittest
 
 from tamarackthread.control import (
+    feed_source,
     leadership,
     proposer,
-    source,
-    status,
-    targets,
+    rollout_status,
+    target_documents,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents, signal, subtree
@@ -38,8 +38,10 @@
         self.log = test_configuration.Log()
         self.group = Group(self.log)
         propose = proposer.Proposer(self.group, float)
-        self.written = targets.DocumentWriter('target', propose)
-        self.targets = targets.Targets(self.log.machine, self.written)
+        self.written = target_documents.DocumentWriter('target', propose)
+        self.targets = target_documents.TargetDocuments(
+            self.log.machine, self.written
+        )
         self.below = subtree.Subtree()
 
     async def announce(self, incarnation=1, **more):
@@ -105,7 +107,7 @@
             self.assertFalse(stage.held().leaving)
             await stage.announce(incarnation=1, leaving=True)
             self.assertFalse(stage.held().leaving)
-            with self.assertRaises(targets.TargetUnknown):
+            with self.assertRaises(target_documents.TargetUnknown):
                 await stage.targets.drain(messages.DrainRequest('x'), 'op')
 
         feed_net.run_paused(scenario)
@@ -120,7 +122,7 @@
         async def scenario():
             stage = Stage()
             await stage.announce()
-            sweep = targets.LivenessSweep(
+            sweep = target_documents.LivenessSweep(
                 stage.log.machine,
                 stage.below,
                 stage.written,
@@ -140,7 +142,7 @@
 
     def test_invalid_announcement_is_refused(self):
         async def scenario():
-            with self.assertRaises(targets.AnnouncementInvalid):
+            with self.assertRaises(target_documents.AnnouncementInvalid):
                 await Stage().announce(ranks=-1)
 
         feed_net.run_paused(scenario)
@@ -157,7 +159,7 @@
         async def scenario():
             stage = Stage()
             upstream = types.SimpleNamespace(changed=signal.Signal())
-            origin = source.ControlSource(
+            origin = feed_source.ControlSource(
                 leadership.Leadership(stage.group),
                 stage.log.machine,
                 upstream,
@@ -165,7 +167,7 @@
             )
 
             def build():
-                return status.build(1, 1, stage.below, origin, -10)
+                return rollout_status.build(1, 1, stage.below, origin, -10)
 
             stage.hear('one', 0)
             stage.hear('two', 0)
@@ -176,7 +178,7 @@
             self.assertEqual((reply.nodes, reply.in_force), (2, 1))
             self.assertEqual([node.node for node in reply.laggards], ['two'])
             self.assertGreaterEqual(reply.waiting_ms, 2000)
-            await asyncio.sleep(origin.lapse_seconds + 0.01)
+            await asyncio.sleep(origin.max_lease_seconds + 0.01)
             reply = build()
             self.assertTrue(reply.in_force_everywhere)
             self.assertEqual(len(reply.laggards), 1)
@@ -189,7 +191,7 @@
         async def scenario():
             stage = Stage()
             upstream = types.SimpleNamespace(changed=signal.Signal())
-            origin = source.ControlSource(
+            origin = feed_source.ControlSource(
                 leadership.Leadership(stage.group),
                 stage.log.machine,
                 upstream,
@@ -198,7 +200,7 @@
             stage.log.change('p', 0)
             stage.hear('one', 1)
             now = feed_net.now()
-            reply = status.build(1, 1, stage.below, origin, now)
+            reply = rollout_status.build(1, 1, stage.below, origin, now)
             self.assertFalse(reply.in_force_everywhere)
             self.assertGreater(reply.waiting_ms, 0)
 
