--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -1,4 +1,4 @@
-"""Stand an entry before fake targets, each with a script of its own."""
+"""Run an entry with direct calls against scripted fake targets."""
 
 import asyncio
 import random
@@ -34,14 +34,14 @@
 
 
 async def measuring(target, head, writer):
-    """Take a body and answer with its length."""
+    """Read a body and answer with its length."""
     text = str(len(await target.body(head)))
     start = head_of(target, head)
     writer.write(f'{start}Content-Length: {len(text)}\r\n\r\n{text}'.encode())
 
 
 class FakeTarget:
-    """Answer each call by a script: a coroutine that writes bytes."""
+    """Answer each request by a script, a coroutine that writes bytes."""
 
     def __init__(self, name, script):
         self.name = name
@@ -75,7 +75,7 @@
 
 
 def header(head, name):
-    """Find a header's value in a request's head."""
+    """Return the value of a header of a request head, empty if missing."""
     for line in head.split('\r\n'):
         if line.lower().startswith(f'{name.lower()}: '):
             return line.split(': ', 1)[1]
@@ -87,7 +87,7 @@
 
 
 def whole(text, status='200 OK'):
-    """Answer with a whole body."""
+    """Answer with a complete body."""
 
     async def script(target, head, writer):
         start = head_of(target, head).replace('200 OK', status)
@@ -105,7 +105,7 @@
 
 
 async def silent(target, head, writer):
-    """Take a call and never answer."""
+    """Accept a call and never answer."""
 
 
 async def dropping(target, head, writer):
@@ -134,7 +134,7 @@
 
 
 def streaming(first, last, is_whole):
-    """Send numbered events; break off in the middle of one unless whole."""
+    """Send numbered events; unless whole, break off within the next one."""
 
     async def script(target, head, writer):
         position = int(header(head, 'Last-Event-Id') or 0)
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -1,8 +1,4 @@
-"""Prove that calls wait for room at their ranks, and who goes first.
-
-The pattern: demand shifts while the ranks of a group have many calls.  Until an
-even map is there a call takes its group twice as long.
-"""
+"""Test that calls queue for free slots, and the order in which they leave."""
 
 from __future__ import annotations
 
@@ -27,21 +23,21 @@
 from tests import policy_case
 
 SERVICE = 's'
-# A pass of five steps of 4.55 ms, and what callers of a stream take.
+# Pass time of an empty group, and the longest pause that callers accept.
 EMPTY = 0.02275
 GAP = 0.15
 SEEDS = (17, 18)
 
 
-def crowd(held, ranks=10, places=50, pace=1.0):
-    """Build a group of ranks with some calls."""
+def crowd(call_count, ranks=10, places=50, pace=1.0):
+    """Build the load of a group of ranks."""
     return concurrency.GroupLoad(
-        calls=held, ranks=ranks, places=places, pace=pace
+        calls=call_count, ranks=ranks, places=places, pace=pace
     )
 
 
 def call_of(aim=0.5, timeout=8.0, priority=1, call_id='c'):
-    """Build a stream that comes now."""
+    """Build a streaming call that arrives now."""
     now = asyncio.get_running_loop().time()
     route = configuration.Route(
         name='r',
@@ -69,7 +65,7 @@
 
 
 class FixedBound(concurrency.ConcurrencyLimit):
-    """Bound the calls by a number that a test sets."""
+    """Limit the concurrency to a number that a test sets."""
 
     def __init__(self, most):
         super().__init__(GAP, EMPTY)
@@ -80,12 +76,8 @@
 
 
 class BoundCase(unittest.TestCase):
-    def test_what_a_call_adds(self):
-        """Thirty calls on ten ranks make passes of 150 ms, as callers take.
-
-        What a pass takes more than an empty one is theirs, so fewer fit within
-        what a usual pass may take of the pause.
-        """
+    def test_pass_time_per_call(self):
+        """The limit follows from the pass time that each call adds."""
         bound = _bound_after(crowd(30), GAP)
         each = (GAP - EMPTY) / 30
         limit = GAP * concurrency.USED_SHARE
@@ -93,89 +85,72 @@
             (limit - EMPTY) / each, bound.most(crowd(30), now=1)
         )
 
-    def test_calls_that_were_just_let_go(self):
-        """Calls double within one pass, which is seen only when it has ended.
-
-        Held against the calls of now, each would seem to add half of what it
-        does; the bound would grow with the calls, and they with it.
-        """
+    def test_recently_admitted_calls(self):
+        """Calls admitted during a pass don't raise the limit that it yields."""
         bound = _bound_after(crowd(20), 0.1)
         before = bound.most(crowd(20), now=1)
         self.assertEqual(before, bound.most(crowd(40), now=1.01))
 
     def test_even_ranks(self):
-        """Full ranks stay within the pause: places are all that bounds."""
+        """Short passes on full ranks: only the number of slots limits calls."""
         most = _bound_after(crowd(50), 0.08).most(crowd(50), now=1)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
-    def test_calls_that_wait_at_ranks(self):
-        """Calls behind the places of a rank do not make its passes longer."""
+    def test_calls_queued_at_ranks(self):
+        """Calls queued at a rank beyond its slots don't lengthen its passes."""
         full, waiting = (
-            _bound_after(crowd(held), GAP).most(crowd(held), now=1)
-            for held in (50, 90)
+            _bound_after(crowd(call_count), GAP).most(crowd(call_count), now=1)
+            for call_count in (50, 90)
         )
         self.assertEqual(full, waiting)
 
     def test_slow_rank(self):
-        """A rank at an eighth of its pace makes even empty passes too long.
-
-        Calls held back would wait for nothing.
-        """
+        """If even empty passes are too long, there is no limit but slots."""
         slow = crowd(20, pace=8)
         most = _bound_after(slow, 0.25).most(slow, now=1)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_old_passes(self):
-        """Nothing was seen of late: what was seen before says nothing."""
+        """Expired pass times don't limit calls."""
         most = _bound_after(crowd(30), GAP).most(crowd(30), now=2)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_no_targets(self):
-        """No rank is known to be ready: no bound, so that calls are tried."""
+        """Without ready ranks there is no limit, so that calls are tried."""
         bound = concurrency.LatencyLimit(GAP, EMPTY)
         self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
 
 
-class LineCase(policy_case.PausedCase):
-    def test_waits_for_an_end(self):
-        """The ranks have enough; the next call goes as one of theirs ends."""
-        self.run_paused(self._waits_for_an_end())
+class QueueCase(policy_case.PausedCase):
+    def test_waits_for_free_slot(self):
+        """At the limit, the next call is admitted when another one ends."""
+        self.run_paused(self._waits_for_free_slot())
 
     def test_in_time_first(self):
-        """Two calls wait: one whose aim has passed, one that can be in time.
-
-        Going by age, both would be late.
-        """
+        """A call that can meet its aim goes before an older one that can't."""
         self.run_paused(self._in_time_first())
 
     def test_urgent_first(self):
-        """Of two that can be in time, the one of higher priority goes."""
+        """Of two calls that can be in time, the one of higher priority goes."""
         self.run_paused(self._urgent_first())
 
-    def test_refused_at_once(self):
-        """No room comes, and an answer takes 2 s.
-
-        The caller is told 'not run' when 2 s of its time are left, and not
-        when none is.
-        """
-        self.run_paused(self._refused_at_once())
+    def test_refused_when_too_late(self):
+        """A queued call is refused once its deadline can't be met any more."""
+        self.run_paused(self._refused_when_too_late())
 
     def test_caller_left(self):
-        """A caller leaves while its call waits: the place goes to another."""
+        """A call whose caller disconnects leaves the queue to another one."""
         self.run_paused(self._caller_left())
 
     def test_shared_by_entries(self):
-        """Six places become free, and three entries see them at once.
-
-        Each takes its part, and not all of them all.
-        """
+        """Of six free slots, each of three entries takes only its quota."""
         self.run_paused(self._shared_by_entries())
 
     def test_without_others(self):
-        """No control host answers: what others have is taken to be alike."""
+        """Without an exchange, other entries are assumed to have equal load."""
         self.run_paused(self._without_others())
 
-    def _line(self, bound, entries=1):
+    def _queue(self, bound, entries=1):
         known = targets.Targets('z', 1.0, random.Random(1))
         for number in range(10):
             known.take(
@@ -188,41 +163,38 @@
                 )
             )
         known.set_other_loads({})
-        line = admission_control.AdmissionQueue(
+        queue = admission_control.AdmissionQueue(
             SERVICE, bound, known, lambda: entries
         )
-        return known, line
+        return known, queue
 
     def test_entry_without_a_call(self):
-        """Others have more calls than the bound of an entry that saw no pass.
-
-        It may have one call all the same, from which it learns; the next waits.
-        """
+        """An entry without calls may send one above the limit, and no more."""
         self.run_paused(self._without_a_call())
 
     async def _without_a_call(self):
-        known, line = self._line(FixedBound(4), entries=3)
+        known, queue = self._queue(FixedBound(4), entries=3)
         known.set_other_loads({'0': outlier_detection.TargetLoad(9)})
-        line.refill()
-        await line.admit(call_of())
+        queue.refill()
+        await queue.admit(call_of())
         known.get('1').own_calls = 1
-        second = asyncio.create_task(line.admit(call_of()))
+        second = asyncio.create_task(queue.admit(call_of()))
         await asyncio.sleep(0.2)
-        line.refill()
+        queue.refill()
         self.assertFalse(second.done())
         second.cancel()
 
-    async def _waits_for_an_end(self):
-        known, line = self._line(FixedBound(1))
-        line.refill()
-        await line.admit(call_of())
+    async def _waits_for_free_slot(self):
+        known, queue = self._queue(FixedBound(1))
+        queue.refill()
+        await queue.admit(call_of())
         known.get('0').own_calls = 1
-        second = asyncio.create_task(line.admit(call_of()))
+        second = asyncio.create_task(queue.admit(call_of()))
         await asyncio.sleep(0.2)
-        line.refill()
+        queue.refill()
         self.assertFalse(second.done())
         known.get('0').own_calls = 0
-        line.release()
+        queue.release()
         await second
 
     async def _in_time_first(self):
@@ -233,26 +205,26 @@
         done = await self._two_waiting(call_of(), call_of(priority=0))
         self.assertEqual([False, True], done)
 
-    async def _two_waiting(self, *two):
-        known, line = self._line(FixedBound(1))
+    async def _two_waiting(self, *pair):
+        known, queue = self._queue(FixedBound(1))
         known.get('0').own_calls = 1
-        tasks = [asyncio.create_task(line.admit(one)) for one in two]
+        tasks = [asyncio.create_task(queue.admit(call)) for call in pair]
         await asyncio.sleep(0.2)
         known.get('0').own_calls = 0
-        line.release()
+        queue.release()
         await asyncio.sleep(0.01)
         done = [task.done() for task in tasks]
         for task in tasks:
             task.cancel()
         return done
 
-    async def _refused_at_once(self):
-        known, line = self._line(FixedBound(1))
+    async def _refused_when_too_late(self):
+        known, queue = self._queue(FixedBound(1))
         known.get('0').own_calls = 1
-        line.record_answer(2.0)
+        queue.record_answer(2.0)
         began = asyncio.get_running_loop().time()
         try:
-            await line.admit(call_of(timeout=5.0))
+            await queue.admit(call_of(timeout=5.0))
         except failures.NoRoomInTime as exc:
             self.assertGreater(exc.retry_after, 0)
         else:
@@ -261,29 +233,29 @@
         self.assertAlmostEqual(3.0, waited, places=2)
 
     async def _caller_left(self):
-        known, line = self._line(FixedBound(1))
+        known, queue = self._queue(FixedBound(1))
         known.get('0').own_calls = 1
         tasks = [
-            asyncio.create_task(line.admit(call_of(aim=aim)))
+            asyncio.create_task(queue.admit(call_of(aim=aim)))
             for aim in (0.5, 0.6)
         ]
         await asyncio.sleep(0.01)
         tasks[0].cancel()
         await asyncio.sleep(0.01)
-        self.assertEqual(1, len(line))
+        self.assertEqual(1, len(queue))
         known.get('0').own_calls = 0
-        line.release()
+        queue.release()
         await tasks[1]
 
     async def _shared_by_entries(self):
         bound = FixedBound(11)
-        known, line = self._line(bound, entries=3)
+        known, queue = self._queue(bound, entries=3)
         known.get('1').own_calls = 1
         known.set_other_loads({'0': outlier_detection.TargetLoad(10)})
-        tasks = [asyncio.create_task(line.admit(call_of())) for _ in range(6)]
+        tasks = [asyncio.create_task(queue.admit(call_of())) for _ in range(6)]
         await asyncio.sleep(0.01)
         known.set_other_loads({'0': outlier_detection.TargetLoad(4)})
-        line.refill()
+        queue.refill()
         await asyncio.sleep(0.01)
         admitted = sum(task.done() for task in tasks)
         for task in tasks:
@@ -291,24 +263,22 @@
         self.assertIn(admitted, {2, 3})
 
     async def _without_others(self):
-        known, line = self._line(FixedBound(8), entries=4)
+        known, queue = self._queue(FixedBound(8), entries=4)
         known.forget_others()
         known.get('0').own_calls = 2
-        waiting = asyncio.create_task(line.admit(call_of()))
+        waiting = asyncio.create_task(queue.admit(call_of()))
         await asyncio.sleep(0.01)
-        line.refill()
+        queue.refill()
         await asyncio.sleep(0.01)
         self.assertFalse(waiting.done())
         known.get('0').own_calls = 1
-        line.release()
+        queue.release()
         await waiting
 
 
 class AdmissionCase(policy_case.PausedCase):
     def test_changed_configuration(self):
-        """A change of the callers' pause comes while calls wait: they go on
-        waiting in the same line, under the new bound.
-        """
+        """A configuration change keeps the queue and updates its limit."""
         self.run_paused(self._changed_configuration())
 
     async def _changed_configuration(self):
@@ -322,13 +292,8 @@
 
 
 class UnevenLoadCase(unittest.TestCase):
-    def test_demand_has_shifted_and_nobody_evens_it(self):
-        """Callers ask an uneven group for twice of what it can do.
-
-        The pattern: demand has shifted, and who owns the maps is gone.  With all
-        calls at the ranks passes take longer than callers take a pause for, and
-        hardly any stream is in time.  Bounded, more than twice as many are.
-        """
+    def test_limit_on_uneven_group(self):
+        """The limit doubles the streams in time of an overloaded group."""
         bounded, unbounded = (
             statistics.mean(
                 heavy._play(
@@ -341,10 +306,10 @@
         self.assertGreater(bounded, 2 * unbounded)
 
 
-def _bound_after(held, seconds):
-    """Return a bound that has seen one pass of a group's calls, until now = 1."""
+def _bound_after(load, seconds):
+    """Return a limit that has seen one pass of a group, up to now = 1."""
     bound = concurrency.LatencyLimit(GAP, EMPTY)
-    bound.most(held, now=1 - seconds)
+    bound.most(load, now=1 - seconds)
     bound.note(seconds, now=1)
     return bound
 
@@ -379,43 +344,39 @@
     return next(one for one in heavy.VARIANTS if one.name == name)
 
 
-class OpeningCase(policy_case.PausedCase):
-    """Answer the load in which a rank is lost, and with it its group's passes."""
+class ClosedGroupCase(policy_case.PausedCase):
+    """Detect from refusals that a group makes no passes."""
 
     def test_closed_group(self):
-        """All ranks refuse each call for seconds, and it is known at once.
-
-        A piece of any answer shows that the group makes passes again, and so
-        do refusals that are long over.
-        """
+        """Refusals by two targets close a group, until a piece or a timeout."""
         self.run_paused(self._closed())
 
     def test_full_ranks(self):
-        """Some ranks refuse since they are full, while streams go on."""
+        """Refusals by full ranks don't close a group whose streams go on."""
         self.run_paused(self._full())
 
     async def _closed(self):
         for opens in (True, False):
-            line = self._line()
-            line.note_refusal('0')
-            self.assertFalse(line.is_closed)
-            line.note_refusal('1')
-            self.assertTrue(line.is_closed)
+            queue = self._queue()
+            queue.note_refusal('0')
+            self.assertFalse(queue.is_closed)
+            queue.note_refusal('1')
+            self.assertTrue(queue.is_closed)
             if opens:
-                line.note_piece()
+                queue.note_piece()
             else:
                 await asyncio.sleep(2 * outages.APART_SECONDS)
-            self.assertFalse(line.is_closed)
+            self.assertFalse(queue.is_closed)
 
     async def _full(self):
-        line = self._line()
+        queue = self._queue()
         for target in range(20):
-            line.note_refusal(str(target))
-            line.note_piece()
-            self.assertFalse(line.is_closed)
+            queue.note_refusal(str(target))
+            queue.note_piece()
+            self.assertFalse(queue.is_closed)
             await asyncio.sleep(0.1)
 
-    def _line(self):
+    def _queue(self):
         known = targets.Targets('z', 1.0, random.Random(1))
         return admission_control.AdmissionQueue(
             SERVICE, FixedBound(1), known, lambda: 1
--- a/tests/test_call_log.py
+++ b/tests/test_call_log.py
@@ -1,4 +1,4 @@
-"""Prove that a late answer leaves a line that tells what it waited for."""
+"""Test that a late answer gets a log line with its timing."""
 
 from __future__ import annotations
 
@@ -22,14 +22,10 @@
 )
 
 
-class LedgerCase(policy_case.PausedCase):
+class CallLogCase(policy_case.PausedCase):
     def test_paused_stream(self):
-        """A stream that came at once and then paused is late.
-
-        Its caller saw a pause of half a second in the middle.  Without a line
-        of its own nobody can tell which step or switch it waited for.
-        """
-        fields = self.run_paused(self._played((0.1, 0.2, 0.7, 0.8)))
+        """A stream that pauses too long is late, and the line has the pause."""
+        fields = self.run_paused(self._logged((0.1, 0.2, 0.7, 0.8)))
         self.assertTrue(fields['is_late'])
         self.assertEqual(100, fields['first_ms'])
         self.assertEqual(500, fields['pause_ms'])
@@ -38,16 +34,16 @@
 
     def test_late_start(self):
         """A stream whose first event came after its aim is late."""
-        fields = self.run_paused(self._played((0.5, 0.55)))
+        fields = self.run_paused(self._logged((0.5, 0.55)))
         self.assertTrue(fields['is_late'])
         self.assertEqual(500, fields['first_ms'])
 
     def test_in_time(self):
-        """A long stream without a pause is not late, and leaves no line."""
-        moments = [0.1 * number for number in range(1, 20)]
-        self.assertIsNone(self.run_paused(self._played(moments)))
+        """A long stream without a pause is not late and gets no line."""
+        times = [0.1 * number for number in range(1, 20)]
+        self.assertIsNone(self.run_paused(self._logged(times)))
 
-    async def _played(self, moments):
+    async def _logged(self, times):
         loop = asyncio.get_running_loop()
         began = loop.time()
         call = calls.Call(
@@ -61,14 +57,14 @@
             arrived_at=began,
             deadline=began + 8,
         )
-        pieces = stream_timing.StreamTiming(target='t1')
-        for moment in moments:
-            await asyncio.sleep(began + moment - loop.time())
-            pieces.note(loop.time())
+        timing = stream_timing.StreamTiming(target='t1')
+        for sent_at in times:
+            await asyncio.sleep(began + sent_at - loop.time())
+            timing.note(loop.time())
         log = logging.getLogger('tamarackthread.entry')
         watched = self.assertLogs(log, 'INFO')
         with watched:
             log.info('begin')
-            call_log.CallLog().log_answered(call, 3, pieces)
+            call_log.CallLog().log_answered(call, 3, timing)
         written = watched.watcher.records[1:]
         return written[0].fields if written else None
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -1,4 +1,4 @@
-"""Prove what callers get when an entry calls targets directly."""
+"""Test what callers get from an entry with direct calls."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 
 
 class AnswersCase(direct_case.DirectCase):
-    async def test_key_stays_and_organisation_goes(self):
-        """A target learns whose call it is and never sees the key."""
+    async def test_key_is_not_forwarded(self):
+        """A target gets the organisation of a call but never the API key."""
         self.serve(direct_case.ONCE)
         fake = await self.add(direct_case.whole('yes'))
         status, body, headers = await self.ask(Tenant='forged')
@@ -28,7 +28,7 @@
         )
 
     async def test_no_configuration_is_not_a_missing_route(self):
-        """An entry without a configuration says 'not run', never 404."""
+        """An entry without a configuration answers 503 and not 404."""
         refused = await self.ask(left='100')
         self.assertEqual(503, refused[0])
         self.serve(direct_case.ONCE)
@@ -36,27 +36,19 @@
         self.assertEqual(401, (await self.ask(key='wrong'))[0])
 
     async def test_reset_does_not_end_an_answer(self):
-        """A target crashes while it sends an answer without a length.
-
-        Such an answer ends with its connection.  A reset is no such end, and
-        the half must not reach the caller as a direct_case.whole answer.
-        """
+        """A reset doesn't count as the end of an answer without a length."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.resetting_unframed)
         self.assertEqual(502, (await self.ask())[0])
 
     async def test_answer_without_a_length(self):
-        """An answer that ends with its connection in good order is direct_case.whole."""
+        """An answer without a length ends with its connection."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.ending_unframed)
         self.assertEqual((200, b'all of it'), (await self.ask())[:2])
 
-    async def test_stray_answer_is_not_passed_on(self):
-        """The answer to another call lies where ours is expected.
-
-        The caller must not get it, and as the call may have run, it is sent
-        again only where that is harmless.
-        """
+    async def test_mismatched_answer_is_not_relayed(self):
+        """An answer to another call is not relayed, nor the call retried."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.answering_another)
         self.assertEqual(502, (await self.ask())[0])
@@ -64,11 +56,7 @@
 
 class LimitsCase(direct_case.DirectCase):
     async def test_long_body_and_header(self):
-        """A body of megabytes and a direct_case.header of many kilobytes are proper.
-
-        The HTTP library's own limits are below those of the configuration
-        and would refuse them.
-        """
+        """The defaults of aiohttp don't refuse long bodies and headers."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.measuring)
         long = {'X-Note': 'n' * 12_000}
@@ -76,7 +64,7 @@
         self.assertEqual((200, str(3 << 20).encode()), answer[:2])
 
     async def test_body_over_the_limit(self):
-        """A body over the configuration's limit is refused and runs nowhere."""
+        """A body over the configured limit is refused and sent nowhere."""
         self.serve(direct_case.ONCE)
         fake = await self.add(direct_case.measuring)
         answer = await self.ask(body=b'b' * (5 << 20))
@@ -86,11 +74,7 @@
 
 class StartCase(direct_case.DirectCase):
     async def test_waits_for_configuration_and_targets(self):
-        """A call comes to an entry that has just started.
-
-        Refused, its caller has used up a try; what is missing comes within a
-        moment, so the call waits for it and is served.
-        """
+        """A call waits for the configuration and targets of a new entry."""
         asking = asyncio.create_task(self.ask())
         while not self.front.open_calls:
             await asyncio.sleep(0)
@@ -99,11 +83,8 @@
         await self.add(direct_case.whole('yes'))
         self.assertEqual((200, b'yes'), (await asking)[:2])
 
-    async def test_one_target_is_not_all(self):
-        """An entry that has just started knows one target, which is full.
-
-        Others announce themselves within a beat; the call goes to them.
-        """
+    async def test_waits_for_second_target(self):
+        """A call refused by the first known target waits for another one."""
         self.serve(direct_case.STREAM, is_resumable=True)
         full = await self.add(direct_case.refusing)
         asking = asyncio.create_task(self.ask())
@@ -113,11 +94,7 @@
         self.assertEqual(200, (await asking)[0])
 
     async def test_first_target_is_not_crowded(self):
-        """Entries that start together know one target at first.
-
-        Each sends it one call and waits a moment for others; all their calls
-        there would fill it, and its refusals use up the budget for tries.
-        """
+        """During discovery, a target gets one call and the next call waits."""
         self.serve(direct_case.STREAM, is_resumable=True)
         first = await self.add(direct_case.silent)
         waiting = asyncio.create_task(self.ask())
@@ -133,13 +110,10 @@
 
 
 class SlowRankCase(direct_case.DirectCase):
-    """Answer the load of a group in which some ranks take several times long.
-
-    All ranks wait in each step for the slowest one's own work.
-    """
+    """Route around ranks that slow their whole group."""
 
     async def test_slow_rank_gets_no_call(self):
-        """A slow rank without calls is left so, however busy the others are."""
+        """A slow rank gets no calls, however busy the others are."""
         self.serve(direct_case.ONCE)
         for _ in range(4):
             await self.add(direct_case.whole('yes'))
@@ -149,7 +123,7 @@
         self.assertNotEqual('t2', self.known.choose('s', ()).name)
 
     async def test_many_slow_ranks_share(self):
-        """Where most ranks are slow, the others have not places for all."""
+        """If most ranks are slow, they get calls as well."""
         self.serve(direct_case.ONCE)
         for _ in range(4):
             await self.add(direct_case.whole('yes'))
@@ -160,11 +134,7 @@
 
 class TriesCase(direct_case.DirectCase):
     async def test_lost_answer_is_not_tried_again(self):
-        """A call that must not repeat meets a target that drops it.
-
-        It may have run, so no other target sees it, and the answer does not
-        say 'not run'.
-        """
+        """A call that must not repeat and may have run is not retried."""
         self.serve(direct_case.ONCE)
         first = await self.add(direct_case.dropping)
         second = await self.add(direct_case.whole('yes'), zone='far')
@@ -172,10 +142,7 @@
         self.assertEqual((1, 0), (len(first.heads), len(second.heads)))
 
     async def test_silent_target_is_named(self):
-        """The deadline passes while a target has the call.
-
-        Whoever looks for the cause needs to know which target kept it.
-        """
+        """A timeout names the target that had the call."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.silent)
         logged = self.enterContext(self.assertLogs('tamarackthread.entry'))
@@ -186,11 +153,7 @@
         self.assertEqual(['t1'], [row.fields['target'] for row in tries])
 
     async def test_library_does_not_repeat(self):
-        """A read is sent once to a target that drops it, then elsewhere.
-
-        The HTTP library would send it to the same target again by itself,
-        a run that no budget counts.
-        """
+        """aiohttp doesn't resend a request to the same target on its own."""
         self.serve(direct_case.IDEMPOTENT)
         first = await self.add(direct_case.dropping)
         second = await self.add(direct_case.whole('yes'), zone='far')
@@ -198,7 +161,7 @@
         self.assertEqual((1, 1), (len(first.heads), len(second.heads)))
 
     async def test_refused_unrun(self):
-        """All targets refuse: the caller is told 'not run' and when to come."""
+        """A call that all targets refuse gets 503 with Retry-After."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.refusing)
         await self.add(direct_case.refusing)
@@ -207,11 +170,7 @@
         self.assertGreater(float(headers['Retry-After']), 0)
 
     async def test_refused_by_one_target(self):
-        """One target refuses calls that it has places for, unrun.
-
-        An order may run at one target only.  It has not run there, so it goes
-        on to another at once; sent away, its caller would be late.
-        """
+        """A call that may run once goes to another target after a refusal."""
         self.serve(direct_case.ONCE, attempts=1)
         full = await self.add(direct_case.refusing)
         sound = await self.add(direct_case.whole('yes'), zone='far')
@@ -219,30 +178,22 @@
         self.assertEqual((1, 1), (len(full.heads), len(sound.heads)))
 
     async def test_refused_by_all(self):
-        """Two of three targets refuse an order: the third is not asked.
-
-        Two that refuse tell that the service is full, and each try more is
-        one that others lack.
-        """
+        """After two refusals the third target is not tried."""
         self.serve(direct_case.ONCE, attempts=1)
         fakes = [await self.add(direct_case.refusing) for _ in range(3)]
         self.assertEqual(503, (await self.ask())[0])
         self.assertEqual(2, sum(len(fake.heads) for fake in fakes))
 
     async def test_unreachable_target(self):
-        """A call goes on to another target when one can't be connected to."""
+        """A call goes to another target after a failed connection."""
         self.serve(direct_case.ONCE, attempts=1)
         gone = await self.add(direct_case.whole('no'))
         gone.close()
         await self.add(direct_case.whole('yes'), zone='far')
         self.assertEqual((200, b'yes'), (await self.ask())[:2])
 
-    async def test_address_that_another_has(self):
-        """A target is gone and another one has its address.
-
-        That one refuses by the expected identity; nothing ran, and the call
-        goes on to the target that is there, although it may be sent once.
-        """
+    async def test_misdirected_call(self):
+        """A misdirected call goes on to another target, as it has not run."""
         self.serve(direct_case.ONCE, attempts=1)
 
         async def another(target, head, writer):
@@ -256,8 +207,8 @@
         self.assertEqual((200, b'yes'), (await self.ask())[:2])
         self.assertEqual(1, len(gone.heads))
 
-    async def test_own_failure_is_tried_elsewhere(self):
-        """A target's own failure of a read is tried at another target."""
+    async def test_error_is_retried_elsewhere(self):
+        """A read that fails with 500 is retried at another target."""
         self.serve(direct_case.IDEMPOTENT)
         await self.add(direct_case.whole('bad', '500 Bad'))
         await self.add(direct_case.whole('good'), zone='far')
@@ -266,11 +217,7 @@
 
 class StreamCase(direct_case.DirectCase):
     async def test_resumed_elsewhere(self):
-        """A stream breaks in the middle of an event and goes on elsewhere.
-
-        The caller sees each event once and in order, and nothing of the half
-        event, in one answer.
-        """
+        """A stream that breaks within an event resumes at the next event."""
         self.serve(direct_case.STREAM, is_resumable=True)
         await self.add(direct_case.streaming(1, 3, is_whole=False))
         second = await self.add(
@@ -286,10 +233,7 @@
         )
 
     async def test_unnumbered_events(self):
-        """A stream of events without numbers breaks after its first.
-
-        Begun anew elsewhere, its caller would read the first event twice.
-        """
+        """A stream without event numbers is not resumed."""
         self.serve(direct_case.STREAM, is_resumable=True)
 
         async def unnumbered(target, head, writer):
@@ -307,14 +251,14 @@
         self.assertEqual([], second.heads)
 
     async def test_broken_visibly(self):
-        """A stream that can't go on ends so that no caller takes it for direct_case.whole."""
+        """A stream that can't be resumed ends with a connection error."""
         self.serve(direct_case.STREAM)
         await self.add(direct_case.streaming(1, 3, is_whole=False))
         with self.assertRaises(aiohttp.ClientError):
             await self.ask()
 
     async def test_caller_leaves(self):
-        """A caller closes its connection; the target's is closed at once."""
+        """When a caller disconnects, the connection to the target is closed."""
         self.serve(direct_case.STREAM, is_resumable=True)
         started = asyncio.Event()
 
@@ -333,11 +277,7 @@
 
 class StopCase(direct_case.DirectCase):
     async def test_idle_connection_is_closed(self):
-        """A caller with an idle connection sees a stop, and waits for nothing.
-
-        The HTTP library's own close leaves the connection open and drops what
-        comes on it, so that the next request would never be answered.
-        """
+        """A stopping entry closes idle connections."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.whole('yes'))
         host, _, port = self.address.rpartition(':')
@@ -354,7 +294,7 @@
         writer.close()
 
     async def test_call_in_a_stop(self):
-        """A call that comes after the grace of a stop is told 'not run'."""
+        """A drain asks callers to reconnect, and then refuses new calls."""
         self.serve(direct_case.ONCE)
         await self.add(direct_case.whole('yes'))
         self.front.begin_drain()
@@ -366,12 +306,7 @@
 
 class ClosedCase(direct_case.DirectCase):
     async def test_closed_group(self):
-        """A caller whose group makes no passes is told when it will again.
-
-        Both targets refuse at once, as they do for seconds after one rank of
-        their group was lost.  Told a quarter of a second, the caller would be
-        refused again and have no try left.
-        """
+        """A call to a group without passes gets a longer Retry-After."""
         self.serve(direct_case.STREAM, gap=0.12)
         self.admission.learn(
             configuration.Configuration(
@@ -395,13 +330,9 @@
 
 class PriorityCase(direct_case.DirectCase):
     async def test_organisation_goes_first(self):
-        """Two callers wait for room, and only one of them finds it.
-
-        Their calls are of one route and came one after the other.  The later
-        one's organisation is more urgent than the route, so its call goes.
-        """
+        """The priority of an organisation overrides that of the route."""
         self.serve(direct_case.STREAM, gap=0.12, priority=2)
-        self.hold_organisations()
+        self.set_organisations()
         for _ in range(2):
             await self.add(direct_case.streaming(1, 2, is_whole=True))
         full = self.known.get('t1')
@@ -422,8 +353,8 @@
         for task in late:
             task.cancel()
 
-    def hold_organisations(self):
-        held = self.tables.current.config
+    def set_organisations(self):
+        current = self.tables.current.config
         organisations = tuple(
             configuration.Organisation(
                 name=key, keys=frozenset((key,)), priority=priority
@@ -431,7 +362,7 @@
             for key, priority in (('usual', None), ('urgent', 0))
         )
         fresh = attrs.evolve(
-            held,
+            current,
             organisations=organisations,
             services=(
                 configuration.Service(
--- a/tests/test_direct_role.py
+++ b/tests/test_direct_role.py
@@ -1,4 +1,4 @@
-"""Prove that an entry whose own work has failed does not look alive."""
+"""Test that an entry ends when one of its tasks fails."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class Fault(Exception):
-    """What a fault of the program raises in one of its tasks."""
+    """An unexpected error in one of the entry's tasks."""
 
 
 async def failing(known):
@@ -43,13 +43,8 @@
         )
         self.settings = settings.load(path)
 
-    def test_work_that_ends_ends_the_entry(self):
-        """A fault ends the task that watches the targets.
-
-        Nothing else would notice: calls go on to targets that are long gone.
-        The entry stops in order and ends with the fault, so that whoever
-        watches the process starts it anew.
-        """
+    def test_failed_task_ends_entry(self):
+        """An error in the sweep of targets ends the entry for a restart."""
         with mock.patch.object(targets.Targets, 'run', failing):
             with self.assertRaises(Fault):
                 asyncio.run(self.run_entry())
--- a/tests/test_failing_targets.py
+++ b/tests/test_failing_targets.py
@@ -1,8 +1,4 @@
-"""Prove that a target that fails what others answer gets fewer calls.
-
-The pattern: one of three targets of a plain service ends each call with an error
-within some milliseconds for six seconds, while its health check is good.
-"""
+"""Test that targets which fail more calls than others are ejected."""
 
 from __future__ import annotations
 
@@ -21,7 +17,7 @@
 
 SERVICE = 's'
 ENTRIES = 15
-# Eight calls a second at three targets, of which one fails from second 5 to 11.
+# Calls a second at three targets, of which one fails for a while.
 RATE = 8.0
 FAILS_FROM = 5.0
 FAILS_UNTIL = 11.0
@@ -31,61 +27,61 @@
 SEEDS = (1, 2, 3, 4, 5, 6)
 
 
-class RecordCase(unittest.TestCase):
+class OutlierCase(unittest.TestCase):
     def test_one_of_three(self):
-        """One target fails all of its calls, the others none."""
-        held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([held[0]], outlier_detection.eject_outliers(held, 1.0))
-        self.assertEqual([True, False, False], _ejected(held, 1.1))
+        """A target that fails all of its calls is ejected."""
+        histories = [_history(0, 4), _history(5, 0), _history(5, 0)]
+        self.assertEqual(
+            [histories[0]], outlier_detection.eject_outliers(histories, 1.0)
+        )
+        self.assertEqual([True, False, False], _ejected(histories, 1.1))
 
     def test_all_fail(self):
-        """All targets fail alike: none is worse, and none is left out."""
-        held = [_record(2, 4), _record(2, 4), _record(2, 5)]
-        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
+        """Where all targets fail alike, none is ejected."""
+        histories = [_history(2, 4), _history(2, 4), _history(2, 5)]
+        self.assertEqual([], outlier_detection.eject_outliers(histories, 1.0))
 
     def test_usual_failures(self):
-        """One call in seven fails at each target, as some kinds' do."""
-        held = [_record(18, 3), _record(18, 3), _record(15, 5)]
-        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
+        """A similar failure share at all targets ejects none."""
+        histories = [_history(18, 3), _history(18, 3), _history(15, 5)]
+        self.assertEqual([], outlier_detection.eject_outliers(histories, 1.0))
 
     def test_at_most_a_part(self):
-        """Two of three fail; the third alone would have no room for all."""
-        held = [_record(0, 6), _record(1, 6), _record(6, 0)]
-        outlier_detection.eject_outliers(held, 1.0)
-        self.assertEqual(1, sum(_ejected(held, 1.1)))
+        """Of three targets at most one is ejected, so that slots remain."""
+        histories = [_history(0, 6), _history(1, 6), _history(6, 0)]
+        outlier_detection.eject_outliers(histories, 1.0)
+        self.assertEqual(1, sum(_ejected(histories, 1.1)))
 
     def test_one_of_two(self):
-        """One of two targets stays in: the other may be the next to fail."""
-        held = [_record(0, 6), _record(6, 0)]
-        self.assertEqual([], outlier_detection.eject_outliers(held, 1.0))
+        """Of two targets none is ejected."""
+        histories = [_history(0, 6), _history(6, 0)]
+        self.assertEqual([], outlier_detection.eject_outliers(histories, 1.0))
 
     def test_fails_again(self):
-        """A target that was let back fails its first call: out for longer."""
-        held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        outlier_detection.eject_outliers(held, 1.0)
+        """A failure on probation ejects a target for twice as long."""
+        histories = [_history(0, 4), _history(5, 0), _history(5, 0)]
+        outlier_detection.eject_outliers(histories, 1.0)
         back = 1.0 + outlier_detection.EJECTION_SECONDS
-        self.assertFalse(held[0].is_ejected(back))
-        held[0].note(is_good=False, now=back)
-        for other in held[1:]:
+        self.assertFalse(histories[0].is_ejected(back))
+        histories[0].note(is_good=False, now=back)
+        for other in histories[1:]:
             other.note(is_good=True, now=back)
-        outlier_detection.eject_outliers(held, back)
+        outlier_detection.eject_outliers(histories, back)
         self.assertTrue(
-            held[0].is_ejected(back + 1.9 * outlier_detection.EJECTION_SECONDS)
+            histories[0].is_ejected(
+                back + 1.9 * outlier_detection.EJECTION_SECONDS
+            )
         )
 
     def test_old_failures(self):
-        """A target that failed long ago is as good as any."""
-        held = [_record(0, 4), _record(5, 0), _record(5, 0)]
-        self.assertEqual([], outlier_detection.eject_outliers(held, 9.0))
+        """Expired failures don't count."""
+        histories = [_history(0, 4), _history(5, 0), _history(5, 0)]
+        self.assertEqual([], outlier_detection.eject_outliers(histories, 9.0))
 
 
 class LoadCase(policy_case.PausedCase):
     def test_calls_that_must_not_repeat(self):
-        """Orders reach fifteen entries, each of which sees half a call a second.
-
-        By its own calls an entry would learn of the failing target when it is
-        mended.  Told of all, entries lose less than half of what they lost.
-        """
+        """Entries that exchange outcomes lose less than half as many calls."""
         apart = sum(self._play(seed, shares=False) for seed in SEEDS)
         together = sum(self._play(seed, shares=True) for seed in SEEDS)
         self.assertLess(together, apart / 2)
@@ -99,12 +95,12 @@
         for number in range(ENTRIES):
             known = _targets(generator)
             links = test_load_exchange.Host(f'e{number}', {'h': host})
-            shared = load_exchange.LoadExchange(
-                known, links, _hosts, _entries, _nothing
+            exchange = load_exchange.LoadExchange(
+                known, links, _hosts, _entries, _on_exchange
             )
             entries.append(known)
             if shares:
-                self._keep(shared.run())
+                self._keep(exchange.run())
         loop = asyncio.get_running_loop()
         began = loop.time()
         lost = []
@@ -128,7 +124,7 @@
     return range(ENTRIES)
 
 
-def _nothing():
+def _on_exchange():
     """Do nothing after an exchange."""
 
 
@@ -160,12 +156,12 @@
     return known
 
 
-def _record(answered, failed):
-    record = outlier_detection.OutcomeHistory()
+def _history(answered, failed):
+    history = outlier_detection.OutcomeHistory()
     for call in range(answered + failed):
-        record.note(is_good=call < answered, now=0.5)
-    return record
+        history.note(is_good=call < answered, now=0.5)
+    return history
 
 
-def _ejected(held, now):
-    return [record.is_ejected(now) for record in held]
+def _ejected(histories, now):
+    return [history.is_ejected(now) for history in histories]
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -1,4 +1,4 @@
-"""Prove that calls go to the groups that have room for them."""
+"""Test that calls go to groups with free slots."""
 
 import asyncio
 import random
@@ -31,8 +31,8 @@
     ]
 
 
-def known_targets(told=True):
-    """Build an entry's targets; group ``gN`` lies in zone ``zN``."""
+def known_targets(reported=True):
+    """Build an entry's targets; group ``gN`` is in zone ``zN``."""
     known = targets.Targets('z0', 1.0, random.Random(4))
     for name in NAMES:
         for rank in range(RANKS):
@@ -46,25 +46,18 @@
                 )
             )
     known.set_other_loads({})
-    if told:
+    if reported:
         known.learn_groups(1, rows())
     return known
 
 
 class ChoiceCase(policy_case.PausedCase):
     def test_closed_group(self):
-        """A group whose rank has crashed makes no passes and gets no calls.
-
-        Its ranks have the fewest calls, since they refuse all.  With all groups
-        closed a call goes to any of them: one may have opened again.
-        """
+        """A closed group gets calls only if all groups are closed."""
         self.run_paused(self._closed())
 
     def test_group_that_failed_the_call(self):
-        """A call that a group's loss has cut off goes on in another group.
-
-        With no other one it goes to the same again.
-        """
+        """A call avoids groups that have failed it, if there are others."""
         self.run_paused(self._failed())
 
     async def _closed(self):
@@ -91,15 +84,15 @@
 
 class LearnedCase(policy_case.PausedCase):
     def test_former_owner(self):
-        """A former owner tells of groups as they were; its term is lower."""
+        """Groups reported by a former owner, with a lower term, are ignored."""
         self.run_paused(self._former())
 
     def test_one_group(self):
-        """A service of one group is served as one whose groups nobody knows."""
+        """Targets without known groups get calls."""
         self.run_paused(self._one())
 
     def test_new_start(self):
-        """A target that has just come is in no group until it is told."""
+        """A new target is in no group until one is reported."""
         self.run_paused(self._new_start())
 
     async def _former(self):
@@ -110,7 +103,7 @@
         self.assertEqual('g9', known.get('g0-0').group)
 
     async def _one(self):
-        known = known_targets(told=False)
+        known = known_targets(reported=False)
         for left in ((), {''}):
             self.assertIsNotNone(known.choose(SERVICE, (), left))
         self.assertEqual(len(NAMES) * RANKS, known.crowd(SERVICE, 1).ranks)
@@ -156,14 +149,14 @@
         return self.held.rows
 
     def test_silent_rank(self):
-        """A rank whose report is lost stays in its group."""
+        """A rank whose report is missing stays in its group."""
         whole = (report('a', 0), report('a', 1), report('b', 0))
         self.learn(*whole, report('b', 1))
         found = self.learn(*whole, None)
         self.assertEqual(({'t2', 't3'}, True), found['b'])
 
     def test_closed(self):
-        """One rank that says so tells that its group makes no passes."""
+        """One rank that reports its group as closed is enough."""
         found = self.learn(
             report('a', 0),
             report('a', 1, is_open=False),
@@ -174,16 +167,16 @@
         self.assertTrue(self.held.has_closed)
 
     def test_one_group(self):
-        """Of a service with one group nothing is told."""
+        """The group of a service with one group is not reported."""
         self.assertEqual({}, self.learn(*(report('a', 0) for _ in range(4))))
 
 
 class FeedCase(policy_case.PausedCase):
-    def test_told_once(self):
-        """A follower learns the groups at once, and not with each answer."""
-        self.run_paused(self._told())
+    def test_sent_once(self):
+        """A follower gets changed groups at once, and only once."""
+        self.run_paused(self._sent_once())
 
-    async def _told(self):
+    async def _sent_once(self):
         held = book.Book(1)
         followers = feeding.Feeding(machine.SiteMachine(), held, list, 11)
         peer = types.SimpleNamespace(
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""Prove that entries know of each other's calls, and choose by all of them."""
+"""Test that entries exchange their loads and balance by all of them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Host:
-    """Be the links of one entry to some control hosts."""
+    """Simulate the links of one entry to control hosts."""
 
     def __init__(self, name, hosts):
         self.name = name
@@ -42,7 +42,7 @@
 
 
 def entry_of(name, hosts, targets_known=2):
-    """Build an entry that knows some targets, and its part of sharing."""
+    """Build the targets and the load exchange of an entry."""
     known = targets.Targets('z', 1.0, random.Random(1))
     for number in range(targets_known):
         known.take(
@@ -55,31 +55,31 @@
             )
         )
     links = Host(name, hosts)
-    shared = load_exchange.LoadExchange(
+    exchange = load_exchange.LoadExchange(
         known, links, lambda: tuple(hosts), lambda: ('e1', 'e2'), lambda: None
     )
-    return known, links, shared
+    return known, links, exchange
 
 
-class SharingCase(policy_case.PausedCase):
+class LoadExchangeCase(policy_case.PausedCase):
     def test_sums(self):
-        """Each entry learns the calls of the others, without its own."""
+        """Each entry learns the load of the others, without its own."""
         self.run_paused(self._sums())
 
     def test_lost_host(self):
-        """The host that sums is gone: the next one does, from nothing."""
+        """After the loss of the host, the next one sums from scratch."""
         self.run_paused(self._lost_host())
 
     def test_killed_entry(self):
-        """An entry is killed with calls; they do not count for ever."""
+        """The calls of a killed entry expire."""
         self.run_paused(self._killed_entry())
 
     def test_restarted_host(self):
-        """A host that starts again has other sums, and all are told anew."""
+        """A restarted host has lost its sums and gets them again."""
         self.run_paused(self._restarted_host())
 
     def test_alone(self):
-        """An entry that reaches no host goes by its own calls."""
+        """An entry that reaches no host balances by its own calls."""
         self.run_paused(self._alone())
 
     async def _sums(self):
@@ -88,8 +88,8 @@
         second, _, two = entry_of('e2', hosts)
         first.get('t0').own_calls = 2
         second.get('t0').own_calls = 1
-        for shared in (one, two, one):
-            await shared.exchange()
+        for exchange in (one, two, one):
+            await exchange.exchange()
         self.assertEqual(1, first.get('t0').other_calls)
         self.assertEqual(2, second.get('t0').other_calls)
         first.get('t0').own_calls = 0
@@ -137,10 +137,10 @@
 
     async def _alone(self):
         hosts = {'h1': loads.Loads(1)}
-        known, links, shared = entry_of('e1', hosts)
+        known, links, exchange = entry_of('e1', hosts)
         known.set_other_loads({'t0': outlier_detection.TargetLoad(3)})
         links.cut.add('h1')
-        running = asyncio.create_task(shared.run())
+        running = asyncio.create_task(exchange.run())
         await asyncio.sleep(load_exchange.STALE_SECONDS + 0.5)
         self.assertEqual(0, known.get('t0').other_calls)
         running.cancel()
@@ -148,12 +148,7 @@
 
 class ChoiceCase(policy_case.PausedCase):
     def test_no_herd(self):
-        """One rank of many is free, and every entry sees it at once.
-
-        What was sent since the last exchange is not known: if all entries
-        went for the freest rank it would get all of that.  Each compares a
-        few ranks that it draws, so that one in thirty goes there.
-        """
+        """Entries don't all send to the one free rank that they see."""
         self.run_paused(self._no_herd())
 
     async def _no_herd(self):
@@ -171,14 +166,7 @@
 
 class LargeLoadCase(unittest.TestCase):
     def test_many_entries_before_a_large_group(self):
-        """Streams of 39 entries press 129 ranks of three places each.
-
-        The pattern: each entry sees a thirty-ninth of the calls.  By its own
-        calls alone it sends some to ranks that others have filled, where they
-        wait for as long as a stream lasts, while most ranks have a place.  At
-        1.15 of the load at which nobody waits with even maps, told of all
-        calls more than a tenth more of them are in time.
-        """
+        """Entries that share loads have over a tenth more streams in time."""
         pattern = attrs.evolve(_pattern('large'), load=1.15)
         shared, alone = (
             statistics.mean(
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -1,4 +1,4 @@
-"""Prove that a target which starts again under its name is known as new."""
+"""Test that a restarted target is known as a new instance."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def announcement(
     state=State.READY, sequence=1, born=BORN, target='t1', port=80
 ):
-    """Build an announcement of a start."""
+    """Build an announcement of a target instance."""
     return announcements.Announcement(
         target=target,
         service='s',
@@ -43,32 +43,25 @@
 
 class FollowsCase(unittest.TestCase):
     def test_later_start_counts(self):
-        """A target crashes and starts again under its name.
-
-        Its sequence begins anew, so that by sequence alone nothing that it
-        says would count until it has beaten as often as before its crash.
-        """
+        """A restarted target is known despite its lower sequence number."""
         self.assertTrue(
             announcement(born=LATER).follows(announcement(sequence=41))
         )
 
     def test_farewell_is_of_one_start(self):
-        """A target leaves and starts again: the new start takes calls."""
+        """A farewell of an instance doesn't apply to the next one."""
         for farewell in (State.LEAVING, State.GONE):
             held = announcement(farewell, sequence=41)
             self.assertTrue(announcement(born=LATER).follows(held))
 
     def test_earlier_start_never_counts(self):
-        """Words of a crashed start come late, its farewell among them."""
+        """Delayed announcements of an ended instance are ignored."""
         held = announcement(born=LATER)
         for state in (State.READY, State.LEAVING, State.GONE, State.SILENT):
             self.assertFalse(announcement(state, sequence=99).follows(held))
 
-    def test_word_without_a_start(self):
-        """A process of an older release passes words on without their start.
-
-        They are judged as of the start that is held, and do not hide it.
-        """
+    def test_announcement_without_start(self):
+        """Announcements of an older release apply to the known instance."""
         held = announcement(sequence=5)
         late = announcement(born=0, sequence=4)
         self.assertFalse(late.follows(held))
@@ -81,7 +74,7 @@
         self.assertFalse(announcement(sequence=9).follows(leaving))
 
     def test_passed_on(self):
-        """The start is in the messages between our processes, and optional."""
+        """The start time is an optional field of the message."""
         row = announcements.to_message(announcement())
         self.assertEqual(BORN, announcements.of_message(row).born)
         row.born_ms = None
@@ -90,19 +83,16 @@
 
 class BookCase(policy_case.PausedCase):
     def test_late_farewell(self):
-        """The farewell of an earlier start comes after the later one's word."""
+        """A delayed farewell of an ended instance is ignored."""
         self.run_paused(self._late_farewell())
 
-    def test_word_of_nobody(self):
-        """Another writer beats under the name of a target, without a start.
-
-        Taken for its newest word, it would keep a dead target alive.
-        """
-        self.run_paused(self._word_of_nobody())
+    def test_heartbeat_without_start(self):
+        """Heartbeats without a start time don't keep a target alive."""
+        self.run_paused(self._heartbeat_without_start())
 
-    def test_slow_no_more(self):
-        """An earlier start was slow; the later one is as fast as any."""
-        self.run_paused(self._slow_no_more())
+    def test_pace_is_reset(self):
+        """The pace of an ended instance is not kept for the next one."""
+        self.run_paused(self._pace_is_reset())
 
     async def _late_farewell(self):
         held = book.Book(BEAT)
@@ -112,14 +102,14 @@
         held.farewell('t1', LATER)
         self.assertEqual(State.GONE, held.after(0)[0].state)
 
-    async def _word_of_nobody(self):
+    async def _heartbeat_without_start(self):
         held = book.Book(BEAT)
         held.take(announcement())
         with self.assertRaises(book.StartMissing):
             held.take(announcement(born=0, sequence=99))
         self.assertEqual([announcement()], held.after(0))
 
-    async def _slow_no_more(self):
+    async def _pace_is_reset(self):
         held = book.Book(BEAT)
         held.take(announcement())
         held.note_pace('t1', 3.0)
@@ -128,12 +118,8 @@
 
 
 class RosterCase(unittest.TestCase):
-    def test_late_word_at_a_reused_address(self):
-        """A word of a crashed target comes when another has its address.
-
-        Taken for the newer one, it would take a living rank out of its group
-        until that speaks again, a beat later.
-        """
+    def test_late_announcement_at_reused_address(self):
+        """A delayed announcement doesn't replace the target at its address."""
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
         known.learn_target(announcement(born=LATER, target='t2'))
         known.learn_target(announcement(born=BORN, target='t1', sequence=9))
@@ -141,12 +127,7 @@
         self.assertEqual(['t2'], names)
 
     def test_remembered_name_at_a_living_address(self):
-        """All hosts lost power; a target is back under a new name.
-
-        A host tells of the old name from its file, then that it is silent.
-        The rank at the address is the new one, and each order that is meant
-        for the old one would be refused: no map would be changed any more.
-        """
+        """A silent target that was read from a file doesn't hide a live one."""
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
         known.learn_target(announcement(born=0, target='old'))
         known.learn_target(announcement(born=0, target='new'))
@@ -155,7 +136,7 @@
         self.assertEqual(['new'], names)
 
     def test_both_silent(self):
-        """Of two silent targets the later start is at the address."""
+        """Of two silent targets at an address, the later instance counts."""
         known = roster.Roster(machine.SiteMachine(), reading.PlatformReader())
         known.learn_target(announcement(State.SILENT, born=LATER, target='t2'))
         known.learn_target(announcement(State.SILENT, born=BORN, target='t1'))
@@ -165,10 +146,7 @@
 
 class DemandCase(unittest.TestCase):
     def test_counts_begin_anew(self):
-        """A rank starts again within an epoch, and its counts with it.
-
-        Their difference to those of the earlier start is nobody's demand.
-        """
+        """Counters that restart with a rank don't count as demand."""
         known = demand.Demand()
         known.take({'t1': ranks.Counts(1, ((0, 9),), BORN)}, 0)
         known.take({'t1': ranks.Counts(1, ((50, 10),), LATER)}, 0)
@@ -178,12 +156,7 @@
 
 
 class HistoryCase(policy_case.PausedCase):
-    """Starts, crashes, farewells and restarts, told late and out of order.
-
-    Words of each start go to any of three control hosts and come in any order;
-    entries ask the hosts at any moment.  Once it is quiet, each entry holds
-    the latest start, with the farewell that this one has said, if any.
-    """
+    """Replay random starts, crashes and farewells out of order."""
 
     def test_histories(self):
         for seed in SEEDS:
@@ -193,10 +166,10 @@
     async def _history(self, rng):
         hosts = [book.Book(BEAT) for _ in range(3)]
         entries = [_Entry(rng, hosts) for _ in range(2)]
-        words, last = _lives(rng)
-        rng.shuffle(words)
-        for word in words:
-            _deliver(rng.choice(hosts), word)
+        sent, last = _random_history(rng)
+        rng.shuffle(sent)
+        for row in sent:
+            _deliver(rng.choice(hosts), row)
             await asyncio.sleep(rng.random() * BEAT)
             for host in hosts:
                 host.sweep()
@@ -211,7 +184,7 @@
 
 
 class _Entry:
-    """Follow all hosts as an entry does."""
+    """Follow all control hosts as an entry does."""
 
     def __init__(self, rng, hosts):
         self.known = targets.Targets('z', BEAT, rng)
@@ -229,38 +202,34 @@
             self._serials[number] = host.serial
 
 
-def _deliver(host, word):
-    if word.state == State.GONE:
-        host.farewell(word.target, word.born)
+def _deliver(host, row):
+    if row.state == State.GONE:
+        host.farewell(row.target, row.born)
         return
-    host.take(word)
+    host.take(row)
 
 
-def _lives(rng):
-    """Return all words of some starts but the last one, and that."""
-    words = []
+def _random_history(rng):
+    """Return all announcements of some instances, and the last one."""
+    sent = []
     for start in range(rng.randint(2, 4)):
         born = BORN + start * 1000
         count = rng.randint(1, 5)
         beats = [
             announcement(born=born, sequence=beat) for beat in range(count)
         ]
-        words.extend(beats)
+        sent.extend(beats)
         if rng.random() < 0.5:
-            words.append(announcement(State.LEAVING, sequence=9, born=born))
-            words.append(announcement(State.GONE, sequence=9, born=born))
-    has_left = words[-1].state == State.GONE
-    last = words.pop() if has_left else announcement(born=born, sequence=10)
-    return words, last
+            sent.append(announcement(State.LEAVING, sequence=9, born=born))
+            sent.append(announcement(State.GONE, sequence=9, born=born))
+    has_left = sent[-1].state == State.GONE
+    last = sent.pop() if has_left else announcement(born=born, sequence=10)
+    return sent, last
 
 
 class CallsCase(direct_case.DirectCase):
     async def test_under_way_is_lost(self):
-        """A target loses power with a call, and starts again under its name.
-
-        No reset tells of it.  The call may have run, so it runs nowhere else,
-        and its caller hears so at once and not at the deadline.
-        """
+        """A call that must not repeat fails when its target restarts."""
         self.serve(direct_case.ONCE)
         fake = await self.add(direct_case.silent)
         other = await self.add(direct_case.whole('yes'), zone='far')
@@ -272,7 +241,7 @@
         self.assertEqual([], other.heads)
 
     async def test_goes_on_elsewhere(self):
-        """The same of a call that may repeat: another target answers it."""
+        """A call that may repeat is retried when its target restarts."""
         self.serve(direct_case.IDEMPOTENT)
         fake = await self.add(direct_case.silent)
         await self.add(direct_case.whole('yes'), zone='far')
@@ -284,7 +253,7 @@
         self.assertEqual(1, len(fake.heads))
 
     async def test_new_start_is_idle(self):
-        """Nothing that was held of the earlier start burdens the later one."""
+        """Open calls and backoff of an ended instance are not kept."""
         self.serve(direct_case.IDEMPOTENT)
         fake = await self.add(direct_case.whole('yes'))
         earlier = self.known.get(fake.name)
@@ -311,11 +280,7 @@
 
 class ManyTargetsCase(policy_case.PausedCase):
     def test_one_line_for_all(self):
-        """An entry of a large site starts and learns of all targets at once.
-
-        A line for each, at each entry, is thousands in which the line that an
-        operator looks for is lost; their names are in one.
-        """
+        """A starting entry logs all new targets in one line."""
         self.run_paused(self._one_line())
 
     async def _one_line(self):
@@ -332,7 +297,7 @@
 
 
 class OtherWritersCase(unittest.IsolatedAsyncioTestCase):
-    """Anybody can write to the address to which targets announce themselves."""
+    """Reject invalid messages at the address for announcements."""
 
     GOOD = {
         'service': 's',
@@ -358,21 +323,21 @@
         await self.door.close()
 
     async def test_refused(self):
-        """Each strange word is refused with its place; the others hold."""
+        """Invalid announcements are refused and don't affect valid ones."""
         self.assertEqual(200, await self._beat('t1', self.GOOD))
         logged = self.enterContext(
             self.assertLogs('tamarackthread.control', logging.WARNING)
         )
-        for number, body in enumerate(_strange(self.GOOD)):
+        for number, body in enumerate(_invalid_bodies(self.GOOD)):
             with self.subTest(body=body):
                 self.assertEqual(400, await self._post(f'x{number}', body))
         await self._post('x0', b'')
-        self.assertEqual(len(_strange(self.GOOD)), len(logged.records))
+        self.assertEqual(len(_invalid_bodies(self.GOOD)), len(logged.records))
         known = [row.target for row in self.targets.after(0)]
         self.assertEqual(['t1'], known)
 
     async def test_farewell_of_a_start(self):
-        """A farewell names its start, in a body that older targets leave out."""
+        """A farewell names its instance, in an optional body."""
         await self._beat('t1', {**self.GOOD, 'born': LATER})
         early = json.dumps({'born': BORN}).encode()
         self.assertEqual(200, await self._post('t1', early, 'deregister'))
@@ -392,8 +357,8 @@
             return answer.status
 
 
-def _strange(good):
-    """List bodies that no target sends."""
+def _invalid_bodies(good):
+    """List invalid bodies of announcements."""
     bodies = [b'', b'[]', b'"t"', b'{', b'\xff\xfe', b'[' * 100_000]
     for name in good:
         if name not in {'born', 'cold-remaining-ms'}:
@@ -413,7 +378,7 @@
 
 
 class _NoApi(api.SiteApi):
-    """Be the operators' part of a door that only targets come to."""
+    """A stub of the operators' API."""
 
     def __init__(self):
         """Need nothing."""
