--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -38,13 +38,13 @@
     def __init__(
         self,
         service: str,
-        bound: concurrency.ConcurrencyLimit,
+        limit: concurrency.ConcurrencyLimit,
         all_targets: targets.Targets,
         entries: EntryCount,
     ) -> None:
-        """Limit the concurrency that ``all_targets`` reports by ``bound``."""
+        """Limit the concurrency that ``all_targets`` reports by ``limit``."""
         self._service = service
-        self._bound = bound
+        self._limit = limit
         self._targets = all_targets
         self._entries = entries
         self._group_state = outages.OutageDetector()
@@ -53,13 +53,13 @@
         self._answer_seconds: float = 0
 
     @property
-    def bound(self) -> concurrency.ConcurrencyLimit:
+    def limit(self) -> concurrency.ConcurrencyLimit:
         """Return the concurrency limit."""
-        return self._bound
+        return self._limit
 
-    @bound.setter
-    def bound(self, bound: concurrency.ConcurrencyLimit) -> None:
-        self._bound = bound
+    @limit.setter
+    def limit(self, limit: concurrency.ConcurrencyLimit) -> None:
+        self._limit = limit
 
     def __len__(self) -> int:
         """Return the number of queued calls."""
@@ -112,31 +112,31 @@
 
     def note_gap(self, seconds: float) -> None:
         """Record the time between two pieces of an answer, in seconds."""
-        self._bound.note(seconds, asyncio.get_running_loop().time())
+        self._limit.note(seconds, asyncio.get_running_loop().time())
 
     def refill(self) -> None:
         """Reset this entry's quota of free slots after an exchange."""
-        crowd = self._crowd()
-        free = self._free_slots_of(crowd)
+        load = self._load()
+        free = self._free_slots_of(load)
         # An entry without calls may send one: it needs an answer to measure the
         # pass time, and so to learn of free slots.
-        self._quota = 0 if crowd.own else 1
+        self._quota = 0 if load.own else 1
         if 0 < free < math.inf:
             # One slot at least, since idle entries leave theirs unused.
             # Together the entries exceed the limit by one call each at most.
             self._quota = max(1, free / max(1, self._entries()))
         self._grant()
 
-    def _crowd(self) -> concurrency.GroupLoad:
-        return self._targets.crowd(self._service, self._entries())
+    def _load(self) -> concurrency.GroupLoad:
+        return self._targets.group_load(self._service, self._entries())
 
     def _free_slots(self) -> float:
         """Return how many more calls the ranks may take."""
-        return self._free_slots_of(self._crowd())
+        return self._free_slots_of(self._load())
 
-    def _free_slots_of(self, crowd: concurrency.GroupLoad) -> float:
+    def _free_slots_of(self, load: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
-        return self._bound.most(crowd, now) - crowd.calls
+        return self._limit.most(load, now) - load.calls
 
     def _take_slot(self) -> bool:
         if math.isinf(self._free_slots()):
@@ -149,13 +149,17 @@
     def _grant(self) -> None:
         """Admit calls while slots are free, first those that can be in time."""
         now = asyncio.get_running_loop().time()
-        lead = PASSES_TO_FIRST_PIECE * self._bound.usual(now)
-        rows = [row for row in self._waiting if not row.granted.done()]
-        rows.sort(key=lambda row: _admission_order(row.call, now + lead))
-        for row in rows:
+        lead = PASSES_TO_FIRST_PIECE * self._limit.usual(now)
+        waiters = [
+            waiter for waiter in self._waiting if not waiter.granted.done()
+        ]
+        waiters.sort(
+            key=lambda waiter: _admission_order(waiter.call, now + lead)
+        )
+        for waiter in waiters:
             if not self._take_slot():
                 return
-            row.granted.set_result(None)
+            waiter.granted.set_result(None)
 
 
 class AdmissionControl:
@@ -181,21 +185,21 @@
             if not settings[1] or self._settings.get(service.name) == settings:
                 continue
             self._settings[service.name] = settings
-            self._set_bound(
+            self._set_limit(
                 service.name,
                 concurrency.LatencyLimit(settings[1], service.passes.empty),
             )
 
-    def _set_bound(
-        self, service: str, bound: concurrency.ConcurrencyLimit
+    def _set_limit(
+        self, service: str, limit: concurrency.ConcurrencyLimit
     ) -> None:
         """Set the limit of a service's queue, keeping the calls in it."""
         queue = self._queues.get(service)
         if queue is not None:
-            queue.bound = bound
+            queue.limit = limit
             return
         self._queues[service] = AdmissionQueue(
-            service, bound, self._targets, self._entries
+            service, limit, self._targets, self._entries
         )
 
     async def admit(self, call: calls.Call) -> None:
--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -23,7 +23,7 @@
     # Targets that refused the call without running it.
     refused: list[str] = attrs.field(factory=list)
     # Targets that could not be reached.
-    skipped: set[str] = attrs.field(factory=set)
+    unreachable: set[str] = attrs.field(factory=set)
     may_have_run: bool = False
     # The target that may be running the call now.
     current_target: instances.TargetInstance | None = None
@@ -38,7 +38,7 @@
     @property
     def tried(self) -> set[str]:
         """Return the names of the targets that are not tried again."""
-        return self.skipped.union(self.sent, self.refused)
+        return self.unreachable.union(self.sent, self.refused)
 
     @property
     def names(self) -> str:
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -32,8 +32,8 @@
 NO_TARGET_RETRY_AFTER_SECONDS = 0.5
 # About the time in which a group that has lost a rank recovers.
 CLOSED_RETRY_AFTER_SECONDS = 2.0
-# Spreads the retries of callers that were refused during a pause.
-REST_JITTER_SECONDS = 1.0
+# Spreads the retries of callers that were refused during a cooldown.
+COOLDOWN_JITTER_SECONDS = 1.0
 # Responses with at least this status are failures of the target.
 MIN_ERROR_STATUS = 500
 
@@ -105,8 +105,8 @@
     ) -> bool:
         """Try one target; tell whether the caller has its complete answer."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        target.begin_call(began)
+        started_at = loop.time()
+        target.begin_call(started_at)
         progress.current_target = target
         try:
             async with target.lifetime():
@@ -121,7 +121,7 @@
             self._admission.release(call)
         target.reset_backoff()
         self._poison.note_answer(call)
-        self._admission.record_answer(call, loop.time() - began)
+        self._admission.record_answer(call, loop.time() - started_at)
         return True
 
     async def _next_target(
@@ -130,15 +130,15 @@
         progress: call_progress.CallProgress,
     ) -> instances.TargetInstance:
         """Select the next target; raise the final error if none is left."""
-        if progress.failure is not None and not self._may_try(call, progress):
+        if progress.failure is not None and not self._may_retry(call, progress):
             raise self._final_error(call, progress)
-        if self._targets.rest_seconds(call.service):
+        if self._targets.cooldown_seconds(call.service):
             raise self._final_error(call, progress)
         await self._admission.admit(call)
         tried = progress.tried
-        left = call.deadline - asyncio.get_running_loop().time()
+        time_left = call.deadline - asyncio.get_running_loop().time()
         await self._targets.wait_for_target(
-            call.service, tried, calls.startup_wait(left)
+            call.service, tried, calls.startup_wait(time_left)
         )
         target = self._targets.choose(
             call.service, tried, progress.failed_groups
@@ -147,7 +147,7 @@
             raise self._final_error(call, progress)
         return target
 
-    def _may_try(
+    def _may_retry(
         self, call: calls.Call, progress: call_progress.CallProgress
     ) -> bool:
         if progress.may_have_run and not self._may_repeat(call):
@@ -156,7 +156,7 @@
         # get its first events twice.
         if progress.is_unnumbered:
             return False
-        if len(progress.skipped) >= MAX_CONNECT_FAILURES:
+        if len(progress.unreachable) >= MAX_CONNECT_FAILURES:
             return False
         if not progress.sent and not progress.refused:
             return True
@@ -223,7 +223,7 @@
         )
         if not out.has_started:
             await out.start(answer.head)
-        out.tempo.target = (
+        out.timing.target = (
             ''
             if progress.current_target is None
             else progress.current_target.name
@@ -238,7 +238,7 @@
                 ready.append(event.payload)
             if ready:
                 self._admission.note_piece(call)
-                self._note_gap(call, out.tempo, len(ready))
+                self._note_gap(call, out.timing, len(ready))
                 await out.write(b''.join(ready))
         if splitter.rest:
             await out.write(splitter.rest)
@@ -267,12 +267,12 @@
         now = asyncio.get_running_loop().time()
         if isinstance(failure, target_client.NotSent):
             target.back_off(now)
-            progress.skipped.add(target.name)
+            progress.unreachable.add(target.name)
             return
         if isinstance(failure, target_client.Elsewhere):
             # The intended target never got the call, so this is no attempt.
             self._targets.mark_gone(target)
-            progress.skipped.add(target.name)
+            progress.unreachable.add(target.name)
             return
         if isinstance(failure, (target_client.Refused, target_client.Lost)):
             # When a rank is lost, all ranks of its group fail their calls.
@@ -300,11 +300,12 @@
         """Return the error for the caller: not run, or may have run."""
         if progress.may_have_run:
             return failures.TargetFailed(str(progress.failure))
-        rest = self._targets.rest_seconds(call.service)
-        if rest:
-            # Returning callers are spread, as the first one ends the pause.
-            spread = self._random.uniform(0, REST_JITTER_SECONDS)
-            return failures.TargetsRest(retry_after=rest + spread)
+        cooldown = self._targets.cooldown_seconds(call.service)
+        if cooldown:
+            # Returning callers are spread, since one trial call ends the
+            # cooldown.
+            jitter = self._random.uniform(0, COOLDOWN_JITTER_SECONDS)
+            return failures.TargetsRest(retry_after=cooldown + jitter)
         if progress.refused and self._admission.is_closed(call):
             return failures.GroupClosed(
                 retry_after=self._jittered(CLOSED_RETRY_AFTER_SECONDS),
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -25,16 +25,16 @@
 
     def __init__(
         self,
-        shares: cold_start.ColdStartLimits | None = None,
-        fleet: known_entries.KnownEntries | None = None,
+        cold_limits: cold_start.ColdStartLimits | None = None,
+        entries: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start with every target in service.
 
-        ``shares`` limits the calls to cold targets; the entries of ``fleet``
-        divide the rate limits among them.
+        ``cold_limits`` limits calls to cold targets; ``entries`` divide rate
+        limits among them.
         """
-        self._shares = shares
-        self._fleet = fleet
+        self._cold_limits = cold_limits
+        self._entries = entries
         self._demands: dict[str, rate_limit.Demand] = {}
         self._zones = zones.Zones()
         self._groups = groups.Groups()
@@ -46,7 +46,7 @@
 
     def learn_zones(self, rows: list[zones.Zone], known: _Instances) -> None:
         """Stop sending to evacuated zones, and resume for restored ones."""
-        before = self._zones.changes
+        changes_before = self._zones.changes
         restored = set()
         for row in rows:
             was_evacuated = self._zones.is_evacuated(row.name)
@@ -60,7 +60,7 @@
         for target in known:
             if target.announcement.zone in restored:
                 target.cold_until = warm_at
-        if self._zones.changes > before:
+        if self._zones.changes > changes_before:
             target_log.log_zones(self._zones)
 
     def learn_groups(
@@ -80,17 +80,19 @@
         """Return the name of a target's group, empty if unknown."""
         return self._groups.of(target)
 
-    def may_take(self, target: instances.TargetInstance, now: float) -> bool:
+    def is_eligible(self, target: instances.TargetInstance, now: float) -> bool:
         """Tell whether a target may get a call now."""
-        if not self.is_in_service(target) or not target.rest.may_take(now):
+        if not self.is_in_service(target) or not target.cooldown.may_take(now):
             return False
         if not self._is_within_limit(target, now):
             return False
-        if self._shares is None or not target.is_cold(now):
+        if self._cold_limits is None or not target.is_cold(now):
             return True
-        most = self._shares.calls(target.announcement.service, target.name)
+        max_calls = self._cold_limits.calls(
+            target.announcement.service, target.name
+        )
         recent = target.sent.lately(now, cold_start.SPAN_SECONDS)
-        return most is None or recent < most
+        return max_calls is None or recent < max_calls
 
     def set_demand(
         self, service: str, demand: rate_limit.Demand | None
@@ -100,28 +102,30 @@
 
     def is_in_service(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target neither drains nor is in an evacuated zone."""
-        return not (target.is_leaving or self._is_evacuated(target))
+        return not (target.is_draining or self._is_evacuated(target))
 
     def is_group_open(self, target: instances.TargetInstance) -> bool:
         """Tell whether a target's group makes passes, as far as known."""
         return self._groups.is_open(target.group)
 
-    def has_room(self, target: instances.TargetInstance, now: float) -> bool:
+    def has_capacity(
+        self, target: instances.TargetInstance, now: float
+    ) -> bool:
         """Tell whether the slots of a target count as capacity."""
-        if not self.is_in_service(target) or target.rest.left(now):
+        if not self.is_in_service(target) or target.cooldown.left(now):
             return False
         return self.is_group_open(target) and self._is_within_limit(target, now)
 
-    def may_take_last(
+    def is_last_resort(
         self, target: instances.TargetInstance, now: float
     ) -> bool:
         """Tell whether a target that drains may get a call as a last resort."""
-        if target.announcement.is_leaving or not target.leaving_at:
+        if target.announcement.is_leaving or not target.draining_since:
             return False
         if self._is_evacuated(target):
             return False
-        is_late = now - target.leaving_at >= DRAINING_GRACE_SECONDS
-        if is_late or not target.rest.may_take(now):
+        is_over = now - target.draining_since >= DRAINING_GRACE_SECONDS
+        if is_over or not target.cooldown.may_take(now):
             return False
         return self._is_within_limit(target, now)
 
@@ -133,14 +137,14 @@
         demand = self._demands.get(
             target.announcement.service, rate_limit.SOLE_ENTRY
         )
-        part = rate_limit.EntryShare(demand, 1, 0)
-        if self._fleet is not None:
-            part = rate_limit.EntryShare(
+        share = rate_limit.EntryShare(demand, 1, 0)
+        if self._entries is not None:
+            share = rate_limit.EntryShare(
                 demand,
-                self._fleet.count(),
-                self._fleet.position(target.name),
+                self._entries.count(),
+                self._entries.position(target.name),
             )
-        return target.limit.may_take(target.sent, part, now)
+        return target.limit.may_take(target.sent, share, now)
 
     def _is_evacuated(self, target: instances.TargetInstance) -> bool:
         return self._zones.is_evacuated(target.announcement.zone)
--- a/tamarackthread/entry/direct/failures.py
+++ b/tamarackthread/entry/direct/failures.py
@@ -49,7 +49,7 @@
 
 
 class TargetsRest(errors.CodedError):
-    """All targets of the service have asked for a pause."""
+    """All targets of the service have asked for a cooldown."""
 
     code = 'TT7215'
     status = 503
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -33,10 +33,10 @@
         reader: configuration.Reader,
         tables: routing_table.CurrentTable,
         admission: admission_control.AdmissionControl,
-        shares: cold_start.ColdStartLimits,
+        cold_limits: cold_start.ColdStartLimits,
     ) -> None:
         """Take the parts of the entry that updates are applied to."""
-        self._shares = shares
+        self._cold_limits = cold_limits
         self._admission = admission
         self._targets = all_targets
         self._reader = reader
@@ -84,7 +84,9 @@
             return
         self._tables.put(routing_table.RoutingTable(parsed))
         self._admission.learn(parsed)
-        self._shares.learn({one.name: one.cold_rate for one in parsed.services})
+        self._cold_limits.learn(
+            {one.name: one.cold_rate for one in parsed.services}
+        )
         figures.VERSION.set(stored.version)
         log_events.tell(
             _log,
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -203,7 +203,7 @@
             fault = failures.TargetFailed(str(exc))
             await self._send_error(parsed.call_id, call, out, fault)
         else:
-            self._call_log.log_answered(call, self._version, out.tempo)
+            self._call_log.log_answered(call, self._version, out.timing)
 
     async def _admit(
         self,
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -51,9 +51,9 @@
     cold_until: float = 0
     # What the last response to this entry asked for.
     last_backpressure: backpressure.Backpressure = backpressure.NONE
-    rest: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
+    cooldown: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
     # When a response first announced a drain, 0 if none has.
-    leaving_at: float = 0
+    draining_since: float = 0
     _scopes: set[asyncio.Timeout] = attrs.field(factory=set)
 
     @property
@@ -73,10 +73,10 @@
         return (self.own_calls + self.other_calls + 1) * self.pace / self.slots
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Tell whether an announcement or a response has announced a drain."""
         # An entry that is cut off from control gets no announcements.
-        return self.announcement.is_leaving or self.leaving_at > 0
+        return self.announcement.is_leaving or self.draining_since > 0
 
     def is_ready(self, now: float) -> bool:
         """Tell whether the target is ready and not in backoff."""
@@ -93,7 +93,7 @@
         """Count a call that is sent to the target."""
         self.own_calls += 1
         self.sent.note(now)
-        self.rest.sent(now)
+        self.cooldown.sent(now)
 
     def apply_backpressure(
         self,
@@ -106,20 +106,20 @@
         self.last_backpressure = requested
         self.limit.hear(requested.rate, now)
         if requested.is_leaving:
-            self.leaving_at = self.leaving_at or now
+            self.draining_since = self.draining_since or now
         if requested.rest:
-            self.rest.ask(requested.rest, now)
+            self.cooldown.ask(requested.rest, now)
         elif is_taken:
-            self.rest.taken(now)
+            self.cooldown.taken(now)
 
     def active_backpressure(self, now: float) -> list[str]:
         """Name the kinds of backpressure in effect, for logs and metrics."""
-        found = {
-            'rest': self.rest.left(now) > 0,
+        kinds = {
+            'rest': self.cooldown.left(now) > 0,
             'limit': self.limit.rate is not None,
-            'no calls': self.leaving_at > 0,
+            'no calls': self.draining_since > 0,
         }
-        return [name for name, is_active in found.items() if is_active]
+        return [name for name, is_active in kinds.items() if is_active]
 
     def back_off(self, now: float) -> None:
         """Start or double the backoff after a failed connection."""
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -26,7 +26,7 @@
 NEVER_SENT = -1
 _log = logging.getLogger('tamarackthread.entry')
 
-Names = collections.abc.Callable[[], collections.abc.Sequence[str]]
+ListNames = collections.abc.Callable[[], collections.abc.Sequence[str]]
 
 
 class LoadExchange:
@@ -38,8 +38,8 @@
         self,
         all_targets: targets.Targets,
         links: peers.Peers,
-        hosts: Names,
-        entries: Names,
+        hosts: ListNames,
+        entries: ListNames,
         on_exchange: collections.abc.Callable[[], None],
         poison: poison_requests.PoisonRequests | None = None,
     ) -> None:
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -49,19 +49,19 @@
             most_backoff=places.MOST_BACKOFF_SECONDS,
             dial_seconds=places.DIAL_SECONDS,
         )
-        fleet = known_entries.KnownEntries(
+        entries = known_entries.KnownEntries(
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
-        shares = cold_start.ColdStartLimits(
-            fleet, self._site.cold_allowance, self._site.cold_slack
+        cold_limits = cold_start.ColdStartLimits(
+            entries, self._site.cold_allowance, self._site.cold_slack
         )
         self._targets = targets.Targets(
             settings.node.zone,
             self._site.announce_seconds,
             generator,
-            shares,
-            fleet,
+            cold_limits,
+            entries,
         )
         self._call_log = call_log.CallLog()
         self._metrics_page = figures.Page()
@@ -73,7 +73,7 @@
             self._site,
             self._links,
             feed_handler.FeedHandler(
-                self._targets, reader, tables, admission, shares
+                self._targets, reader, tables, admission, cold_limits
             ),
         )
         poison = poison_requests.PoisonRequests()
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -25,7 +25,7 @@
 
     @property
     @abc.abstractmethod
-    def tempo(self) -> stream_timing.StreamTiming:
+    def timing(self) -> stream_timing.StreamTiming:
         """Return the times at which pieces of the body were sent."""
 
     @abc.abstractmethod
@@ -59,7 +59,7 @@
         self._request = request
         self._is_closing = is_closing
         self._response: web.StreamResponse | None = None
-        self._tempo = stream_timing.StreamTiming()
+        self._timing = stream_timing.StreamTiming()
 
     @property
     def has_started(self) -> bool:
@@ -67,9 +67,9 @@
         return self._response is not None
 
     @property
-    def tempo(self) -> stream_timing.StreamTiming:
+    def timing(self) -> stream_timing.StreamTiming:
         """Return the times at which pieces of a stream were sent."""
-        return self._tempo
+        return self._timing
 
     @property
     def response(self) -> web.StreamResponse:
@@ -91,7 +91,7 @@
 
     async def write(self, piece: bytes) -> None:
         """Send a piece, waiting while the caller's receive window is full."""
-        self._tempo.note(asyncio.get_running_loop().time())
+        self._timing.note(asyncio.get_running_loop().time())
         try:
             await self.response.write(piece)
         except OSError as exc:
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -62,7 +62,7 @@
         target=target.name,
         service=target.announcement.service,
         state='asking',
-        rest_ms=round(target.rest.left(now) * 1000),
+        rest_ms=round(target.cooldown.left(now) * 1000),
         rate=target.limit.rate,
     )
 
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -37,19 +37,19 @@
         zone: str,
         beat_seconds: float,
         generator: random.Random,
-        shares: cold_start.ColdStartLimits | None = None,
-        fleet: known_entries.KnownEntries | None = None,
+        cold_limits: cold_start.ColdStartLimits | None = None,
+        entries: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
-        ``shares`` limits the calls to cold targets; the entries of ``fleet``
-        divide rate limits among them.  Needs a running event loop.
+        ``cold_limits`` limits calls to cold targets; ``entries`` divide rate
+        limits among them.  Needs a running event loop.
         """
         self._selector = selection.TargetSelector(zone, generator)
-        self._eligibility = eligibility.Eligibility(shares, fleet)
+        self._eligibility = eligibility.Eligibility(cold_limits, entries)
         self._silent_after = beat_seconds * SILENT_AFTER_BEATS
         self._discovery = discovery.InitialDiscovery(beat_seconds)
-        self._knows_others = False
+        self._knows_other_loads = False
         self._unlogged: list[announcements.Announcement] = []
         self._by_name: dict[str, instances.TargetInstance] = {}
         self._paces: dict[str, dict[str, float]] = {}
@@ -101,7 +101,8 @@
         self._paces[source] = paces
         for target in self._by_name.values():
             known_paces = [
-                held.get(target.name, 1) for held in self._paces.values()
+                paces_of_host.get(target.name, 1)
+                for paces_of_host in self._paces.values()
             ]
             target.pace = max(known_paces)
 
@@ -122,9 +123,9 @@
         return found
 
     @property
-    def knows_others(self) -> bool:
+    def knows_other_loads(self) -> bool:
         """Tell whether the load of other entries is known."""
-        return self._knows_others
+        return self._knows_other_loads
 
     def set_other_loads(
         self,
@@ -135,7 +136,7 @@
 
         ``entries`` counts the entries whose calls are known, this one included.
         """
-        self._knows_others = True
+        self._knows_other_loads = True
         now = asyncio.get_running_loop().time()
         for name, target in self._by_name.items():
             load = others.get(name, outlier_detection.IDLE)
@@ -151,9 +152,9 @@
     def forget_others(self) -> None:
         """Balance by this entry's own calls until the next exchange."""
         self.set_other_loads({})
-        self._knows_others = False
+        self._knows_other_loads = False
 
-    def crowd(
+    def group_load(
         self,
         service: str,
         entries: int,
@@ -164,13 +165,14 @@
         ready = [
             target
             for target in found
-            if target.is_ready(now) and self._eligibility.has_room(target, now)
+            if target.is_ready(now)
+            and self._eligibility.has_capacity(target, now)
         ]
         # While the load of other entries is unknown, it is assumed to be like
         # this one's.
         own = sum(target.own_calls for target in found)
         others = own * max(0, entries - 1)
-        if self._knows_others:
+        if self._knows_other_loads:
             others = sum(target.other_calls for target in found)
         return concurrency.GroupLoad(
             calls=own + others,
@@ -209,7 +211,7 @@
             target
             for target in self.of_service(service)
             if target.name not in tried
-            and self._eligibility.may_take(target, now)
+            and self._eligibility.is_eligible(target, now)
         ]
         # Targets of closed groups, or of groups that failed the call, are a
         # fallback.
@@ -234,17 +236,17 @@
             target
             for target in self.of_service(service)
             if target.name not in tried
-            and self._eligibility.may_take_last(target, now)
+            and self._eligibility.is_last_resort(target, now)
         ]
 
-    def rest_seconds(self, service: str) -> float:
-        """Return how long all targets of a service pause, 0 if not all do."""
+    def cooldown_seconds(self, service: str) -> float:
+        """Return the shortest cooldown, 0 unless all targets have one."""
         now = asyncio.get_running_loop().time()
         shortest: float = 0
         for target in self.of_service(service):
             if not self._eligibility.is_in_service(target):
                 continue
-            left = target.rest.left(now)
+            left = target.cooldown.left(now)
             if not left:
                 return 0
             shortest = min(shortest or left, left)
@@ -296,13 +298,13 @@
             ready = [
                 one for one in self.of_service(service) if one.is_ready(now)
             ]
-            by_record = {id(one.outcomes): one for one in ready}
+            by_history = {id(one.outcomes): one for one in ready}
             found = outlier_detection.eject_outliers(
                 [one.outcomes for one in ready], now
             )
             if found:
                 target_log.log_ejected(
-                    service, [by_record[id(record)].name for record in found]
+                    service, [by_history[id(history)].name for history in found]
                 )
 
     def _count(self) -> None:
@@ -313,8 +315,8 @@
             for target in self.of_service(service):
                 state = target.announcement.state.name.lower()
                 figures.TARGETS.labels(service, state).inc()
-                for asked in target.active_backpressure(now):
-                    figures.TARGETS_ASKING.labels(service, asked).inc()
+                for kind in target.active_backpressure(now):
+                    figures.TARGETS_ASKING.labels(service, kind).inc()
 
     def _add(
         self, announcement: announcements.Announcement, now: float
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -104,7 +104,7 @@
         await self.add(naming('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
-        self.known.get('t1').leaving_at = (
+        self.known.get('t1').draining_since = (
             loop.time() - eligibility.DRAINING_GRACE_SECONDS
         )
         self.assertEqual(503, (await self.ask())[0])
@@ -118,7 +118,7 @@
         later = attrs.evolve(left, born=left.born + 1)
         self.known.take(attrs.evolve(left, born=1, sequence=1))
         self.known.take(attrs.evolve(later, born=2))
-        self.assertFalse(self.known.get('t1').leaving_at)
+        self.assertFalse(self.known.get('t1').draining_since)
 
 
 class ReturnCase(unittest.TestCase):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -329,11 +329,11 @@
             self.assertEqual('west', found.announcement.zone)
             found.own_calls += 1
         self.assertEqual('w1', known.choose(SERVICE, ('w0',)).name)
-        crowd = known.crowd(SERVICE, 1)
+        crowd = known.group_load(SERVICE, 1)
         self.assertEqual((2, 4), (crowd.ranks, crowd.places))
         known.learn_zones([zones.Zone('west', True, 1)])
         self.assertIsNone(known.choose(SERVICE, ()))
-        self.assertEqual(0, known.crowd(SERVICE, 1).ranks)
+        self.assertEqual(0, known.group_load(SERVICE, 1).ranks)
 
     async def _older(self):
         known = self.known()
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -67,7 +67,7 @@
         known.learn_groups(1, rows(closed=('g0',)))
         found = {known.choose(SERVICE, ()).group for _ in range(40)}
         self.assertEqual({'g1', 'g2'}, found)
-        crowd = known.crowd(SERVICE, 1)
+        crowd = known.group_load(SERVICE, 1)
         self.assertEqual(2 * RANKS, crowd.ranks)
         self.assertEqual(2 * RANKS * SLOTS, crowd.places)
         known.learn_groups(1, rows(closed=NAMES))
@@ -106,7 +106,7 @@
         known = known_targets(reported=False)
         for left in ((), {''}):
             self.assertIsNotNone(known.choose(SERVICE, (), left))
-        self.assertEqual(len(NAMES) * RANKS, known.crowd(SERVICE, 1).ranks)
+        self.assertEqual(len(NAMES) * RANKS, known.group_load(SERVICE, 1).ranks)
 
     async def _new_start(self):
         known = known_targets()
