--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -27,8 +27,8 @@
 class PoisonRequests:
     """Check calls before they are sent, and track those that crash targets."""
 
-    # Calls are matched by a hash of path, organisation and body, computed only
-    # after a target was lost and while there are suspects.
+    # A hash of request, organisation and body identifies repetitions; it is
+    # computed only after a target was lost, and while there are suspects.
     def __init__(self) -> None:
         """Start without suspects."""
         self._suspects = poison_calls.PoisonCalls()
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -20,7 +20,7 @@
     targets,
 )
 from tamarackthread.generated import settings
-from tamarackthread.platform import calls as spoken
+from tamarackthread.platform import calls as platform_calls
 from tamarackthread.shared.site import announcements, configuration
 
 HOST = 'h.example'
@@ -160,7 +160,9 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(3)
         self.known = targets.Targets('z', 1.0, rng)
-        self.sender = target_client.TargetClient(spoken.PlatformDialect())
+        self.sender = target_client.TargetClient(
+            platform_calls.PlatformDialect()
+        )
         await self.sender.start()
         site = settings.Site(seeds=(), link_port=1, retry_reserve=20)
         self.tables = routing_table.CurrentTable()
@@ -169,7 +171,7 @@
             self.known, lambda: 1
         )
         self.front = frontend.Frontend(
-            spoken.PlatformDialect(),
+            platform_calls.PlatformDialect(),
             self.tables,
             call_runner.CallRunner(
                 self.known,
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -29,7 +29,7 @@
 SEEDS = (17, 18)
 
 
-def crowd(call_count, ranks=10, places=50, pace=1.0):
+def group_load(call_count, ranks=10, places=50, pace=1.0):
     """Build the load of a group of ranks."""
     return concurrency.GroupLoad(
         calls=call_count, ranks=ranks, places=places, pace=pace
@@ -64,61 +64,63 @@
     )
 
 
-class FixedBound(concurrency.ConcurrencyLimit):
+class FixedLimit(concurrency.ConcurrencyLimit):
     """Limit the concurrency to a number that a test sets."""
 
     def __init__(self, most):
         super().__init__(GAP, EMPTY)
         self.allowed = most
 
-    def most(self, crowd, now):
+    def most(self, group_load, now):
         return self.allowed
 
 
-class BoundCase(unittest.TestCase):
+class ConcurrencyLimitCase(unittest.TestCase):
     def test_pass_time_per_call(self):
         """The limit follows from the pass time that each call adds."""
-        bound = _bound_after(crowd(30), GAP)
+        limit = _limit_after(group_load(30), GAP)
         each = (GAP - EMPTY) / 30
-        limit = GAP * concurrency.USED_SHARE
+        max_pass = GAP * concurrency.USED_SHARE
         self.assertAlmostEqual(
-            (limit - EMPTY) / each, bound.most(crowd(30), now=1)
+            (max_pass - EMPTY) / each, limit.most(group_load(30), now=1)
         )
 
     def test_recently_admitted_calls(self):
         """Calls admitted during a pass don't raise the limit that it yields."""
-        bound = _bound_after(crowd(20), 0.1)
-        before = bound.most(crowd(20), now=1)
-        self.assertEqual(before, bound.most(crowd(40), now=1.01))
+        limit = _limit_after(group_load(20), 0.1)
+        before = limit.most(group_load(20), now=1)
+        self.assertEqual(before, limit.most(group_load(40), now=1.01))
 
     def test_even_ranks(self):
         """Short passes on full ranks: only the number of slots limits calls."""
-        most = _bound_after(crowd(50), 0.08).most(crowd(50), now=1)
+        most = _limit_after(group_load(50), 0.08).most(group_load(50), now=1)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_calls_queued_at_ranks(self):
         """Calls queued at a rank beyond its slots don't lengthen its passes."""
         full, waiting = (
-            _bound_after(crowd(call_count), GAP).most(crowd(call_count), now=1)
+            _limit_after(group_load(call_count), GAP).most(
+                group_load(call_count), now=1
+            )
             for call_count in (50, 90)
         )
         self.assertEqual(full, waiting)
 
     def test_slow_rank(self):
         """If even empty passes are too long, there is no limit but slots."""
-        slow = crowd(20, pace=8)
-        most = _bound_after(slow, 0.25).most(slow, now=1)
+        slow = group_load(20, pace=8)
+        most = _limit_after(slow, 0.25).most(slow, now=1)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_old_passes(self):
         """Expired pass times don't limit calls."""
-        most = _bound_after(crowd(30), GAP).most(crowd(30), now=2)
+        most = _limit_after(group_load(30), GAP).most(group_load(30), now=2)
         self.assertEqual(50 * concurrency.FULL_SHARE, most)
 
     def test_no_targets(self):
         """Without ready ranks there is no limit, so that calls are tried."""
-        bound = concurrency.LatencyLimit(GAP, EMPTY)
-        self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
+        limit = concurrency.LatencyLimit(GAP, EMPTY)
+        self.assertTrue(math.isinf(limit.most(group_load(0, 0, 0), now=1)))
 
 
 class QueueCase(policy_case.PausedCase):
@@ -150,7 +152,7 @@
         """Without an exchange, other entries are assumed to have equal load."""
         self.run_paused(self._without_others())
 
-    def _queue(self, bound, entries=1):
+    def _queue(self, limit, entries=1):
         known = targets.Targets('z', 1.0, random.Random(1))
         for number in range(10):
             known.take(
@@ -164,7 +166,7 @@
             )
         known.set_other_loads({})
         queue = admission_control.AdmissionQueue(
-            SERVICE, bound, known, lambda: entries
+            SERVICE, limit, known, lambda: entries
         )
         return known, queue
 
@@ -173,7 +175,7 @@
         self.run_paused(self._without_a_call())
 
     async def _without_a_call(self):
-        known, queue = self._queue(FixedBound(4), entries=3)
+        known, queue = self._queue(FixedLimit(4), entries=3)
         known.set_other_loads({'0': outlier_detection.TargetLoad(9)})
         queue.refill()
         await queue.admit(call_of())
@@ -185,7 +187,7 @@
         second.cancel()
 
     async def _waits_for_free_slot(self):
-        known, queue = self._queue(FixedBound(1))
+        known, queue = self._queue(FixedLimit(1))
         queue.refill()
         await queue.admit(call_of())
         known.get('0').own_calls = 1
@@ -206,7 +208,7 @@
         self.assertEqual([False, True], done)
 
     async def _two_waiting(self, *pair):
-        known, queue = self._queue(FixedBound(1))
+        known, queue = self._queue(FixedLimit(1))
         known.get('0').own_calls = 1
         tasks = [asyncio.create_task(queue.admit(call)) for call in pair]
         await asyncio.sleep(0.2)
@@ -219,7 +221,7 @@
         return done
 
     async def _refused_when_too_late(self):
-        known, queue = self._queue(FixedBound(1))
+        known, queue = self._queue(FixedLimit(1))
         known.get('0').own_calls = 1
         queue.record_answer(2.0)
         began = asyncio.get_running_loop().time()
@@ -233,7 +235,7 @@
         self.assertAlmostEqual(3.0, waited, places=2)
 
     async def _caller_left(self):
-        known, queue = self._queue(FixedBound(1))
+        known, queue = self._queue(FixedLimit(1))
         known.get('0').own_calls = 1
         tasks = [
             asyncio.create_task(queue.admit(call_of(aim=aim)))
@@ -248,8 +250,8 @@
         await tasks[1]
 
     async def _shared_by_entries(self):
-        bound = FixedBound(11)
-        known, queue = self._queue(bound, entries=3)
+        limit = FixedLimit(11)
+        known, queue = self._queue(limit, entries=3)
         known.get('1').own_calls = 1
         known.set_other_loads({'0': outlier_detection.TargetLoad(10)})
         tasks = [asyncio.create_task(queue.admit(call_of())) for _ in range(6)]
@@ -263,7 +265,7 @@
         self.assertIn(admitted, {2, 3})
 
     async def _without_others(self):
-        known, queue = self._queue(FixedBound(8), entries=4)
+        known, queue = self._queue(FixedLimit(8), entries=4)
         known.forget_others()
         known.get('0').own_calls = 2
         waiting = asyncio.create_task(queue.admit(call_of()))
@@ -306,12 +308,12 @@
         self.assertGreater(bounded, 2 * unbounded)
 
 
-def _bound_after(load, seconds):
+def _limit_after(load, seconds):
     """Return a limit that has seen one pass of a group, up to now = 1."""
-    bound = concurrency.LatencyLimit(GAP, EMPTY)
-    bound.most(load, now=1 - seconds)
-    bound.note(seconds, now=1)
-    return bound
+    limit = concurrency.LatencyLimit(GAP, EMPTY)
+    limit.most(load, now=1 - seconds)
+    limit.note(seconds, now=1)
+    return limit
 
 
 def _configuration(gap):
@@ -379,5 +381,5 @@
     def _queue(self):
         known = targets.Targets('z', 1.0, random.Random(1))
         return admission_control.AdmissionQueue(
-            SERVICE, FixedBound(1), known, lambda: 1
+            SERVICE, FixedLimit(1), known, lambda: 1
         )
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -67,9 +67,9 @@
         known.learn_groups(1, rows(closed=('g0',)))
         found = {known.choose(SERVICE, ()).group for _ in range(40)}
         self.assertEqual({'g1', 'g2'}, found)
-        crowd = known.group_load(SERVICE, 1)
-        self.assertEqual(2 * RANKS, crowd.ranks)
-        self.assertEqual(2 * RANKS * SLOTS, crowd.places)
+        load = known.group_load(SERVICE, 1)
+        self.assertEqual(2 * RANKS, load.ranks)
+        self.assertEqual(2 * RANKS * SLOTS, load.places)
         known.learn_groups(1, rows(closed=NAMES))
         self.assertIsNotNone(known.choose(SERVICE, ()))
 
