--- a/tamarackthread/agent/order_errors.py
+++ b/tamarackthread/agent/order_errors.py
@@ -1,4 +1,4 @@
-"""Define the ways in which orders to engines and map switches fail."""
+"""Define the errors of engine orders and map switches."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class FenceUnknown(errors.CodedError):
-    """Agent has not yet learnt the highest fencing number from control."""
+    """Agent has not yet read the highest fencing number from control."""
 
     code = 'TT5104'
     status = 503
 
 
 class NotOwner(errors.CodedError):
-    """Process does not hold the group's lease, or holds it no longer."""
+    """Process does not hold the group's lease."""
 
     code = 'TT5105'
     status = 409
@@ -62,7 +62,7 @@
 
 
 class MapUnknown(errors.CodedError):
-    """No rank of the group can give the content of an expert map."""
+    """No rank of the group has the requested expert map."""
 
     code = 'TT5109'
     status = 503
@@ -90,7 +90,7 @@
 
 
 class SwitchUnderWay(errors.CodedError):
-    """Group is already switching its expert map."""
+    """Another switch of the group's expert map is in progress."""
 
     code = 'TT5113'
     status = 409
--- a/tamarackthread/agent/order_state.py
+++ b/tamarackthread/agent/order_state.py
@@ -1,4 +1,4 @@
-"""Name the actions of orders and describe how far an order has come."""
+"""Define the actions of orders and the state of an order."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 MAP_ARM = 'map_arm'
 MAP_OUTCOME = 'map_outcome'
 
-# Executed by the engine itself; progress is reported, sending again resumes.
+# Executed by the engine with progress; resending the order resumes it.
 ENGINE_ACTIONS = frozenset(
     (
         'load_model',
@@ -33,7 +33,7 @@
     ),
 )
 
-# Of these, the ones that load from the rate-limited weight store.
+# Engine actions that load from the rate-limited weight store.
 STORE_ACTIONS = frozenset(('load_model', 'load_adapter', 'load_version'))
 
 RUNNING = 'running'
@@ -45,10 +45,8 @@
 
 @attrs.frozen
 class OrderState:
-    """What the sender and operators see of an order.
-
-    ``done`` is the part executed, from 0 to 1; ``code`` and ``text`` tell
-    why it failed or was refused.
+    """State of an order: ``done`` is its progress from 0 to 1, ``code`` and
+    ``text`` the error.
     """
 
     state: str
@@ -58,34 +56,36 @@
     result: str = ''
 
     def to_json(self) -> str:
-        """Write the state for a reply's body."""
+        """Serialize the state for a reply's body."""
         return json.dumps(attrs.asdict(self))
 
     def raise_failure(self) -> None:
-        """Raise the failure under its own class unless the order is well."""
+        """Raise the error class of ``code`` unless running or done."""
         if self.state in {RUNNING, DONE}:
             return
-        kind = errors.by_code(self.code) or order_errors.EngineFailed
-        raise kind(self.text)
+        error_class = errors.by_code(self.code) or order_errors.EngineFailed
+        raise error_class(self.text)
 
 
 def from_failure(failure: errors.CodedError, state: str) -> OrderState:
-    """Describe a failure or refusal."""
+    """Build the state of a failed or refused order."""
     return OrderState(state, code=failure.code, text=str(failure))
 
 
 def from_json(text: str) -> OrderState:
-    """Read a state; raise ``OrderInvalid`` on nonsense."""
+    """Parse a state; raise ``OrderInvalid`` if malformed."""
     try:
         return OrderState(**json.loads(text))
     except (ValueError, TypeError) as exc:
-        raise order_errors.OrderInvalid(f'order state: {exc}') from exc
+        raise order_errors.OrderInvalid(
+            f'malformed order state: {exc}'
+        ) from exc
 
 
 def status_results(
     states: collections.abc.Mapping[int, OrderState | errors.CodedError],
 ) -> list[dict]:
-    """Return what the ranks that answered said to a ``status`` order."""
+    """Return the results of a ``status`` order, without failed ranks."""
     return [
         json.loads(state.result)
         for state in states.values()
--- a/tamarackthread/agent/orders.py
+++ b/tamarackthread/agent/orders.py
@@ -1,8 +1,5 @@
-"""Take orders for one rank's engine and let no stale one through.
-
-Orders are checked here because some engines ignore fencing numbers and some
-do not ask who gives an order.  Sending an order again under the same id is
-how its sender asks for progress, and resumes one that failed.
+"""Check and execute orders for one rank's engine, as engines may not check
+fencing numbers.  Resending an order polls its progress or resumes it.
 """
 
 from __future__ import annotations
@@ -32,17 +29,17 @@
 from tamarackthread.shared import errors
 
 _log = logging.getLogger('tamarackthread.orders')
-_KEPT_ORDERS = 256
+_MAX_JOBS = 256
 _RETRY_SECONDS = 0.2
 UNFENCED = frozenset((order_state.STATUS, order_state.MAP_GET))
 
 
-_Work = collections.abc.Callable[[], collections.abc.Awaitable[str]]
+_JobWork = collections.abc.Callable[[], collections.abc.Awaitable[str]]
 
 
 @attrs.define(eq=False)
 class _Job:
-    """A long order: its task and its state as last reported."""
+    """A long-running order, its task and its last reported state."""
 
     order: messages.GroupOrder
     state: order_state.OrderState
@@ -50,7 +47,7 @@
 
 
 class OrderExecutor:
-    """Check, execute and remember the orders of one rank."""
+    """Check and execute the orders of one rank, each id at most once."""
 
     def __init__(
         self,
@@ -61,49 +58,43 @@
         maps: map_cache.MapCache,
         store: store_slots.StoreLimiter,
     ) -> None:
-        """Refuse every fenced order until ``start`` has learnt the number."""
+        """Refuse fenced orders until ``start`` has read the fencing number."""
         self._group = group
         self._control = control
         self._engine = rank_engine
         self._participant = participant
         self._maps = maps
         self._store = store
-        self._highest: int | None = None
+        self._highest_fence: int | None = None
         self._jobs: collections.OrderedDict[str, _Job] = (
             collections.OrderedDict()
         )
-        self._relay = asyncio.Lock()
+        self._execution_lock = asyncio.Lock()
 
     @property
     def highest_fence(self) -> int:
-        """Return the highest fencing number seen, 0 if none is."""
-        return self._highest or 0
+        """Return the highest fencing number seen, or 0."""
+        return self._highest_fence or 0
 
     async def start(self) -> None:
-        """Learn the highest fencing number from control, however long.
-
-        The failure: an agent restarts, forgets that a new owner has taken
-        over, and relays a late order of the old one.  Control gave the new
-        number out before the new owner's first order, so it is at least as
-        high as any that was forgotten.
+        """Read the highest fencing number from control, with retries, so that
+        a restarted agent refuses delayed orders of earlier owners.
         """
-        while self._highest is None:
+        while self._highest_fence is None:
             try:
                 fence = await self._control.fence(self._group)
             except errors.CodedError as exc:
-                _log.warning('orders: fencing number unknown, %s', exc)
+                _log.warning('orders: cannot read the fencing number, %s', exc)
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
-            self._highest = max(self._highest or 0, fence)
+            self._highest_fence = max(self._highest_fence or 0, fence)
 
     async def handle_order(
         self,
         order: messages.GroupOrder,
     ) -> messages.GroupOrderReply:
-        """Execute an order or tell why not; raises nothing coded.
-
-        The deadline counts from the order's arrival here.  A body with state
-        ``refused`` means that nothing was done.
+        """Execute an order; coded errors become state ``refused``, which means
+        not executed.  The deadline counts from the order's arrival.
         """
         now = asyncio.get_running_loop().time()
         expires_at = now + (order.deadline_ms or 0) / 1000
@@ -123,27 +114,29 @@
         expires_at: float,
     ) -> order_state.OrderState:
         if order.group != self._group:
-            raise order_errors.OrderInvalid(f'not of group {order.group}')
+            raise order_errors.OrderInvalid(
+                f'agent is not of group {order.group}'
+            )
         if order.action in UNFENCED:
             return await self._read(order)
-        # Orders are relayed one at a time, and checked again once it is
-        # their turn: one that waited behind a newer owner's must not follow.
-        async with self._relay:
+        # Checked under the lock, because an order of a newer owner may have
+        # been executed while this one waited.
+        async with self._execution_lock:
             self._check(order, expires_at)
-            return await self._relay_one(order)
+            return await self._dispatch(order)
 
     def _check(self, order: messages.GroupOrder, expires_at: float) -> None:
-        if self._highest is None:
+        if self._highest_fence is None:
             raise order_errors.FenceUnknown()
-        if order.fence < self._highest:
+        if order.fence < self._highest_fence:
             raise order_errors.OrderStale(
-                f'{order.fence} is older than {self._highest}',
+                f'fence {order.fence} is lower than {self._highest_fence}',
             )
         if asyncio.get_running_loop().time() >= expires_at:
             raise order_errors.OrderExpired()
-        self._highest = order.fence
+        self._highest_fence = order.fence
 
-    async def _relay_one(
+    async def _dispatch(
         self,
         order: messages.GroupOrder,
     ) -> order_state.OrderState:
@@ -160,7 +153,7 @@
                 switch_record.from_json(order.body)
             )
             return _done()
-        return self._long(order)
+        return self._start_or_poll(order)
 
     async def _read(
         self,
@@ -182,30 +175,31 @@
         )
         return _done(json.dumps(fields))
 
-    def _long(self, order: messages.GroupOrder) -> order_state.OrderState:
-        """Start or resume a long order, or tell how far it has come.
-
-        Who only asks need not send the body again, which may be a whole map.
+    def _start_or_poll(
+        self, order: messages.GroupOrder
+    ) -> order_state.OrderState:
+        """Start or resume a long-running order, or return its state; a poll
+        may leave out the body.
         """
         job = self._jobs.get(order.order_id)
         if job is None:
-            work = self._work_of(order)
+            work = self._work_for(order)
             state = order_state.OrderState(order_state.RUNNING)
             job = _Job(order, state)
-            self._remember(order.order_id, job)
+            self._add_job(order.order_id, job)
         elif job.state.state == order_state.FAILED:
             job.order.fence = order.fence
-            work = self._work_of(job.order)
+            work = self._work_for(job.order)
         else:
             return job.state
         job.state = attrs.evolve(job.state, state=order_state.RUNNING)
         job.task = asyncio.create_task(self._execute(job, work))
         return job.state
 
-    def _work_of(
+    def _work_for(
         self,
         order: messages.GroupOrder,
-    ) -> _Work:
+    ) -> _JobWork:
         def report(done: float) -> None:  # noqa: WPS430
             job = self._jobs[order.order_id]
             job.state = attrs.evolve(job.state, done=round(done, 4))
@@ -221,7 +215,7 @@
         self,
         order: messages.GroupOrder,
         report: engine.Report,
-    ) -> _Work:
+    ) -> _JobWork:
         execute = functools.partial(
             self._engine.execute,
             order.action,
@@ -249,7 +243,7 @@
     async def _execute(
         self,
         job: _Job,
-        work: _Work,
+        work: _JobWork,
     ) -> None:
         try:
             result = await work()
@@ -264,9 +258,9 @@
     def _cancel(self, order_id: str) -> order_state.OrderState:
         job = self._jobs.get(order_id)
         if job is None:
-            # Remembered, so that the order is refused if it comes later.
+            # Recorded, so that the order is not executed if it arrives later.
             state = order_state.OrderState(order_state.CANCELLED)
-            self._remember(order_id, _Job(messages.GroupOrder(), state))
+            self._add_job(order_id, _Job(messages.GroupOrder(), state))
             return _done()
         if job.task is not None:
             job.task.cancel()
@@ -274,10 +268,10 @@
             job.state = attrs.evolve(job.state, state=order_state.CANCELLED)
         return _done()
 
-    def _remember(self, order_id: str, job: _Job) -> None:
+    def _add_job(self, order_id: str, job: _Job) -> None:
         self._jobs[order_id] = job
         for name, old in list(self._jobs.items()):
-            if len(self._jobs) <= _KEPT_ORDERS:
+            if len(self._jobs) <= _MAX_JOBS:
                 break
             if old.state.state != order_state.RUNNING:
                 self._jobs.pop(name)
@@ -293,5 +287,5 @@
     except ValueError as exc:
         raise order_errors.OrderInvalid(str(exc)) from exc
     if not isinstance(fields, dict):
-        raise order_errors.OrderInvalid('body is not an object')
+        raise order_errors.OrderInvalid('body is not a JSON object')
     return collections.defaultdict(str, fields)
--- a/tamarackthread/agent/owner.py
+++ b/tamarackthread/agent/owner.py
@@ -1,7 +1,5 @@
-"""Own a group: hold its lease and give its orders under a fencing number.
-
-Several agents of a group run an owner; only the one that holds the lease
-acts.  A new owner first brings its fencing number to every rank's agent.
+"""Own a group: hold its lease and send its orders under a fencing number.  A
+new owner first raises the fencing number at every rank's agent.
 """
 
 from __future__ import annotations
@@ -25,17 +23,14 @@
 
 _log = logging.getLogger('tamarackthread.owner')
 _MS = 1000
-# No order can arrive in less of a lease than this.
-_LEAST_SECONDS = 0.001
+# With less of the lease left, no order is sent.
+_MIN_LEASE_SECONDS = 0.001
 
 
 @attrs.frozen
 class OwnerSettings:
-    """Hold an owner's constants.
-
-    ``grace_seconds`` is how long an order may still be on its way into an
-    engine after the agent's check; it is waited for where engines ignore
-    fencing numbers.  ``order_seconds`` bounds one order.
+    """``order_seconds`` is the timeout of one order; a takeover waits
+    ``grace_seconds`` for orders in flight if engines don't check fencing.
     """
 
     group: str
@@ -48,7 +43,7 @@
 
 
 class GroupOwner:
-    """Take the group's lease when it is free, and act while it lasts."""
+    """Acquire the group's lease and send orders while holding it."""
 
     def __init__(
         self,
@@ -56,7 +51,7 @@
         control: control_client.ControlClient,
         transport: rank_transport.RankTransport,
     ) -> None:
-        """Do nothing before ``run``."""
+        """Prepare the lease; ``run`` acquires it."""
         self._settings = settings
         self._control = control
         self._transport = transport
@@ -76,22 +71,22 @@
 
     @property
     def fence(self) -> int:
-        """Return the fencing number of the lease last held."""
+        """Return the fencing number of the latest lease."""
         return self._lease.fence
 
     @property
     def control(self) -> control_client.ControlClient:
-        """Return the way to control."""
+        """Return the client of control."""
         return self._control
 
     @property
     def transport(self) -> rank_transport.RankTransport:
-        """Return the way to the ranks."""
+        """Return the transport to the ranks."""
         return self._transport
 
     @property
     def is_owner(self) -> bool:
-        """Tell whether the lease is held and the take-over is finished."""
+        """Tell whether the lease is held and the takeover has finished."""
         return self._ready.is_set() and self._lease.is_held
 
     async def wait_owner(self) -> None:
@@ -103,10 +98,14 @@
                 await asyncio.sleep(self._settings.retry_seconds)
 
     async def run(self) -> None:
-        """Take the lease, keep it, and begin anew when it is lost."""
+        """Acquire and renew the lease, again after each loss."""
         while True:
             await self._lease.acquire()
-            _log.info('owner: holds %s as %d', self.group, self._lease.fence)
+            _log.info(
+                'owner: acquired the lease of %s, fencing number %d',
+                self.group,
+                self._lease.fence,
+            )
             taking_over = asyncio.create_task(self._take_over())
             try:
                 await self._lease.maintain()
@@ -114,11 +113,13 @@
                 taking_over.cancel()
                 self._ready.clear()
             _log.warning(
-                'owner: lost %s, was %d', self.group, self._lease.fence
+                'owner: lost the lease of %s, fencing number %d',
+                self.group,
+                self._lease.fence,
             )
 
     async def release(self) -> None:
-        """Give the lease back, so that another owner need not wait."""
+        """Release the lease, so that another owner need not wait for expiry."""
         self._ready.clear()
         await self._lease.release()
 
@@ -130,14 +131,12 @@
         body: str = '',
         seconds: float | None = None,
     ) -> order_state.OrderState:
-        """Give one rank an order; raise its refusal or ``NotOwner``.
-
-        The order's deadline never lies after the lease, so that none can
-        wait somewhere until the next owner acts.
+        """Send an order to one rank; raise its refusal or ``NotOwner``.  The
+        deadline ends with the lease, before another owner can act.
         """
         wanted = seconds or self._settings.order_seconds
         left = min(wanted, self._lease.seconds_left)
-        if left < _LEAST_SECONDS:
+        if left < _MIN_LEASE_SECONDS:
             raise order_errors.NotOwner()
         order = messages.GroupOrder(
             group=self.group,
@@ -161,39 +160,36 @@
         order_id: str,
         body: str = '',
     ) -> dict[int, order_state.OrderState | errors.CodedError]:
-        """Give every rank the order at once and collect what became of it."""
-        numbers = list(self._transport.ranks)
-        return await self.order_ranks(numbers, action, order_id, body)
+        """Send an order to all ranks concurrently; return states or errors."""
+        ranks = list(self._transport.ranks)
+        return await self.order_ranks(ranks, action, order_id, body)
 
     async def order_ranks(
         self,
-        numbers: collections.abc.Sequence[int],
+        ranks: collections.abc.Sequence[int],
         action: str,
         order_id: str,
         body: str = '',
         seconds: float | None = None,
     ) -> dict[int, order_state.OrderState | errors.CodedError]:
-        """Give some ranks the order at once, with ``seconds`` for each."""
-        giving = [
-            self.order(rank, action, order_id, body, seconds)
-            for rank in numbers
+        """Send an order to some ranks, with a timeout of ``seconds`` each."""
+        sending = [
+            self.order(rank, action, order_id, body, seconds) for rank in ranks
         ]
-        answers = await asyncio.gather(*giving, return_exceptions=True)
+        answers = await asyncio.gather(*sending, return_exceptions=True)
         for answer in answers:
             if not isinstance(
                 answer, errors.CodedError | order_state.OrderState
             ):
                 raise answer
-        return dict(zip(numbers, answers, strict=True))
+        return dict(zip(ranks, answers, strict=True))
 
     async def record(
         self,
         record: switch_record.SwitchRecord,
     ) -> switch_record.SwitchRecord | None:
-        """Make a stage of a switch durable; return what is in force.
-
-        Keeps trying while the lease lasts, because a lost answer leaves open
-        whether the record stands.  ``None`` means that control refused it.
+        """Record a stage of a switch at control, with retries while the lease
+        lasts; return the record in force, ``None`` if control refused it.
         """
         request = record.to_request(self.group, self._lease.fence)
         while self._lease.is_held:
@@ -203,19 +199,15 @@
                 await asyncio.sleep(self._settings.retry_seconds)
                 continue
             return switch_record.from_reply(reply)
-        raise order_errors.NotOwner('lease ended before control answered')
+        raise order_errors.NotOwner('lease expired before control answered')
 
     async def _take_over(self) -> None:
-        """Close an open switch and bring the new number to all ranks.
-
-        The failure: an order of the old owner that is still on its way runs
-        after the new owner's first.  Engines that ignore numbers cannot tell,
-        so every agent must know the new number before anything is ordered.
+        """Abort an open switch and raise the fencing number at all ranks, so
+        that delayed orders of the previous owner are refused.
         """
         try:
-            # An abort is safe before the numbers are known, and ranks may be
-            # holding for it.
-            await self._close_open_switch()
+            # Before fencing, because ranks may be holding for the outcome.
+            await self._abort_open_switch()
             await self._fence_ranks()
         except order_errors.NotOwner:
             return
@@ -240,8 +232,8 @@
                 raise order_errors.NotOwner()
             await asyncio.sleep(self._settings.retry_seconds)
 
-    async def _close_open_switch(self) -> None:
-        latest = await self._latest()
+    async def _abort_open_switch(self) -> None:
+        latest = await self._read_latest()
         if latest is None:
             return
         if latest.is_open:
@@ -251,14 +243,14 @@
             await self.send_outcome(latest)
 
     async def send_outcome(self, record: switch_record.SwitchRecord) -> None:
-        """Tell every rank how a switch ended; those that miss it ask."""
+        """Send a switch's outcome to all ranks; unreached ones poll control."""
         await self.order_all(
             order_state.MAP_OUTCOME,
             f'outcome-{record.number}',
             record.to_json(),
         )
 
-    async def _latest(self) -> switch_record.SwitchRecord | None:
+    async def _read_latest(self) -> switch_record.SwitchRecord | None:
         while self._lease.is_held:
             try:
                 return await self._control.latest(self.group)
--- a/tamarackthread/agent/rank_transport.py
+++ b/tamarackthread/agent/rank_transport.py
@@ -13,16 +13,13 @@
 
 
 class RankTransport(abc.ABC):
-    """Reach the agents of one group by rank."""
+    """Send orders to the agents of one group, by rank."""
 
     @property
     @abc.abstractmethod
     def ranks(self) -> collections.abc.Sequence[int]:
-        """Number the ranks that are in lock-step now, reachable or not.
-
-        The failure: a rank whose agent is cut off is left out, the others
-        switch, and its engine goes on in lock-step with the old map.  So a
-        rank leaves this list only when the engines have re-formed without it.
+        """List all ranks in lock-step, reachable or not.  Leaving out a rank
+        whose engine still runs would commit a switch that it has not made.
         """
 
     @abc.abstractmethod
@@ -32,14 +29,12 @@
         order: messages.GroupOrder,
         timeout_seconds: float,
     ) -> messages.GroupOrderReply:
-        """Hand an order to a rank's agent; raise a coded error on silence."""
+        """Send an order to a rank's agent; raise a coded error on failure."""
 
 
 class LinkTransport(RankTransport):
-    """Reach agents over links.
-
-    Members come from the engines, addresses from the target documents: a
-    member without an address is unreachable, not gone.
+    """Send orders over links; a member without an address is unreachable but
+    still a member.
     """
 
     def __init__(
@@ -48,14 +43,14 @@
         members: collections.abc.Callable[[], collections.abc.Sequence[int]],
         addresses: collections.abc.Callable[[], dict[int, str]],
     ) -> None:
-        """Ask both each time, because ranks come and go."""
+        """Read members and addresses at each use, because they change."""
         self._peers = connections
         self._members = members
         self._addresses = addresses
 
     @property
     def ranks(self) -> collections.abc.Sequence[int]:
-        """Number the ranks that are in lock-step."""
+        """List the ranks in lock-step."""
         return self._members()
 
     async def send(
@@ -67,14 +62,16 @@
         """Send the order over the link to the rank's agent."""
         address = self._addresses().get(rank)
         if address is None:
-            raise errors.AddressUnreachable(f'rank {rank} is not announced')
+            raise errors.AddressUnreachable(
+                f'rank {rank} has no announced address'
+            )
         request = messages.Request(order=order)
         reply = await self._peers.request(address, request, timeout_seconds)
         return reply.order
 
 
 class PeerMapSource(map_cache.MapSource):
-    """Ask the other ranks' agents for a map."""
+    """Fetch maps from the other ranks' agents."""
 
     def __init__(
         self,
@@ -82,13 +79,13 @@
         transport: RankTransport,
         timeout_seconds: float = 1,
     ) -> None:
-        """Use the transport of the group's orders."""
+        """Fetch by ``map_get`` orders over the group's transport."""
         self._group = group
         self._transport = transport
         self._timeout_seconds = timeout_seconds
 
     async def fetch(self, digest: str) -> expert_map.ExpertMap:
-        """Ask one rank after the other."""
+        """Try one rank after the other; raise ``MapUnknown``."""
         order = messages.GroupOrder(
             group=self._group,
             fence=0,
--- a/tamarackthread/agent/switch_coordinator.py
+++ b/tamarackthread/agent/switch_coordinator.py
@@ -1,4 +1,6 @@
-"""Lead a group from one expert map to the next, as its owner."""
+"""Switch a group to another expert map, as the coordinator of a two-phase
+commit.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +24,7 @@
 
 _Answers = dict[int, order_state.OrderState | errors.CodedError]
 _States = collections.abc.Iterable[order_state.OrderState | errors.CodedError]
-_SILENCE = (
+_RETRYABLE = (
     errors.RequestTimeout,
     errors.LinkLost,
     errors.AddressUnreachable,
@@ -32,11 +34,8 @@
 
 @attrs.frozen
 class CoordinatorSettings:
-    """Hold the constants of a switch.
-
-    ``ahead_seconds`` lie between the last step seen and the switch step:
-    longer than an owner's lease and the take-over after it, so that ranks
-    need not hold even when the owner is lost after they armed.
+    """Timing of a switch.  ``lead_seconds`` until its step exceed a lease and
+    a takeover, so that ranks don't hold if the owner is lost after arming.
     """
 
     lead_seconds: float = 4
@@ -50,31 +49,29 @@
 
 
 class SwitchCoordinator:
-    """Run one switch after the other for an owner."""
+    """Run map switches for the owner of a group, one at a time."""
 
     def __init__(
         self,
         group_owner: owner.GroupOwner,
         settings: CoordinatorSettings | None = None,
     ) -> None:
-        """Act only while ``group_owner`` is the owner."""
+        """Coordinate only while ``group_owner`` holds the lease."""
         self._owner = group_owner
         self._settings = settings or CoordinatorSettings()
         self._busy = False
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether a switch is under way."""
+        """Tell whether a switch is in progress."""
         return self._busy
 
     async def switch_to(
         self,
         target: expert_map.ExpertMap,
     ) -> switch_record.SwitchRecord:
-        """Switch the group and return the committed record.
-
-        Raises ``SwitchAborted`` when the old map stays, and ``NotOwner``
-        when the outcome is left to the next owner.
+        """Switch the group and return the committed record.  Raises
+        ``SwitchAborted``, or ``NotOwner`` if the next owner will decide.
         """
         if self._busy:
             raise order_errors.SwitchUnderWay()
@@ -93,7 +90,7 @@
         latest = await self._owner.control.latest(self._owner.group)
         number = 1 if latest is None else latest.number + 1
         await self._load(number, target)
-        base, step = await self._settled_state(latest)
+        base, step = await self._await_previous_switch(latest)
         intent = switch_record.SwitchRecord(
             number=number,
             stage=switch_record.Stage.PREPARED,
@@ -104,10 +101,10 @@
         return await self._decide(intent)
 
     async def _load(self, number: int, target: expert_map.ExpertMap) -> None:
-        """Have every rank load; sending the order again asks how far it is."""
+        """Load the map at all ranks, polling by resending the order."""
         order_id = f'load-{number}-{target.digest()}'
-        whole = target.to_json()
-        body = whole
+        map_json = target.to_json()
+        body = map_json
         pause = self._settings.poll_seconds
         end = asyncio.get_running_loop().time() + self._settings.load_seconds
         while asyncio.get_running_loop().time() < end:
@@ -118,58 +115,56 @@
             )
             if _all_done(states.values()):
                 return
-            _raise_refusal(states.values(), may_lack_body=not body)
-            # An agent that restarted has forgotten the order and its map.
-            body = whole if _any_lacks_body(states.values()) else ''
+            _raise_refusal(states.values(), was_poll=not body)
+            # A restarted agent has lost the order and needs its map again.
+            body = map_json if _any_needs_body(states.values()) else ''
             await asyncio.sleep(pause)
             pause = min(pause * 2, self._settings.max_poll_seconds)
-        raise order_errors.SwitchAborted('weights were not loaded in time')
+        raise order_errors.SwitchAborted('timed out while ranks loaded weights')
 
-    async def _settled_state(
+    async def _await_previous_switch(
         self,
         latest: switch_record.SwitchRecord | None,
     ) -> tuple[str, int]:
-        """Wait for the last switch to lie behind; return map and next step.
-
-        The failure: the intent of a switch is recorded while some rank is
-        still before the step of the switch before.  A rank that reads only
-        the newer record would serve the steps in between with a map that is
-        not due yet.
+        """Wait until all ranks are past the previous switch, as a later record
+        hides it from a restarted rank; return the map and the switch step.
         """
-        passed = 0
+        previous_step = 0
         if latest is not None:
             is_committed = latest.stage is switch_record.Stage.COMMITTED
-            passed = latest.from_step if is_committed else 0
+            previous_step = latest.from_step if is_committed else 0
         while True:
             found = await self._statuses()
-            if min(status['step'] for status in found) >= passed:
+            if min(status['step'] for status in found) >= previous_step:
                 break
             await asyncio.sleep(self._settings.poll_seconds)
-        served = {status['map'] for status in found}
+        maps = {status['map'] for status in found}
         if latest is not None:
-            served.add(latest.settled_map)
-        if len(served) != 1:
-            raise order_errors.SwitchAborted('ranks serve another map')
-        return served.pop(), self._step_ahead(found)
-
-    def _step_ahead(self, found: list[dict]) -> int:
-        """Choose the switch step by the fastest step time reported."""
-        quickest = min(status['step_ms'] for status in found)
-        step_ms = max(quickest, self._settings.min_step_ms)
+            maps.add(latest.settled_map)
+        if len(maps) != 1:
+            raise order_errors.SwitchAborted('ranks serve different maps')
+        return maps.pop(), self._choose_step(found)
+
+    def _choose_step(self, found: list[dict]) -> int:
+        """Choose the switch step from the shortest step time reported."""
+        shortest_ms = min(status['step_ms'] for status in found)
+        step_ms = max(shortest_ms, self._settings.min_step_ms)
         steps = int(self._settings.lead_seconds * 1000 / step_ms) + 1
         return max(status['step'] for status in found) + steps
 
     async def _statuses(self) -> list[dict]:
-        answers = await self._ask_all(order_state.STATUS, 'status', '')
+        answers = await self._order_with_retries(
+            order_state.STATUS, 'status', ''
+        )
         if not _all_done(answers.values()):
-            raise order_errors.SwitchAborted('a rank gave no status')
+            raise order_errors.SwitchAborted('a rank did not report its status')
         return order_state.status_results(answers)
 
     async def _decide(
         self,
         intent: switch_record.SwitchRecord,
     ) -> switch_record.SwitchRecord:
-        """Record the intent, arm all ranks, record and tell the outcome."""
+        """Record the intent, arm all ranks, record and send the outcome."""
         if await self._owner.record(intent) != intent:
             raise order_errors.SwitchAborted('control refused the intent')
         stage = switch_record.Stage.ABORTED
@@ -186,48 +181,47 @@
         return decided
 
     async def _arm(self, intent: switch_record.SwitchRecord) -> bool:
-        """Tell whether every rank has armed within the time for it."""
-        answers = await self._ask_all(
+        """Arm all ranks; return whether all succeeded before the timeout."""
+        answers = await self._order_with_retries(
             order_state.MAP_ARM,
             f'arm-{intent.number}',
             intent.to_json(),
         )
         return _all_done(answers.values())
 
-    async def _ask_all(self, action: str, order_id: str, body: str) -> _Answers:
-        """Order all ranks, and those that stay silent again and again.
-
-        One lost message in a group of 32 would else cost the whole switch.
-        A refusal ends the asking, since it will not change.
+    async def _order_with_retries(
+        self, action: str, order_id: str, body: str
+    ) -> _Answers:
+        """Send an order to all ranks and retry those without an answer, as one
+        lost message would abort the switch; a refusal is final.
         """
         end = asyncio.get_running_loop().time() + self._settings.arm_seconds
         answers: _Answers = {}
-        silent = list(self._owner.transport.ranks)
-        while silent and asyncio.get_running_loop().time() < end:
+        pending = list(self._owner.transport.ranks)
+        while pending and asyncio.get_running_loop().time() < end:
             found = await self._owner.order_ranks(
-                silent,
+                pending,
                 action,
                 order_id,
                 body,
                 self._settings.request_seconds,
             )
             answers.update(found)
-            silent = [
+            pending = [
                 rank
                 for rank, answer in found.items()
-                if isinstance(answer, _SILENCE)
+                if isinstance(answer, _RETRYABLE)
             ]
-            if not silent or any(map(_is_refusal, found.values())):
+            if not pending or any(map(_is_refusal, found.values())):
                 break
-            # A link that is down fails at once: without a pause the asking
-            # would take the whole processor until the time is up.
+            # A broken link fails at once; without a pause this would spin.
             await asyncio.sleep(self._settings.retry_seconds)
         return answers
 
 
 def _is_refusal(answer: order_state.OrderState | errors.CodedError) -> bool:
     is_error = isinstance(answer, errors.CodedError)
-    return is_error and not isinstance(answer, _SILENCE)
+    return is_error and not isinstance(answer, _RETRYABLE)
 
 
 def _all_done(states: _States) -> bool:
@@ -238,16 +232,16 @@
     )
 
 
-def _any_lacks_body(states: _States) -> bool:
+def _any_needs_body(states: _States) -> bool:
     return any(
         isinstance(state, expert_map.ExpertMapInvalid) for state in states
     )
 
 
-def _raise_refusal(states: _States, may_lack_body: bool) -> None:
-    """Raise what cannot get better by asking again."""
+def _raise_refusal(states: _States, was_poll: bool) -> None:
+    """Raise the errors that a retry cannot resolve."""
     for state in states:
         if isinstance(state, order_errors.NotOwner | order_errors.OrderStale):
             raise state
-    if not may_lack_body and _any_lacks_body(states):
+    if not was_poll and _any_needs_body(states):
         raise expert_map.ExpertMapInvalid('a rank refused the map')
--- a/tamarackthread/agent/switch_participant.py
+++ b/tamarackthread/agent/switch_participant.py
@@ -1,8 +1,5 @@
-"""Switch one rank's expert map at the step that was agreed, or not at all.
-
-A rank loads what the new map adds while the old one serves, and arms.  From
-then on its engine holds at the switch step until the outcome is known, so it
-passes that step only with the map that control recorded.
+"""Take part in map switches, as the participant of a two-phase commit.  An
+armed rank holds at the switch step until it knows the recorded outcome.
 """
 
 from __future__ import annotations
@@ -30,10 +27,8 @@
 
 @attrs.frozen
 class ParticipantSettings:
-    """Hold the constants of a rank's switch; times are in seconds.
-
-    The outcome normally comes by message within ``patience_seconds``; only
-    after that does the rank ask control itself.
+    """Timing of one participant: after ``outcome_wait_seconds`` without an
+    outcome from the owner, it polls control.
     """
 
     outcome_wait_seconds: float = 0.3
@@ -42,7 +37,7 @@
 
 
 class SwitchParticipant:
-    """Keep one engine on the map that control recorded for each step."""
+    """Keep one engine on the map recorded for each step."""
 
     def __init__(
         self,
@@ -54,7 +49,7 @@
         loader: weight_loading.WeightLoader,
         settings: ParticipantSettings | None = None,
     ) -> None:
-        """Do nothing before ``run``."""
+        """Prepare the state; ``run`` follows the engine."""
         self._group = group
         self._rank = rank
         self._engine = rank_engine
@@ -62,46 +57,44 @@
         self._maps = maps
         self._loader = loader
         self._settings = settings or ParticipantSettings()
-        self._life = lifecycle.Lifecycle()
-        self._record = self._first_record()
+        self._lifecycle = lifecycle.Lifecycle()
+        self._record = self._initial_record()
         self._loaded_map = ''
         self._starts = 0
         self._fence = 0
         self._lock = asyncio.Lock()
-        self._watch: asyncio.Task[None] | None = None
+        self._polling: asyncio.Task[None] | None = None
 
     @property
     def state(self) -> str:
-        """Return the state's name, for reports and operators."""
-        return self._life.state
+        """Return the name of the current state."""
+        return self._lifecycle.state
 
     @property
     def record(self) -> switch_record.SwitchRecord:
-        """Return the switch that the engine follows."""
+        """Return the record last applied to the engine."""
         return self._record
 
     async def run(self) -> None:
-        """Place the engine at each of its starts, for ever."""
+        """Recover the engine at each of its starts, until cancelled."""
         incarnation = 0
         while True:
             incarnation = await self._engine.wait_started(incarnation)
             async with self._lock:
-                self._lose()
+                self._reset()
                 await self._recover()
 
     def close(self) -> None:
-        """Stop asking for an outcome, when the agent stops."""
-        self._stop_watch()
+        """Stop polling for an outcome."""
+        self._stop_polling()
 
     async def load(
         self,
         target: expert_map.ExpertMap,
         report: engine.Report,
     ) -> None:
-        """Load what a map adds for this rank, keeping the one that serves.
-
-        An engine that restarts meanwhile has lost the pieces that came
-        before; without the check the rank would arm for experts it lacks.
+        """Load the weights that a map adds; raise ``RankNotReady`` if the
+        engine restarts meanwhile, which loses the pieces loaded before.
         """
         if self.state not in {lifecycle.STEADY, lifecycle.LOADED}:
             raise order_errors.RankNotReady(f'rank is {self.state}')
@@ -115,20 +108,20 @@
         if starts != self._starts or serving != self._record.settled_map:
             raise order_errors.RankNotReady('rank restarted during the load')
         self._loaded_map = digest
-        self._life.trigger('load')
+        self._lifecycle.trigger('load')
 
     async def arm(
         self,
         record: switch_record.SwitchRecord,
         fence: int,
     ) -> None:
-        """Arm the engine for an open switch; arming again does nothing."""
+        """Arm the engine for an open switch; idempotent."""
         async with self._lock:
             if (
                 record.number <= self._record.number
                 and self.state != lifecycle.UNPLACED
             ):
-                self._check_known(record)
+                self._check_past_switch(record)
                 return
             fits = record.base == self._record.settled_map
             if (
@@ -137,18 +130,20 @@
             ):
                 raise order_errors.RankNotReady(f'rank is {self.state}')
             if not fits or not await self._is_past_last_switch():
-                raise order_errors.RankNotReady('rank serves another map')
+                raise order_errors.RankNotReady(
+                    'rank serves another map than the base'
+                )
             self._fence = max(self._fence, fence)
             await self._engine.apply_record(record, self._fence)
             self._record = record
-            self._life.trigger('arm')
-            self._start_watch()
+            self._lifecycle.trigger('arm')
+            self._start_polling()
 
     async def apply_outcome(self, record: switch_record.SwitchRecord) -> None:
-        """Take the outcome of the switch that the rank is armed for."""
+        """Apply the outcome of the switch that the rank is armed for."""
         async with self._lock:
             if self.state == lifecycle.ARMED:
-                await self._settle(record)
+                await self._apply_decision(record)
 
     async def _is_past_last_switch(self) -> bool:
         if self._record.stage is not switch_record.Stage.COMMITTED:
@@ -156,49 +151,46 @@
         status = await self._engine.status()
         return status.step >= self._record.from_step
 
-    def _check_known(self, record: switch_record.SwitchRecord) -> None:
+    def _check_past_switch(self, record: switch_record.SwitchRecord) -> None:
         if record.number < self._record.number:
-            raise order_errors.SwitchAborted('rank knows of a later switch')
+            raise order_errors.SwitchAborted('rank has seen a later switch')
         if self._record.stage is switch_record.Stage.ABORTED:
             raise order_errors.SwitchAborted()
 
-    async def _settle(self, latest: switch_record.SwitchRecord) -> None:
+    async def _apply_decision(self, latest: switch_record.SwitchRecord) -> None:
         decided = self._record.outcome_from(latest)
         if decided is None:
             return
         await self._engine.apply_record(decided, self._fence)
         self._record = decided
         self._loaded_map = ''
-        self._life.trigger('settle')
-        await self._drop_unused()
+        self._lifecycle.trigger('settle')
+        await self._forget_unused()
         _log.info('switch: %d is %s', decided.number, decided.stage.value)
 
     async def _recover(self) -> None:
-        """Bring an engine that has started back with what control knows.
-
-        The failure: a rank that armed restarts before the switch step and
-        comes up with the map that it was started with, while the others
-        switch; tokens then go to ranks that do not have the expert.  Control
-        recorded the intent before this rank could arm, so a read made after
-        the restart finds it, and the engine runs no step before that read.
+        """Restore a started engine from control's latest record before its
+        first step, or a rank restarted after arming might use the old map.
         """
         while True:
             try:
-                self._record = await self._place()
+                self._record = await self._restore()
             except errors.CodedError as exc:
-                _log.warning('switch: cannot place rank, %s %s', exc.code, exc)
+                _log.warning(
+                    'switch: cannot restore the engine, %s %s', exc.code, exc
+                )
                 await asyncio.sleep(self._settings.retry_seconds)
                 continue
-            self._life.trigger('arm' if self._record.is_open else 'place')
+            self._lifecycle.trigger('arm' if self._record.is_open else 'place')
             if self._record.is_open:
-                self._start_watch()
+                self._start_polling()
             return
 
-    async def _place(self) -> switch_record.SwitchRecord:
+    async def _restore(self) -> switch_record.SwitchRecord:
         await self._loader.sync_loaded()
         self._fence = await self._control.fence(self._group)
         record = await self._control.latest(self._group)
-        record = record or self._first_record()
+        record = record or self._initial_record()
         digests = {record.base, record.settled_map}
         if record.is_open:
             digests.add(record.target)
@@ -206,21 +198,21 @@
             placement = await self._maps.get(digest)
             await self._engine.add_map(placement)
             wanted = self._moves(placement.holds(), urgent=True)
-            await self._loader.load(wanted, _no_report)
+            await self._loader.load(wanted, _ignore_progress)
         await self._engine.apply_record(record, self._fence)
         return record
 
-    def _start_watch(self) -> None:
-        self._stop_watch()
-        self._watch = asyncio.create_task(self._watch_outcome())
+    def _start_polling(self) -> None:
+        self._stop_polling()
+        self._polling = asyncio.create_task(self._poll_outcome())
 
-    def _stop_watch(self) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+    def _stop_polling(self) -> None:
+        if self._polling is not None:
+            self._polling.cancel()
+            self._polling = None
 
-    async def _watch_outcome(self) -> None:
-        """Ask control for the outcome when no message brought it."""
+    async def _poll_outcome(self) -> None:
+        """Poll control for the outcome if the owner doesn't send it."""
         await asyncio.sleep(self._settings.outcome_wait_seconds)
         while self.state == lifecycle.ARMED:
             try:
@@ -237,15 +229,15 @@
         try:
             await self.apply_outcome(latest)
         except errors.CodedError as exc:
-            _log.warning('switch: engine did not follow, %s', exc)
+            _log.warning('switch: engine did not apply the outcome, %s', exc)
 
-    def _lose(self) -> None:
-        self._stop_watch()
-        self._life.trigger('lose')
+    def _reset(self) -> None:
+        self._stop_polling()
+        self._lifecycle.trigger('lose')
         self._starts += 1
         self._loaded_map = ''
 
-    async def _drop_unused(self) -> None:
+    async def _forget_unused(self) -> None:
         serving = await self._maps.get(self._record.settled_map)
         self._loader.retain(self._moves(serving.holds()))
 
@@ -256,7 +248,7 @@
     ) -> list[moves.Move]:
         return rank_moves(held, self._rank, urgent=urgent)
 
-    def _first_record(self) -> switch_record.SwitchRecord:
+    def _initial_record(self) -> switch_record.SwitchRecord:
         initial = self._maps.initial_digest
         return switch_record.SwitchRecord(
             number=0,
@@ -280,5 +272,5 @@
     ]
 
 
-def _no_report(done: float) -> None:
-    """Take no notice of progress."""
+def _ignore_progress(done: float) -> None:
+    """Ignore the progress."""
--- a/tamarackthread/agent/switch_record.py
+++ b/tamarackthread/agent/switch_record.py
@@ -1,9 +1,5 @@
-"""Describe a switch of the expert map as control records it.
-
-Control keeps the first decision under each id of a group and never changes
-it.  Switch ``number`` uses two ids: ``2 * number - 1`` for the intent, which
-is recorded before any rank arms, and ``2 * number`` for its outcome.  A rank
-that lost its memory reads the latest id and so cannot miss an open switch.
+"""Define the record of a map switch, a write-once decision at control: id ``2
+* number - 1`` for the intent, before any rank arms, ``2 * number`` after.
 """
 
 from __future__ import annotations
@@ -20,7 +16,7 @@
 
 
 class Stage(enum.Enum):
-    """Say how far a switch has come; the value is control's word for it."""
+    """Stage of a switch; the value is what control stores."""
 
     PREPARED = 'prepare'
     COMMITTED = 'commit'
@@ -29,9 +25,8 @@
 
 @attrs.frozen
 class SwitchRecord:
-    """One switch: maps are named by their digests.
-
-    ``target`` serves from step ``from_step`` on if the switch is committed.
+    """One switch from map ``base`` to ``target``, given by their digests, at
+    step ``from_step``.
     """
 
     number: int
@@ -42,23 +37,23 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the outcome is still to be decided."""
+        """Tell whether the switch is undecided."""
         return self.stage is Stage.PREPARED
 
     @property
     def order(self) -> tuple[int, bool]:
-        """Return the place in time; a later record replaces earlier ones."""
+        """Return the sort key; a later record replaces earlier ones."""
         return self.number, not self.is_open
 
     @property
     def settled_map(self) -> str:
-        """Return the digest of the map that serves in the end."""
+        """Return the digest of the map in force, the base while undecided."""
         if self.stage is Stage.COMMITTED:
             return self.target
         return self.base
 
     def map_at(self, step: int) -> str | None:
-        """Return the map for a step; ``None`` means to hold at this step."""
+        """Return the map for a step, ``None`` to hold at this step."""
         if step < self.from_step or self.stage is Stage.ABORTED:
             return self.base
         if self.stage is Stage.COMMITTED:
@@ -66,15 +61,12 @@
         return None
 
     def with_outcome(self, stage: Stage) -> 'SwitchRecord':
-        """Return the same switch with an outcome."""
+        """Return the same switch with another stage."""
         return attrs.evolve(self, stage=stage)
 
     def outcome_from(self, latest: 'SwitchRecord') -> 'SwitchRecord | None':
-        """Work out how this switch ended from the group's latest record.
-
-        Asked by a rank that armed for this switch: no later switch can have
-        been committed without it, so the map that a later one starts from is
-        the one that this switch ended with.
+        """Derive the outcome from the group's latest record.  A later switch
+        needs this rank's arm, so its base is the result of this one.
         """
         if latest.number < self.number:
             return None
@@ -85,12 +77,12 @@
         return self.with_outcome(Stage.ABORTED)
 
     def to_json(self) -> str:
-        """Write the record for a message's body."""
+        """Serialize the record for a message's body."""
         fields = attrs.asdict(self)
         return json.dumps({**fields, 'stage': self.stage.value})
 
     def to_request(self, group: str, fence: int) -> messages.DecisionRequest:
-        """Build the request that makes the record durable."""
+        """Build the request that records this stage at control."""
         return messages.DecisionRequest(
             group=group,
             fence=fence,
@@ -101,17 +93,19 @@
 
 
 def from_json(text: str) -> SwitchRecord:
-    """Read a record; raise ``OrderInvalid`` on nonsense."""
+    """Parse a record; raise ``OrderInvalid`` if malformed."""
     try:
         fields = json.loads(text)
         stage = Stage(fields.pop('stage'))
         return SwitchRecord(stage=stage, **fields)
     except (ValueError, KeyError, TypeError) as exc:
-        raise order_errors.OrderInvalid(f'switch record: {exc}') from exc
+        raise order_errors.OrderInvalid(
+            f'malformed switch record: {exc}'
+        ) from exc
 
 
 def from_reply(reply: messages.DecisionReply) -> SwitchRecord | None:
-    """Read what control recorded; ``None`` when it recorded nothing."""
+    """Parse control's reply; ``None`` if there is no record."""
     if not reply.decision:
         return None
     return from_json(reply.body)
