--- a/tamarackthread/agent/leased_load.py
+++ b/tamarackthread/agent/leased_load.py
@@ -1,4 +1,4 @@
-"""Run a long load as long as the store gives it room, and resume it after."""
+"""Run a long load only while a slot of the weight store is leased."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from tamarackthread.agent import store_slots
 
-_SLICE_SECONDS = 1
+_RENEW_SECONDS = 1
 _Start = collections.abc.Callable[[], collections.abc.Awaitable[str]]
 
 
@@ -16,12 +16,8 @@
     start: _Start,
     urgent: bool,
 ) -> str:
-    """Run ``start`` while a slot of the store is held; return its result.
-
-    The failure: a load goes on after its lease has ended, and the groups
-    together exceed the store's rate, so that urgent loads crawl.  The slot
-    is renewed in slices; without it the load is cancelled and, being
-    resumable, started again once there is a slot.
+    """Run the resumable load ``start`` and return its result.  It is cancelled
+    when the slot is lost, to keep the rate limit, and resumed with the next.
     """
     while True:
         await store.acquire(urgent=urgent)
@@ -37,9 +33,9 @@
     store: store_slots.StoreLimiter,
     work: asyncio.Future[str],
 ) -> bool:
-    """Tell whether the work ended before the slot was lost."""
+    """Return whether the work ended before the slot was lost."""
     while True:
-        done, _ = await asyncio.wait((work,), timeout=_SLICE_SECONDS)
+        done, _ = await asyncio.wait((work,), timeout=_RENEW_SECONDS)
         if done:
             return True
         if not await store.renew():
--- a/tamarackthread/agent/remote_group.py
+++ b/tamarackthread/agent/remote_group.py
@@ -1,4 +1,4 @@
-"""Reach a group from outside it, for a roll-out."""
+"""Control a group from outside it, for a roll-out."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 _OPERATOR_FENCE = 0
 _MS = 1000
 
-# Gives the share of a group's calls that failed lately, from 0 to 1.
+# Returns the recent failure ratio of a group's calls, from 0 to 1.
 FailureRatio = collections.abc.Callable[[], float]
 
 
 @attrs.frozen
 class RemoteGroupSettings:
-    """Say how a group is reached; times are in seconds."""
+    """Identify a group and set the timeouts of its orders."""
 
     name: str
     version: str
@@ -36,62 +36,68 @@
 
 
 class RemoteGroup(rollout.RolloutGroup):
-    """Give orders to whichever agent owns the group at the moment."""
+    """Send orders to the agent that currently owns the group."""
 
     def __init__(
         self,
-        reach: RemoteGroupSettings,
+        settings: RemoteGroupSettings,
         transport: rank_transport.RankTransport,
-        failed: FailureRatio,
+        failure_ratio: FailureRatio,
     ) -> None:
-        """Take the version that the group runs from ``reach``."""
-        self._reach = reach
+        """Assume that the group runs the version of ``settings``."""
+        self._settings = settings
         self._transport = transport
-        self._failed = failed
-        self._version = reach.version
+        self._failure_ratio = failure_ratio
+        self._version = settings.version
 
     @property
     def name(self) -> str:
         """Return the group's name."""
-        return self._reach.name
+        return self._settings.name
 
     async def load_version(self, version: str, rollout_id: str) -> str:
-        """Have every rank load the version; sending again asks and resumes."""
+        """Load the version at all ranks; resending the order polls or resumes."""
         body = json.dumps({'version': version})
         order = self._order('load_version', f'{rollout_id}-{version}', body)
         loop = asyncio.get_running_loop()
-        end = loop.time() + self._reach.load_seconds
-        while loop.time() < end:
-            state = await self._through_owner(order)
+        deadline = loop.time() + self._settings.load_seconds
+        while loop.time() < deadline:
+            state = await self._order_owner(order)
             if state is not None and state.state == order_state.DONE:
                 previous = self._version
                 self._version = version
                 return previous
             if state is not None and state.state == order_state.CANCELLED:
-                raise order_errors.EngineFailed('an operator cancelled it')
-            await asyncio.sleep(self._reach.poll_seconds)
-        raise order_errors.EngineFailed('version was not loaded in time')
+                raise order_errors.EngineFailed(
+                    'an operator cancelled the order'
+                )
+            await asyncio.sleep(self._settings.poll_seconds)
+        raise order_errors.EngineFailed(
+            'timed out while the group loaded the version'
+        )
 
     async def health(self, seconds: float) -> rollout.GroupHealth:
-        """Sample step times for some seconds; raise if no rank answers."""
+        """Sample step times for some seconds; raise ``EngineFailed`` if none."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + seconds
+        deadline = loop.time() + seconds
         samples: list[float] = []
-        while loop.time() < end:
+        while loop.time() < deadline:
             samples.extend(await self._step_times())
-            await asyncio.sleep(self._reach.poll_seconds)
+            await asyncio.sleep(self._settings.poll_seconds)
         if not samples:
-            raise order_errors.EngineFailed(f'{self.name} gave no step time')
+            raise order_errors.EngineFailed(
+                f'{self.name} reported no step time'
+            )
         mean = sum(samples) / len(samples)
-        return rollout.GroupHealth(mean, self._failed())
+        return rollout.GroupHealth(mean, self._failure_ratio())
 
-    async def _through_owner(
+    async def _order_owner(
         self,
         order: messages.GroupOrder,
     ) -> order_state.OrderState | None:
-        """Ask rank after rank until one owns the group, else ``None``."""
+        """Send an order to the owner's rank; return ``None`` if none is found."""
         for rank in self._transport.ranks:
-            state = await self._ask(rank, order)
+            state = await self._send(rank, order)
             if state is None or state.code == order_errors.NotOwner.code:
                 continue
             return state
@@ -100,12 +106,12 @@
     async def _step_times(self) -> list[float]:
         order = self._order(order_state.STATUS, 'status', '')
         for rank in self._transport.ranks:
-            state = await self._ask(rank, order)
+            state = await self._send(rank, order)
             if state is not None and state.state == order_state.DONE:
                 return [float(json.loads(state.result)['step_ms'])]
         return []
 
-    async def _ask(
+    async def _send(
         self,
         rank: int,
         order: messages.GroupOrder,
@@ -114,7 +120,7 @@
             reply = await self._transport.send(
                 rank,
                 order,
-                self._reach.order_seconds,
+                self._settings.order_seconds,
             )
         except errors.CodedError:
             return None
@@ -127,10 +133,10 @@
         body: str,
     ) -> messages.GroupOrder:
         return messages.GroupOrder(
-            group=self._reach.name,
+            group=self._settings.name,
             fence=_OPERATOR_FENCE,
             order_id=order_id,
             action=action,
             body=body,
-            deadline_ms=int(self._reach.order_seconds * _MS),
+            deadline_ms=int(self._settings.order_seconds * _MS),
         )
--- a/tamarackthread/agent/reports.py
+++ b/tamarackthread/agent/reports.py
@@ -1,7 +1,5 @@
-"""Ask the target for its load and report it to the entries.
-
-The question is also the heartbeat between agent and target: a target that
-stops answering it is stuck, whatever its open connections look like.
+"""Poll the target's load and report it to the entries.  The poll is also the
+target's health check.
 """
 
 from __future__ import annotations
@@ -17,14 +15,14 @@
 
 FRESH_SECONDS = 1.5
 REPORTS_PER_SECOND = 40
-# Polling must stay well within the time after which a target counts as silent.
+# Below the time after which a target counts as silent.
 MAX_INTERVAL_SECONDS = 1.0
-MAX_NOTES = 256
+MAX_PREFIX_NOTES = 256
 _log = logging.getLogger('tamarackthread.agent')
 
 
 class Reporter:
-    """Poll the target and tell every connected entry what it said."""
+    """Poll the target and send each report to all connected entries."""
 
     def __init__(
         self,
@@ -32,7 +30,7 @@
         client: target.TargetClient,
         interval_seconds: float,
     ) -> None:
-        """Keep what to ask; ``run`` asks until it is cancelled."""
+        """Start without entries; ``run`` polls until it is cancelled."""
         self._target_id = target_id
         self._client = client
         self._interval_seconds = interval_seconds
@@ -47,16 +45,14 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether the target answered a moment ago."""
+        """Tell whether the last report is recent."""
         now = asyncio.get_running_loop().time()
         return now - self._last_at <= FRESH_SECONDS
 
     @property
     def is_stuck(self) -> bool:
-        """Tell whether the target is silent or holds work and makes nothing.
-
-        An engine whose loop hangs may go on answering its heartbeat.  Its
-        token count then stands still while calls run, which shows it.
+        """Tell whether the target is silent, or its token count stands still
+        while calls run: a hung engine may go on answering polls.
         """
         if not self.is_fresh:
             return True
@@ -67,7 +63,7 @@
 
     @property
     def stuck_seconds(self) -> float:
-        """Give the time without progress that counts as stuck, 0 for never."""
+        """Return the time without progress that counts as stuck, 0 for never."""
         return self._stuck_seconds
 
     @stuck_seconds.setter
@@ -75,41 +71,38 @@
         self._stuck_seconds = seconds
 
     def add(self, entry: link.Link) -> None:
-        """Report to one more entry, beginning at once."""
+        """Add an entry and send it a report at once."""
         self._entries.add(entry)
         entry.notify(self._message(()))
 
     def remove(self, entry: link.Link) -> None:
-        """Report to an entry no longer."""
+        """Stop reporting to an entry."""
         self._entries.discard(entry)
 
     def set_leaving(self, leaving: bool) -> None:
-        """Say in each report from now on whether the target is leaving."""
+        """Set whether reports mark the target as leaving, and send one."""
         self._leaving = leaving
-        self._tell(())
+        self._broadcast(())
 
     async def run(self) -> None:
-        """Ask and report for ever."""
+        """Poll and report until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             started = loop.time()
-            notes = await self._ask()
-            self._tell(notes)
+            notes = await self._poll()
+            self._broadcast(notes)
             spent = loop.time() - started
-            every = self._interval()
-            await asyncio.sleep(max(every - spent, every / 4))
+            interval = self._interval()
+            await asyncio.sleep(max(interval - spent, interval / 4))
 
     def _interval(self) -> float:
-        """Report the less often the more entries share the target.
-
-        Reports to all entries together stay bounded, or they would grow with
-        targets and entries at once.  An entry among many has few calls here,
-        so it loses little by an older report.
+        """Return the interval, longer with more entries, to bound the number
+        of reports a second.
         """
         shared = len(self._entries) / REPORTS_PER_SECOND
         return max(self._interval_seconds, min(shared, MAX_INTERVAL_SECONDS))
 
-    async def _ask(self) -> collections.abc.Sequence[tuple[int, bool]]:
+    async def _poll(self) -> collections.abc.Sequence[tuple[int, bool]]:
         loop = asyncio.get_running_loop()
         was_fresh = self.is_fresh
         try:
@@ -120,20 +113,24 @@
             return ()
         now = loop.time()
         if self._last is not None and report.tokens >= self._last.tokens:
-            made = report.tokens - self._last.tokens
-            self._tokens_per_second = made / max(now - self._last_at, 1e-3)
+            new_tokens = report.tokens - self._last.tokens
+            self._tokens_per_second = new_tokens / max(
+                now - self._last_at, 1e-3
+            )
         if self._made_progress(report):
             self._progress_at = now
         self._last = report
         self._last_at = now
-        return report.prefixes[-MAX_NOTES:]
+        return report.prefixes[-MAX_PREFIX_NOTES:]
 
     def _made_progress(self, report: target.TargetReport) -> bool:
         if self._last is None or not report.running:
             return True
         return report.tokens != self._last.tokens
 
-    def _tell(self, notes: collections.abc.Sequence[tuple[int, bool]]) -> None:
+    def _broadcast(
+        self, notes: collections.abc.Sequence[tuple[int, bool]]
+    ) -> None:
         self._sequence += 1
         message = self._message(notes)
         for entry in tuple(self._entries):
--- a/tamarackthread/agent/response_recorder.py
+++ b/tamarackthread/agent/response_recorder.py
@@ -1,4 +1,4 @@
-"""Keep a claimed call's small answer, also after its entry is gone."""
+"""Record the small answers of claimed calls while relaying them."""
 
 from __future__ import annotations
 
@@ -10,37 +10,34 @@
 
 
 class ResponseSink(typing.Protocol):
-    """Whoever is given an answer."""
+    """Destination of an answer."""
 
     def send_head(self, head: messages.CallHead) -> None:
-        """Take the head of the answer."""
+        """Send the head of the answer."""
 
     async def send(self, payload: bytes) -> None:
-        """Take a piece of the body."""
+        """Send a piece of the body."""
 
     def finish(self, end: messages.CallEnd) -> None:
-        """Take the end of a whole answer."""
+        """End a complete answer."""
 
 
 class ResponseRecorder(ResponseSink):
-    """Pass an answer on while its stream lasts, and remember it.
-
-    An entry that dies takes its stream with it, but the work at the target
-    goes on and can't be taken back.  Its answer is read to the end, so that
-    the caller's second try is given it.
+    """Relay an answer while its stream lasts, and record all of it for the
+    caller's retry, even after the stream is lost.
     """
 
     def __init__(self, call: stream.Stream) -> None:
-        """Forward to ``call``."""
+        """Relay to ``call``."""
         self._call = call
         self._head: messages.CallHead | None = None
         self._body = bytearray()
-        self._is_small = True
+        self._fits = True
 
     @property
     def answer(self) -> claims.Answer | None:
-        """Give the answer if it was small."""
-        if self._head is None or not self._is_small:
+        """Return the recorded answer unless it exceeded the size limit."""
+        if self._head is None or not self._fits:
             return None
         return claims.Answer(
             status=self._head.status,
@@ -49,30 +46,29 @@
         )
 
     def send_head(self, head: messages.CallHead) -> None:
-        """Send the head of the answer."""
+        """Record and relay the head of the answer."""
         self._head = head
         if not self._call.failed:
             self._call.send_head(head)
 
     async def send(self, payload: bytes) -> None:
-        """Send a piece of the body."""
-        self._keep(payload)
+        """Record and relay a piece of the body."""
+        self._record(payload)
         if self._call.failed:
             return
         try:
             await self._call.send(payload)
         except errors.CodedError:
-            # The stream is gone and nothing is owed to it any more; what is
-            # left of the answer is kept for the second try.
+            # The stream is lost; the rest of the answer is only recorded.
             return
 
     def finish(self, end: messages.CallEnd) -> None:
-        """End the answer as whole."""
+        """End the answer as complete."""
         self._call.finish(end)
 
-    def _keep(self, payload: bytes) -> None:
+    def _record(self, payload: bytes) -> None:
         if len(self._body) + len(payload) > claims.MAX_ANSWER_BYTES:
-            self._is_small = False
+            self._fits = False
             self._body.clear()
-        if self._is_small:
+        if self._fits:
             self._body += payload
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -31,13 +31,13 @@
     stream,
 )
 
-# Longer than a call's way here from any region.
-PART_SECONDS = 0.5
+# Longer than the latency of a call from any region.
+DRAIN_LINKS_SECONDS = 0.5
 _log = logging.getLogger('tamarackthread.agent')
 
 
 class AgentHandler(link.Handler):
-    """Serve entries' calls and the requests of control hosts and nodes."""
+    """Serve calls of entries and requests of control hosts and other nodes."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         known: feed.ConfigFeed,
         group: group_membership.GroupMembership,
     ) -> None:
-        """Serve through the gate; relay the configuration to other nodes."""
+        """Serve calls through ``guard``; relay ``known`` to other nodes."""
         self._gate = guard
         self._reporter = reporter
         self._group = group
@@ -57,7 +57,7 @@
         link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Answer a request by what it asks."""
+        """Dispatch a request by its kind."""
         if request.feed is not None:
             return await self._relay.answer(link, request.feed)
         if request.drain is not None:
@@ -83,20 +83,20 @@
         await self._gate.serve(call, opening)
 
     def on_connected(self, link: link.Link) -> None:
-        """Report the load to an entry that connected."""
+        """Start reporting the load if an entry connected."""
         if link.peer.role == messages.Role.ENTRY:
             self._reporter.add(link)
 
     def on_lost(self, link: link.Link) -> None:
-        """Report no longer."""
+        """Stop reporting to the link."""
         self._reporter.remove(link)
 
 
 class Agent:
-    """Hold the parts of an agent's process."""
+    """Own the components of an agent process."""
 
     def __init__(self, settings: generated.Settings) -> None:
-        """Build the parts; ``run`` starts them."""
+        """Build the components; ``run`` starts them."""
         assert settings.agent is not None
         self._settings = settings
         self._own = settings.agent
@@ -160,11 +160,11 @@
         )
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then leave without cutting anything off."""
+        """Run until asked to stop, then drain."""
         await self._client.start()
         await self._group.start()
         address = await self._listener.start_on(self._place.bound)
-        self._feed.subscribe(self._follow)
+        self._feed.subscribe(self._apply_documents)
         self._feed.start()
         loop = asyncio.get_running_loop()
         working = [
@@ -173,15 +173,15 @@
         ]
         if announce is not None:
             announce({'link': address})
-        _log.info('agent: guards %s', self._own.target_id)
+        _log.info('agent: started for target %s', self._own.target_id)
         await process.stop_asked()
-        await self._leave()
+        await self._drain()
         for work in working:
             work.cancel()
 
-    def _follow(self, held: catalogue.Catalogue) -> None:
-        """Leave, or come back, as the operator has said of this target."""
-        self._follow_profile(held)
+    def _apply_documents(self, held: catalogue.Catalogue) -> None:
+        """Apply the documents, among them whether this target drains."""
+        self._apply_profile(held)
         self._group.update_addresses(held)
         found = held.get(documents.TARGET, self._own.target_id)
         if found is None or self._stopping:
@@ -191,7 +191,7 @@
         if details.incarnation == own.incarnation:
             self._gate.set_leaving(leaving=details.leaving)
 
-    def _follow_profile(self, held: catalogue.Catalogue) -> None:
+    def _apply_profile(self, held: catalogue.Catalogue) -> None:
         service = held.get(documents.SERVICE, self._own.service)
         if service is None:
             return
@@ -202,14 +202,14 @@
         profile = documents.parse(documents.PROFILE, found.body)
         self._gate.idle_seconds = profile.timeouts.idle_seconds
         self._group.apply_balance(profile.balance)
-        # Only an engine counts tokens; a plain service may well work long on
-        # one call before it counts it as done.
+        # Only models report progress in tokens; a plain service may run one
+        # call for long.
         if details.kind == 'model':
             self._reporter.stuck_seconds = profile.ejection.stuck_seconds
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         self._stopping = True
-        _log.info('agent: leaves, %d calls open', self._gate.open_calls)
+        _log.info('agent: stopping, %d calls open', self._gate.open_calls)
         self._gate.set_leaving()
         self._announced.leave()
         await self._announcer.announce()
@@ -221,7 +221,7 @@
         )
         await self._group.stop()
         await self._feed.stop()
-        await self._listener.part(PART_SECONDS)
+        await self._listener.part(DRAIN_LINKS_SECONDS)
         self._peers.close()
         await self._client.stop()
 
@@ -230,5 +230,5 @@
     settings: generated.Settings,
     announce: process.Announce | None = None,
 ) -> None:
-    """Run an agent until SIGTERM; ``announce`` gets its addresses."""
+    """Run an agent until SIGTERM; ``announce`` receives its addresses."""
     await Agent(settings).run(announce)
--- a/tamarackthread/agent/rollout.py
+++ b/tamarackthread/agent/rollout.py
@@ -1,4 +1,4 @@
-"""Roll a version out group by group and stop when a group gets worse."""
+"""Roll a version out group by group; roll back and stop on a regression."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @attrs.frozen
 class GroupHealth:
-    """What a group shows over a while; ``failed`` is a share of calls."""
+    """Mean step time and failure ratio of a group over a period."""
 
     step_ms: float
     failure_ratio: float
 
 
 class RolloutGroup(abc.ABC):
-    """One group that gets the version."""
+    """One group of the roll-out."""
 
     @property
     @abc.abstractmethod
@@ -30,23 +30,19 @@
 
     @abc.abstractmethod
     async def load_version(self, version: str, rollout_id: str) -> str:
-        """Bring the group to a version and return the one before.
-
-        Idempotent under one ``rollout_id``; raises what failed.
+        """Load a version and return the previous one; raise a coded error on
+        failure.  Idempotent under one ``rollout_id``.
         """
 
     @abc.abstractmethod
     async def health(self, seconds: float) -> GroupHealth:
-        """Watch the group for some seconds."""
+        """Measure the group for some seconds."""
 
 
 @attrs.frozen
 class RolloutLimits:
-    """Say how much worse a group may get.
-
-    The step time is compared with the group's own before, corrected by how
-    the groups that were not touched changed meanwhile: a wave that slows all
-    of them must not be blamed on the version.
+    """Limits of a regression.  The slowdown is relative to that of the groups
+    not yet upgraded, so that a change of load is not blamed on the version.
     """
 
     observe_seconds: float = 30
@@ -56,7 +52,7 @@
 
 @attrs.frozen
 class RolloutProgress:
-    """What operators see of a roll-out."""
+    """Progress of a roll-out; ``stopped`` is the reason if it was."""
 
     version: str
     done: tuple[str, ...]
@@ -65,7 +61,7 @@
 
 
 class Rollout:
-    """Bring groups to a version, one after the other."""
+    """Upgrade groups to a version, one after the other."""
 
     def __init__(
         self,
@@ -74,7 +70,7 @@
         groups: collections.abc.Sequence[RolloutGroup],
         limits: RolloutLimits,
     ) -> None:
-        """Touch no group before ``run``."""
+        """Prepare the roll-out; ``run`` starts it."""
         self._id = rollout_id
         self._version = version
         self._groups = list(groups)
@@ -84,7 +80,7 @@
 
     @property
     def progress(self) -> RolloutProgress:
-        """Return how far the roll-out has come."""
+        """Return the current progress."""
         names = [group.name for group in self._groups]
         left = tuple(name for name in names if name not in self._done)
         return RolloutProgress(
@@ -95,20 +91,19 @@
         )
 
     def stop(self, reason: str) -> None:
-        """Touch no further group; the one under way is finished."""
+        """Stop after the current group."""
         self._stopped = self._stopped or reason
 
     async def run(self) -> None:
-        """Go through the groups; raise ``RolloutStopped`` when it ends early.
-
-        A group that got worse is brought back to the version it had.
+        """Upgrade all groups; raise ``RolloutStopped`` if stopped early, after
+        rolling back a group with a regression.
         """
-        for number, group in enumerate(self._groups):
+        for position, group in enumerate(self._groups):
             if self._stopped:
                 raise order_errors.RolloutStopped(self._stopped)
             if group.name in self._done:
                 continue
-            await self._upgrade(group, self._groups[number + 1 :])
+            await self._upgrade(group, self._groups[position + 1 :])
             self._done.append(group.name)
 
     async def _upgrade(
@@ -116,39 +111,45 @@
         group: RolloutGroup,
         untouched: collections.abc.Sequence[RolloutGroup],
     ) -> None:
-        before = await self._watch([group, *untouched])
+        before = await self._measure([group, *untouched])
         try:
             previous = await group.load_version(self._version, self._id)
         except errors.CodedError as exc:
             self.stop(f'{group.name}: {exc.code} {exc}')
             raise order_errors.RolloutStopped(self._stopped) from exc
-        after = await self._watch([group, *untouched])
-        reason = self._verdict(before, after)
+        after = await self._measure([group, *untouched])
+        reason = self._regression(before, after)
         if reason:
             self.stop(f'{group.name}: {reason}')
             await group.load_version(previous, f'{self._id}-undo')
             raise order_errors.RolloutStopped(self._stopped)
 
-    async def _watch(
+    async def _measure(
         self,
         groups: collections.abc.Sequence[RolloutGroup],
     ) -> list[GroupHealth]:
         seconds = self._limits.observe_seconds
-        watching = [group.health(seconds) for group in groups]
-        return await asyncio.gather(*watching)
+        measuring = [group.health(seconds) for group in groups]
+        return await asyncio.gather(*measuring)
 
-    def _verdict(
+    def _regression(
         self,
         before: list[GroupHealth],
         after: list[GroupHealth],
     ) -> str:
-        """Tell why the first group got worse, empty if it did not."""
-        others = [
-            late.step_ms / max(early.step_ms, 1e-9)
-            for early, late in zip(before[1:], after[1:], strict=True)
+        """Return the regression of the first group, or an empty string."""
+        other_slowdowns = [
+            later.step_ms / max(earlier.step_ms, 1e-9)
+            for earlier, later in zip(before[1:], after[1:], strict=True)
         ]
-        usual = sorted(others)[len(others) // 2] if others else 1
-        slowdown = after[0].step_ms / max(before[0].step_ms, 1e-9) / usual
+        median_slowdown = (
+            sorted(other_slowdowns)[len(other_slowdowns) // 2]
+            if other_slowdowns
+            else 1
+        )
+        slowdown = (
+            after[0].step_ms / max(before[0].step_ms, 1e-9) / median_slowdown
+        )
         if slowdown > self._limits.max_slowdown:
             return f'steps take {slowdown:.2f} times as long'
         failed = after[0].failure_ratio - before[0].failure_ratio
--- a/tamarackthread/agent/store_slots.py
+++ b/tamarackthread/agent/store_slots.py
@@ -1,9 +1,5 @@
-"""Share the rate-limited weight store among all groups.
-
-The store's rate is cut into equal slots, each a lease at control.  A holder
-loads at one slot's rate, so however many groups there are, together they
-stay under the limit, also when control is out of reach: a lease that ends
-unrenewed ends the loading.  Slot 0 is kept for urgent loads.
+"""Limit loads from the weight store to its rate, by slots of equal rate that
+are leased at control.  Slot 0 is reserved for urgent loads.
 """
 
 from __future__ import annotations
@@ -19,34 +15,32 @@
 
 
 class StoreLimiter(abc.ABC):
-    """Give permission to load from the store."""
+    """Limit the rate of loads from the weight store."""
 
     @abc.abstractmethod
     async def acquire(self, urgent: bool) -> None:
-        """Wait until a piece may be loaded; urgent ones wait less."""
+        """Wait until a piece may be loaded; urgent ones have priority."""
 
     @abc.abstractmethod
     async def renew(self) -> bool:
-        """Keep the permission for a long load; tell whether it is kept."""
+        """Renew the permission of a long load; return whether it still holds."""
 
 
 class UnlimitedStore(StoreLimiter):
-    """Let every piece through, where the store has no limit."""
+    """Allow every load, for a store without a rate limit."""
 
     async def acquire(self, urgent: bool) -> None:
         """Return at once."""
 
     async def renew(self) -> bool:
-        """Keep the permission."""
+        """Return ``True``."""
         return True
 
 
 @attrs.frozen
 class SlotSettings:
-    """Hold the constants of the slots; ``slots`` counts with the urgent one.
-
-    ``spare_ms`` of a lease must be left when a piece starts, more than a
-    piece takes.
+    """``slots`` includes the urgent one; ``margin_ms`` of a lease must be left
+    when a piece starts, more than it takes.
     """
 
     slots: int = 16
@@ -56,7 +50,7 @@
 
 
 class LeasedStoreLimiter(StoreLimiter):
-    """Hold one of the store's slots while pieces are loaded."""
+    """Lease one of the store's slots while loading pieces."""
 
     def __init__(
         self,
@@ -65,55 +59,59 @@
         settings: SlotSettings,
         rng: random.Random,
     ) -> None:
-        """Name the holder, one for each rank's loader."""
+        """Start without a slot; each rank needs a ``holder`` of its own."""
         self._control = control
         self._holder = holder
         self._settings = settings
         self._random = rng
         self._slot: int | None = None
         self._fence = 0
-        self._until = float('-inf')
+        self._expires_at = float('-inf')
 
     async def acquire(self, urgent: bool) -> None:
-        """Wait until this holder has a slot with enough time left."""
+        """Wait until a slot is held with enough of its lease left."""
         loop = asyncio.get_running_loop()
-        while loop.time() + self._settings.margin_ms / 1000 >= self._until:
-            if await self._take(self._choose(urgent)):
+        while loop.time() + self._settings.margin_ms / 1000 >= self._expires_at:
+            if await self._lease(self._choose_slot(urgent)):
                 continue
             self._slot = None
-            spread = self._random.uniform(0.5, 1.5)
-            await asyncio.sleep(self._settings.retry_seconds * spread)
+            jitter = self._random.uniform(0.5, 1.5)
+            await asyncio.sleep(self._settings.retry_seconds * jitter)
 
     async def renew(self) -> bool:
-        """Renew the slot's lease; tell whether enough of it is left."""
+        """Renew the slot's lease; return whether enough of it is left."""
         if self._slot is not None:
-            await self._take(self._slot)
+            await self._lease(self._slot)
         now = asyncio.get_running_loop().time()
-        return now + self._settings.margin_ms / 1000 < self._until
+        return now + self._settings.margin_ms / 1000 < self._expires_at
 
     async def release(self) -> None:
-        """Give the slot back when nothing is left to load."""
+        """Release the slot."""
         slot = self._slot
         self._slot = None
-        self._until = float('-inf')
+        self._expires_at = float('-inf')
         if slot is None:
             return
         try:
             await self._control.lease(self._request(slot, release=True))
         except order_errors.ControlUnreachable:
-            # The lease ends by itself.
+            # The lease expires without the release.
             return
 
-    def _choose(self, urgent: bool) -> int:
+    def _choose_slot(self, urgent: bool) -> int:
         if self._slot is not None:
             return self._slot
-        common = self._random.randrange(1, self._settings.slots)
-        return self._random.choice((0, common)) if urgent else common
+        background_slot = self._random.randrange(1, self._settings.slots)
+        return (
+            self._random.choice((0, background_slot))
+            if urgent
+            else background_slot
+        )
 
-    async def _take(self, slot: int) -> bool:
+    async def _lease(self, slot: int) -> bool:
         if slot != self._slot:
             self._fence = 0
-        asked = asyncio.get_running_loop().time()
+        sent_at = asyncio.get_running_loop().time()
         try:
             reply = await self._control.lease(self._request(slot))
         except order_errors.ControlUnreachable:
@@ -122,8 +120,8 @@
             return False
         self._slot = slot
         self._fence = reply.fence
-        # Counted from before the request left: control's count began later.
-        self._until = asked + reply.lease_ms / 1000
+        # Counted from before the request, so that it expires here first.
+        self._expires_at = sent_at + reply.lease_ms / 1000
         return True
 
     def _request(
--- a/tamarackthread/agent/target.py
+++ b/tamarackthread/agent/target.py
@@ -1,4 +1,4 @@
-"""Speak HTTP to the one target that this agent guards."""
+"""Send HTTP requests to the agent's target."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 PRIORITY_HEADER = 'X-Priority'
 LOAD_TIMEOUT_SECONDS = 1.0
 CANCEL_TIMEOUT_SECONDS = 1.0
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -33,15 +33,14 @@
         'expect',
     ),
 )
-# ``OSError`` includes ``TimeoutError``; ``ValueError`` is an answer that is
-# no JSON.
-_NO_ANSWER = (aiohttp.ClientError, OSError, ValueError)
+# ``OSError`` includes ``TimeoutError``; ``ValueError`` is invalid JSON.
+_REQUEST_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 _log = logging.getLogger('tamarackthread.agent')
 
 
 @attrs.frozen
 class TargetReport:
-    """The target's own figures; times in milliseconds."""
+    """Load reported by the target; times in milliseconds."""
 
     running: int
     queued: int
@@ -54,22 +53,18 @@
 
 
 class TargetClient:
-    """Hand calls to the target and ask for its load.
-
-    Calls that may not be repeated get a connection of their own.  A pooled
-    connection that something on the way has lost track of would take the
-    call's bytes and stay silent; a fresh connection that cannot be made says
-    for certain that nothing was handed over.
+    """Send calls to the target and poll its load.  Calls that must not be
+    repeated use new connections, since a pooled one may be half-open.
     """
 
     def __init__(self, settings: generated.Agent) -> None:
-        """Keep the settings; ``start`` opens the connections."""
+        """Prepare the client; ``start`` opens the sessions."""
         self._settings = settings
         self._pooled: aiohttp.ClientSession | None = None
         self._fresh: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Make the two pools, with and without reuse of connections."""
+        """Open two sessions, with and without connection reuse."""
         limit = self._settings.connection_limit
         self._pooled = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
@@ -95,10 +90,8 @@
         body: bytes,
         idle_seconds: float,
     ) -> aiohttp.ClientResponse:
-        """Send the call and wait for the head of the answer.
-
-        Raises ``TargetUnreachable`` when nothing was sent and ``TargetBroke``
-        when bytes may have reached the target.
+        """Send the call and wait for the head of the answer.  Raises
+        ``TargetUnreachable`` if nothing was sent, else ``TargetBroke``.
         """
         session = self._pooled if opening.idempotent else self._fresh
         assert session is not None
@@ -122,25 +115,33 @@
         ) as exc:
             raise target_errors.TargetUnreachable(str(exc)) from exc
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
-            raise target_errors.TargetBroke(f'before an answer: {exc}') from exc
+            raise target_errors.TargetBroke(
+                f'before its answer: {exc}'
+            ) from exc
 
     async def load(self) -> TargetReport:
-        """Ask for the load; raise ``TargetSilent`` without a good answer."""
-        answer = await self._ask('GET', LOAD_PATH, None, LOAD_TIMEOUT_SECONDS)
+        """Poll the load; raise ``TargetSilent`` without a valid answer."""
+        answer = await self._request(
+            'GET', LOAD_PATH, None, LOAD_TIMEOUT_SECONDS
+        )
         try:
             return _report(answer)
         except (KeyError, TypeError, ValueError) as exc:
-            raise target_errors.TargetSilent(f'load report: {exc}') from exc
+            raise target_errors.TargetSilent(
+                f'invalid load report: {exc}'
+            ) from exc
 
     async def cancel(self, call_id: bytes) -> None:
-        """Ask the engine to stop work on a call; a failure is only logged."""
+        """Ask the engine to cancel a call; a failure is only logged."""
         order = {'call': call_id.hex()}
         try:
-            await self._ask('POST', CANCEL_PATH, order, CANCEL_TIMEOUT_SECONDS)
+            await self._request(
+                'POST', CANCEL_PATH, order, CANCEL_TIMEOUT_SECONDS
+            )
         except target_errors.TargetSilent as exc:
             _log.debug('agent: cancel did not reach the target, %s', exc)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -159,16 +160,16 @@
             ) as response:
                 response.raise_for_status()
                 return await response.json(content_type=None)
-        except _NO_ANSWER as exc:
+        except _REQUEST_ERRORS as exc:
             raise target_errors.TargetSilent(f'{path}: {exc!r}') from exc
 
 
 def request_headers(opening: messages.OpenCall) -> list[tuple[str, str]]:
-    """Build the headers for the target from the caller's and our own."""
+    """Build the request headers from the caller's and the agent's own."""
     headers = [
         (header.name, header.value)
         for header in opening.headers or ()
-        if header.name.lower() not in _HOP_HEADERS
+        if header.name.lower() not in _HOP_BY_HOP_HEADERS
     ]
     headers.append((CALL_HEADER, opening.call_id.hex()))
     headers.append((PRIORITY_HEADER, str(opening.priority or 0)))
@@ -181,11 +182,11 @@
 def response_headers(
     response: aiohttp.ClientResponse,
 ) -> list[messages.Header]:
-    """Take the headers that go back to the caller."""
+    """Return the end-to-end headers of an answer."""
     return [
         messages.Header(name=name, value=value)
         for name, value in response.headers.items()
-        if name.lower() not in _HOP_HEADERS
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
 
 
