--- a/tamarackthread/platform/__init__.py
+++ b/tamarackthread/platform/__init__.py
@@ -1,5 +1,3 @@
-"""Translate between the product and the users' platform, and nothing else.
-
-The platform's names stand in this folder only.  Decisions, state and recovery
-are the product's.
+"""Adapt the load balancer to the platform's protocols and formats, whose names
+appear in this package only.
 """
--- a/tamarackthread/platform/__main__.py
+++ b/tamarackthread/platform/__main__.py
@@ -12,19 +12,17 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run until asked to stop; return the exit code.
-
-    Control is told its data folder as a second word, which is empty on a host
-    without a disk.  It rests there: it could keep nothing of what it accepts.
+    """Run until asked to stop; return the exit code.  Control idles if its
+    data folder, the second argument, is empty: it could not store anything.
     """
     role, folder = (*arguments, '', '')[:2]
     if role not in _ROLES:
-        sys.stderr.write(f'say one role of {", ".join(_ROLES)}\n')
+        sys.stderr.write(f'expected a role, one of {", ".join(_ROLES)}\n')
         return BAD_SETTINGS
     if role == 'control' and not folder:
         resting.until_stopped('control: rests, this host has no disk')
         return 0
-    # Loaded only now, so that a resting process holds none of it in memory.
+    # Imported late to keep the memory of an idle process small.
     startup = importlib.import_module('tamarackthread.platform.startup')
     return startup.main(role)
 
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -1,4 +1,4 @@
-"""Translate the headers of calls and of targets' answers."""
+"""Convert the headers of requests and of targets' responses."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tamarackthread.policy import backpressure
 
 MILLISECONDS = 1000
-_YES = '1'
-# What callers may not set towards targets.
-_OWN_HEADERS = frozenset(
+_TRUE = '1'
+# Request headers that only the entry sets.
+_ENTRY_HEADERS = frozenset(
     name.lower()
     for name in (
         wire.DEADLINE,
@@ -22,8 +22,8 @@
         wire.ORGANISATION,
     )
 )
-# What a target says to the entry or to one connection, not to the caller.
-_FOR_ENTRY = frozenset(
+# Response headers for the entry, and hop-by-hop headers.
+_STRIPPED_HEADERS = frozenset(
     name.lower()
     for name in (
         wire.NOT_EXECUTED,
@@ -41,22 +41,22 @@
 
 
 class PlatformDialect(dialect.Dialect):
-    """Speak with callers and targets as the platform does."""
+    """Implement the platform's headers towards callers and targets."""
 
     def read(self, request: web.BaseRequest) -> calls.CallRequest:
-        """Read a request's head; raise ``CallInvalid`` if it lacks an id."""
+        """Parse a request's head; raise ``CallInvalid`` without an id."""
         headers = request.headers
         call_id = headers.get(wire.CALL_ID, '')
         if not call_id:
             raise failures.CallInvalid(f'{wire.CALL_ID} is missing')
-        left_ms = _number(headers.get(wire.DEADLINE, ''))
+        left_ms = _parse_number(headers.get(wire.DEADLINE, ''))
         return calls.CallRequest(
             call_id=call_id,
             method=request.method,
-            host=_host(headers.get('Host', '')),
+            host=_hostname(headers.get('Host', '')),
             path=request.raw_path,
             headers=tuple(headers.items()),
-            key=_key(headers.get(wire.AUTHORIZATION, '')),
+            key=_bearer_token(headers.get(wire.AUTHORIZATION, '')),
             left=None if left_ms is None else left_ms / MILLISECONDS,
             position=headers.get(wire.LAST_EVENT_ID, ''),
         )
@@ -68,11 +68,11 @@
         left: float,
         position: str,
     ) -> calls.Headers:
-        """Write the head for a target, with what callers may not set."""
+        """Build the request headers for a target."""
         headers = [
             (name, value)
             for name, value in call.asked.headers
-            if name.lower() not in _OWN_HEADERS
+            if name.lower() not in _ENTRY_HEADERS
         ]
         headers.append((wire.DEADLINE, str(max(1, int(left * MILLISECONDS)))))
         headers.append((wire.EXPECTED_TARGET, target))
@@ -88,10 +88,10 @@
         status: int,
         headers: multidict.CIMultiDictProxy[str],
     ) -> dialect.ResponseKind:
-        """Tell what a target's head says of the call."""
+        """Classify a target's response by its head."""
         echoed = headers.get(wire.CALL_ID)
-        # A second answer to an earlier call may lie on the connection and be read
-        # as the answer to this one.  Only the echoed identity tells them apart.
+        # A late response to an earlier call on the same connection is detected
+        # by its echoed id.
         if echoed is not None and echoed != call.asked.call_id:
             return dialect.ResponseKind.STRAY
         if status == wire.MISDIRECTED:
@@ -109,14 +109,14 @@
         status: int,
         headers: multidict.CIMultiDictProxy[str],
     ) -> backpressure.Backpressure:
-        """Read what a target's head asks of this entry."""
+        """Read the backpressure headers of a response."""
         rest = (
             headers.get(wire.RETRY_AFTER, '')
             if status == wire.REFUSAL_STATUS
             else ''
         )
         return backpressure.Backpressure(
-            is_leaving=headers.get(wire.LEAVING) == _YES,
+            is_leaving=headers.get(wire.LEAVING) == _TRUE,
             rest=backpressure.seconds(rest),
             rate=backpressure.rate(headers.get(wire.RATE_LIMIT, '')),
         )
@@ -125,30 +125,30 @@
         self,
         headers: multidict.CIMultiDictProxy[str],
     ) -> list[tuple[str, str]]:
-        """Pick the headers that the caller gets."""
+        """Return the response headers to pass to the caller."""
         return [
             (name, value)
             for name, value in headers.items()
-            if name.lower() not in _FOR_ENTRY
+            if name.lower() not in _STRIPPED_HEADERS
         ]
 
     def refusal(self, call_id: str) -> list[tuple[str, str]]:
-        """Write the headers of the entry's own answer."""
+        """Build the headers of the entry's own error response."""
         return [(wire.CALL_ID, call_id)] if call_id else []
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
         return None
 
 
-def _host(header: str) -> str:
+def _hostname(header: str) -> str:
     return header.partition(':')[0].lower()
 
 
-def _key(credential: str) -> str:
+def _bearer_token(credential: str) -> str:
     if not credential.startswith(wire.BEARER):
         return ''
     return credential.removeprefix(wire.BEARER).strip()
--- a/tamarackthread/platform/configuration.py
+++ b/tamarackthread/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Read the platform's configuration."""
+"""Parse the platform's configuration."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tamarackthread.shared.site import configuration as site
 
 MILLISECONDS = 1000
-BITS_OF_BYTE = 8
+BITS_PER_BYTE = 8
 _Row = dict[str, typing.Any]
 _Item = typing.TypeVar('_Item')
 _KINDS = types.MappingProxyType(
@@ -23,37 +23,39 @@
         'streaming': site.Kind.STREAM,
     },
 )
-_UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+_PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class PlatformReader(site.Reader):
-    """Read a configuration as the platform's operators send it."""
+    """Parse a configuration in the platform's JSON format."""
 
     def read(self, body: bytes) -> site.Configuration:
-        """Read all of it; raise ``InvalidError`` with all findings."""
+        """Parse and check it; raise ``InvalidError`` with all findings."""
         found: list[findings.Finding] = []
-        held = _read(body, found)
-        if held is not None and not found:
-            found.extend(checks.check(held))
-        if held is None or found:
+        parsed = _parse(body, found)
+        if parsed is not None and not found:
+            found.extend(checks.check(parsed))
+        if parsed is None or found:
             raise findings.InvalidError(found)
-        return held
+        return parsed
 
 
-def _read(
+def _parse(
     body: bytes,
     found: list[findings.Finding],
 ) -> site.Configuration | None:
-    with _finding('$', findings.SyntaxInvalid.code, found):
+    with _collect_errors('$', findings.SyntaxInvalid.code, found):
         document = json.loads(body)
         version = document['version']
         if isinstance(version, bool) or not isinstance(version, int):
-            raise ValueError('version is not a whole number')
+            raise ValueError('version is not an integer')
         return site.Configuration(
             version=version,
-            routes=_each('routes', document['routes'], _route, found),
-            services=_each('services', document['services'], _service, found),
-            organisations=_each(
+            routes=_parse_rows('routes', document['routes'], _route, found),
+            services=_parse_rows(
+                'services', document['services'], _service, found
+            ),
+            organisations=_parse_rows(
                 'tenants', document.get('tenants') or (), _organisation, found
             ),
             limits=_limits(document.get('limits') or {}),
@@ -61,26 +63,26 @@
     return None
 
 
-def _each(
+def _parse_rows(
     name: str,
     rows: collections.abc.Iterable[_Row],
     read: collections.abc.Callable[[_Row], _Item],
     found: list[findings.Finding],
 ) -> tuple[_Item, ...]:
-    """Read a list; a bad row is a finding and the others are read on."""
-    taken = []
+    """Parse a list; an invalid row becomes a finding and is skipped."""
+    parsed = []
     for number, row in enumerate(rows):
         place = f'$.{name}.{number}'
-        with _finding(place, findings.ValueInvalid.code, found):
-            taken.append(read(row))
-    return tuple(taken)
+        with _collect_errors(place, findings.ValueInvalid.code, found):
+            parsed.append(read(row))
+    return tuple(parsed)
 
 
 def _route(row: _Row) -> site.Route:
     return site.Route(
-        name=_text(row['name']),
-        host=_text(row['host']).lower(),
-        prefix=_text(row['path-prefix']),
+        name=_string(row['name']),
+        host=_string(row['host']).lower(),
+        prefix=_string(row['path-prefix']),
         kind=_KINDS[row['kind']],
         shares=_shares(row),
         timeout=float(row['timeout-ms']) / MILLISECONDS,
@@ -94,12 +96,12 @@
 
 
 def _shares(row: _Row) -> tuple[site.Share, ...]:
-    """Read where calls go: one service, or several with weights."""
+    """Parse the traffic split: one service, or several with weights."""
     parts = row.get('traffic-split')
     if not parts:
-        return (site.Share(_text(row['service']), 1),)
+        return (site.Share(_string(row['service']), 1),)
     return tuple(
-        site.Share(_text(part['service']), float(part['weight']))
+        site.Share(_string(part['service']), float(part['weight']))
         for part in parts
     )
 
@@ -107,7 +109,7 @@
 def _service(row: _Row) -> site.Service:
     engine = row.get('engine') or {}
     return site.Service(
-        name=_text(row['name']),
+        name=_string(row['name']),
         experts=_experts(engine),
         passes=_passes(engine),
         cold_rate=float(row.get('cold-per-s') or 0),
@@ -115,7 +117,7 @@
 
 
 def _passes(engine: _Row) -> site.Passes | None:
-    """Read how long a pass takes, which is so many steps one after another."""
+    """Parse the duration of a pass, ``stride`` times that of a step."""
     if not engine.get('step_ms'):
         return None
     steps = int(engine.get('stride') or 1)
@@ -136,41 +138,41 @@
 
 
 def _copy_seconds(engine: _Row) -> float:
-    """Work out how long one expert takes over a rank's link."""
-    megabits = float(engine.get('expert-mb') or 0) * BITS_OF_BYTE
+    """Return the seconds to copy one expert over a rank's link."""
+    megabits = float(engine.get('expert-mb') or 0) * BITS_PER_BYTE
     rate = float(engine.get('link-mbps') or 0)
     return megabits / rate if rate else 0
 
 
 def _organisation(row: _Row) -> site.Organisation:
     return site.Organisation(
-        name=_text(row['name']),
-        keys=frozenset(_text(key) for key in row.get('api-keys') or ()),
+        name=_string(row['name']),
+        keys=frozenset(_string(key) for key in row.get('api-keys') or ()),
         priority=row.get('priority'),
     )
 
 
 def _limits(row: _Row) -> site.Limits:
-    usual = site.Limits()
+    defaults = site.Limits()
     return site.Limits(
-        body_bytes=int(row.get('max-body-bytes') or usual.body_bytes),
+        body_bytes=int(row.get('max-body-bytes') or defaults.body_bytes),
     )
 
 
-def _text(value: typing.Any) -> str:
+def _string(value: typing.Any) -> str:
     if not isinstance(value, str):
-        raise TypeError(f'{value!r} is not a text')
+        raise TypeError(f'{value!r} is not a string')
     return value
 
 
 @contextlib.contextmanager
-def _finding(
+def _collect_errors(
     place: str,
     code: str,
     found: list[findings.Finding],
 ) -> collections.abc.Iterator[None]:
-    """Note what cannot be read at a place, in place of raising it."""
+    """Turn a parse error into a finding at ``place``."""
     try:
         yield
-    except _UNREADABLE as exc:
-        found.append(findings.Finding(place, code, f'unreadable, {exc!r}'))
+    except _PARSE_ERRORS as exc:
+        found.append(findings.Finding(place, code, f'invalid, {exc!r}'))
--- a/tamarackthread/platform/http_api.py
+++ b/tamarackthread/platform/http_api.py
@@ -1,4 +1,4 @@
-"""Serve the platform's operators and targets at a control host."""
+"""Serve the platform's HTTP API for operators and targets at a control host."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tamarackthread.shared.site import announcements
 
 MILLISECONDS = 1000
-# The most that an operator's configuration may have.
-BODY_BYTES = 8 << 20
+# Size limit of a configuration.
+MAX_BODY_BYTES = 8 << 20
 _State = announcements.State
 _STATES = types.MappingProxyType(
     {'ready': _State.READY, 'draining': _State.LEAVING},
@@ -28,10 +28,10 @@
 
 
 class PlatformApi(host.Door):
-    """Translate between the platform's paths and the product's calls."""
+    """Map the platform's HTTP paths to control's functions."""
 
     def __init__(self) -> None:
-        """Serve nothing until ``open``."""
+        """Prepare the API; ``open`` starts serving."""
         self._runner: web.AppRunner | None = None
 
     async def open(
@@ -42,7 +42,7 @@
         zones: evacuation.Evacuation,
     ) -> str:
         """Serve at HOST:PORT and return the address in use."""
-        app = web.Application(client_max_size=BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post(wire.REPLACE, answering.coded(_replace, site))
         app.router.add_get(wire.READ, answering.coded(_read, site))
         for path, is_evacuated in (
@@ -51,17 +51,19 @@
         ):
             handler = functools.partial(_set_zone, is_evacuated)
             app.router.add_post(path, answering.coded(handler, zones))
-        app.router.add_post(wire.HEARTBEAT, answering.coded(_announce, targets))
         app.router.add_post(
-            wire.DEREGISTER, answering.coded(_farewell, targets)
+            wire.HEARTBEAT, answering.coded(_heartbeat, targets)
+        )
+        app.router.add_post(
+            wire.DEREGISTER, answering.coded(_deregister, targets)
         )
         self._runner = web.AppRunner(
             app, access_log=None, handle_signals=False, shutdown_timeout=0.5
         )
         await self._runner.setup()
-        bound, _, port = address.rpartition(':')
-        site_of = web.TCPSite(self._runner, bound, int(port), backlog=1024)
-        await site_of.start()
+        bind_host, _, port = address.rpartition(':')
+        tcp_site = web.TCPSite(self._runner, bind_host, int(port), backlog=1024)
+        await tcp_site.start()
         bound_host, bound_port = self._runner.addresses[0][:2]
         return f'{bound_host}:{bound_port}'
 
@@ -97,35 +99,35 @@
     return web.json_response({})
 
 
-async def _announce(
+async def _heartbeat(
     targets: book.Book,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.hearing(_writer(request)):
-        said = read_announcement(request.match_info['target'], body)
-        targets.take(said)
+    with targets.hearing(_sender(request)):
+        announcement = read_announcement(request.match_info['target'], body)
+        targets.take(announcement)
     return web.json_response({})
 
 
-async def _farewell(
+async def _deregister(
     targets: book.Book,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.hearing(_writer(request)):
+    with targets.hearing(_sender(request)):
         row = fields.parse(body) if body.strip() else {}
         born = fields.whole(row, wire.BORN, default=0)
         targets.farewell(request.match_info['target'], born)
     return web.json_response({})
 
 
-def _writer(request: web.Request) -> str:
+def _sender(request: web.Request) -> str:
     return f'{request.match_info["target"]} from {request.remote}'
 
 
 def read_announcement(target: str, body: bytes) -> announcements.Announcement:
-    """Read what a target says of itself; raise ``FieldInvalid``."""
+    """Parse a target's heartbeat; raise ``FieldInvalid``."""
     row = fields.parse(body)
     return announcements.Announcement(
         target=target,
--- a/tamarackthread/platform/ranks.py
+++ b/tamarackthread/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Ask and order the platform's ranks."""
+"""Read the state of the platform's ranks and send them orders."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tamarackthread.platform import wire
 from tamarackthread.shared import fields
 
-# Orders that may be on their way at once, to one or two groups.
+# Encoded orders to cache: those in flight to one or two groups.
 CACHED_ORDERS = 4
-# A group rests so long for so many numbers that are read from another host.
+# A group pauses ``REST_SECONDS`` per ``REST_NUMBERS`` values read remotely.
 REST_SECONDS = 0.0005
 REST_NUMBERS = 400
 _OPERATIONS = types.MappingProxyType(
@@ -25,43 +25,43 @@
     },
 )
 _WITH_VERSION = frozenset((ranks.PREPARE, ranks.ARM, ranks.DISARM))
-_UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+_PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 _Body = fields.Row
 
 
 class PlatformRanks(ranks.Ranks):
-    """Speak with ranks over their targets' HTTP."""
+    """Access ranks over their targets' HTTP."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Prepare the client; connections open on first use."""
         self._asking = asking.Asking()
 
     async def report(self, rank: ranks.Rank) -> ranks.RankReport | None:
-        """Ask a rank of itself."""
+        """Read a rank's status, ``None`` if unavailable."""
         body = await self._get(rank, wire.REPORT)
         try:
             return None if body is None else _report(body)
-        except _UNREADABLE:
+        except _PARSE_ERRORS:
             return None
 
     async def counts(self, rank: ranks.Rank, sets: int) -> ranks.Counts | None:
-        """Ask for the choices of experts."""
+        """Read the calls per expert, ``None`` if unavailable."""
         body = await self._get(rank, wire.COUNTS)
         try:
             return None if body is None else _counts(body, sets)
-        except _UNREADABLE:
+        except _PARSE_ERRORS:
             return None
 
     async def placement(self, rank: ranks.Rank) -> ranks.Placement | None:
-        """Ask for the version in force and the rank's experts by set."""
+        """Read the map version and the rank's experts by set."""
         body = await self._get(rank, wire.PLACEMENT)
         try:
             return None if body is None else _placement(body)
-        except _UNREADABLE:
+        except _PARSE_ERRORS:
             return None
 
     def rest_seconds(self, numbers: int) -> float:
-        """Return how long a group rests while so many numbers are read."""
+        """Return the pause of a group while ``numbers`` values are read."""
         return numbers * REST_SECONDS / REST_NUMBERS
 
     async def order(
@@ -69,7 +69,7 @@
         rank: ranks.Rank,
         asked: ranks.Order,
     ) -> ranks.Outcome:
-        """Send an order once."""
+        """Send an order once, without retries."""
         status = await self._asking.post(
             f'http://{rank.address}{wire.ORDER}',
             {wire.EXPECTED_TARGET: rank.target},
@@ -104,8 +104,8 @@
         size=fields.whole(group if 'size' in group else body, 'size'),
         is_open=group['state'] == 'open',
         step=fields.whole(body, 'step', default=0),
-        version=_part(body, 'map', 'version') or 0,
-        prepared=_part(body, 'prepared', 'version'),
+        version=_number_or_field(body, 'map', 'version') or 0,
+        prepared=_number_or_field(body, 'prepared', 'version'),
         armed=(
             ranks.Armed(
                 fields.whole(armed, 'version'), fields.whole(armed, 'step')
@@ -113,7 +113,7 @@
             if armed
             else None
         ),
-        held=_part(body, 'held', 'step'),
+        held=_number_or_field(body, 'held', 'step'),
         pace=fields.number(body, 'pace', 0) or 1,
         running=fields.whole(body, 'running', default=0),
         waiting=fields.whole(body, 'waiting', default=0),
@@ -121,8 +121,8 @@
     )
 
 
-def _part(body: _Body, name: str, part: str) -> int | None:
-    """Read a number that stands alone or in an object beside others."""
+def _number_or_field(body: _Body, name: str, part: str) -> int | None:
+    """Read a number given directly or as a field of an object."""
     found = body.get(name)
     if found is None:
         return None
@@ -131,7 +131,7 @@
 
 
 def _counts(body: _Body, sets: int) -> ranks.Counts:
-    """Read the counts, which stand in one row, set after set."""
+    """Split the flat list of counts by set."""
     row = [int(count) for count in body['counts']]
     size = len(row) // sets
     by_set = tuple(
@@ -154,12 +154,8 @@
 
 @functools.lru_cache(CACHED_ORDERS)
 def _encoded(asked: ranks.Order) -> bytes:
-    """Encode an order, which goes to all ranks of a group alike.
-
-    The map of 63 ranks takes a millisecond to encode; once for each rank was
-    most of the time until all had it.
-    """
-    # Without blanks a map is a fifth shorter, and its way to all ranks too.
+    """Encode an order; cached, because all ranks of a group get the same."""
+    # Without spaces, to shorten maps.
     return json.dumps(_order(asked), separators=(',', ':')).encode()
 
 
--- a/tamarackthread/platform/startup.py
+++ b/tamarackthread/platform/startup.py
@@ -1,4 +1,4 @@
-"""Start a role with what translates for it."""
+"""Start a role with its adapter for the platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tamarackthread.generated import settings as generated
 from tamarackthread.shared import findings, role_start, settings
 
-# Where the platform tells a process its settings file.
+# Path of the settings file, set by the platform.
 SETTINGS_VARIABLE = 'TAMARACKTHREAD_CONFIG'
 BAD_SETTINGS = 2
 
@@ -18,8 +18,8 @@
 def main(role: str) -> int:
     """Run a role until asked to stop; return the exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, '')
-    # The platform keeps the settings far from the program; what they name
-    # besides the data folder was built beside the program.
+    # The settings file lies elsewhere, so its relative paths are resolved from
+    # the working directory.
     base = pathlib.Path.cwd()
     try:
         loaded = settings.load(path, base)
@@ -38,8 +38,7 @@
     return 0
 
 
-# Only the role that runs is imported: the other's code and libraries would
-# cost each process some megabytes.
+# Roles are imported late, to keep the code of the other out of memory.
 async def _run_control(held: generated.Settings) -> None:
     host = importlib.import_module('tamarackthread.control.site.host')
     http_api = importlib.import_module('tamarackthread.platform.http_api')
--- a/tamarackthread/platform/wire.py
+++ b/tamarackthread/platform/wire.py
@@ -1,11 +1,11 @@
-"""Name the headers and paths of the platform."""
+"""Define the platform's headers, paths and status codes."""
 
 from __future__ import annotations
 
 READY = '/tamarackthread/readiness'
-# ``{target}`` is one start of a target.
+# ``{target}`` identifies one start of a target.
 HEARTBEAT = '/tamarackthread/replicas/{target}/heartbeat'
-# In what a target says of itself: when this start of it began.
+# Field of a heartbeat: when this start of the target began.
 BORN = 'born'
 DEREGISTER = '/tamarackthread/replicas/{target}/deregister'
 REPLACE = '/tamarackthread/configuration/replace'
@@ -13,40 +13,41 @@
 EVACUATE = '/tamarackthread/evacuation/{zone}/start'
 RESTORE = '/tamarackthread/evacuation/{zone}/finish'
 
-# One client attempt: a caller that repeats itself sends another.
+# Identifies one attempt; a retry has another.
 CALL_ID = 'Attempt-Id'
-# Milliseconds that are left.
+# Milliseconds until the deadline.
 DEADLINE = 'Deadline-Ms'
 LAST_EVENT_ID = 'Last-Event-Id'
 AUTHORIZATION = 'Authorization'
 BEARER = 'Bearer '
 
-# Set towards targets: which start of a target is meant, and for whom.
+# Request headers to targets: the expected start of a target, and the caller's
+# organisation.
 EXPECTED_TARGET = 'Expect-Replica'
 ORGANISATION = 'Tenant'
 
-# Set by targets.  The signature marks an answer as the target's own; the
-# refusal says that the call did not run.
+# Response headers of targets.  Without the signature an answer is not from the
+# target; ``NOT_EXECUTED`` marks a call that did not run.
 SIGNATURE = 'Response-Signature'
 NOT_EXECUTED = 'Not-Executed'
 LOAD = 'Replica-Load'
 TARGET = 'Replica-Id'
 AT_SERVER = 'At-Server'
-# Beside any answer of a target that leaves.
+# On any answer of a draining target.
 LEAVING = 'Server-Leaving'
-# Beside a target's refusal: seconds in which it wants no call of this entry.
+# On a refusal: seconds in which this entry must not send calls.
 RETRY_AFTER = 'Retry-After'
 REFUSAL_STATUS = 503
-# Beside any answer of a target in need: calls a second from all entries together.
+# On any answer of an overloaded target: its limit of calls a second, summed
+# over all entries.
 RATE_LIMIT = 'Server-Limit'
 
-# Another target, or other weights, than the call expected.
+# The call expected another target or other weights.
 MISDIRECTED = 421
-# A rank has seen a higher fence than the order's.
+# The rank has seen a higher fencing number than the order's.
 FENCED = 412
 
-# Of ranks: what one tells of itself, how often its calls chose each expert,
-# which experts it holds, and where it takes orders.
+# Paths of ranks: status, calls per expert, placement of experts, and orders.
 REPORT = '/tamarackthread/report'
 COUNTS = '/tamarackthread/picked'
 PLACEMENT = '/tamarackthread/picked?lists=1'
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Prove that the adapter only translates, and that it alone does."""
+"""Test the platform's adapter and its isolation."""
 
 import json
 import pathlib
@@ -6,30 +6,30 @@
 import unittest
 
 import tamarackthread
-from tamarackthread.platform import configuration as reading
+from tamarackthread.platform import configuration as platform_configuration
 from tamarackthread.platform import wire
 from tamarackthread.shared import findings
 from tamarackthread.shared.site import configuration
 
 PACKAGE = pathlib.Path(tamarackthread.__file__).parent
 ADAPTER = PACKAGE / 'platform'
-# Lines that the adapter may have; docs/PLATFORM.md says what is in them.
-MOST_LINES = 800
-# Words that are the field's as well, and stand in the product by themselves.
-_COMMON = frozenset(('Authorization', 'Bearer ', 'Retry-After'))
+# Size limit of the adapter, see docs/PLATFORM.md.
+MAX_LINES = 800
+# Standard headers, which other packages may use too.
+_STANDARD_HEADERS = frozenset(('Authorization', 'Bearer ', 'Retry-After'))
 
 
-class BorderCase(unittest.TestCase):
+class IsolationCase(unittest.TestCase):
     def test_nothing_imports_the_adapter(self):
-        """No module of the product leans on the adapter."""
-        for path in _product():
+        """No module outside the adapter imports it."""
+        for path in _other_modules():
             with self.subTest(path=path.name):
                 self.assertNotRegex(
                     path.read_text(), r'tamarackthread(\.| import )platform'
                 )
 
     def test_each_header_has_a_reader(self):
-        """Guards against a header of the wire that no page says who reads."""
+        """Guards against a header whose reader no page documents."""
         page = (PACKAGE.parent / 'docs/design/BACKPRESSURE.md').read_text()
         for name, value in wire.__dict__.items():
             if not name.isupper() or not isinstance(value, str):
@@ -40,7 +40,7 @@
                 self.assertIn(f'`{value}`', page)
 
     def test_wire_names_stay_inside(self):
-        """No module of the product names what the platform's wire carries."""
+        """No module outside the adapter contains the platform's names."""
         names = [
             value
             for name, value in wire.__dict__.items()
@@ -50,37 +50,37 @@
             '|'.join(
                 rf'(?<![\w-]){re.escape(name)}'
                 for name in names
-                if name not in _COMMON and not name.isalpha()
+                if name not in _STANDARD_HEADERS and not name.isalpha()
             )
         )
-        for path in _product():
+        for path in _other_modules():
             with self.subTest(path=path.name):
                 self.assertIsNone(wanted.search(path.read_text()))
 
     def test_adapter_is_small(self):
-        """The adapter stays a translation that is read in one sitting."""
+        """The adapter stays within its size limit."""
         lines = sum(
             len(path.read_text().splitlines()) for path in ADAPTER.glob('*.py')
         )
-        self.assertLessEqual(lines, MOST_LINES)
+        self.assertLessEqual(lines, MAX_LINES)
 
 
 class ReaderCase(unittest.TestCase):
     def test_whole_configuration(self):
-        """All that the product uses is read into its own terms."""
-        held = reading.PlatformReader().read(_body())
-        route = held.routes[0]
-        self.assertEqual(7, held.version)
+        """All fields of a configuration are parsed."""
+        parsed = platform_configuration.PlatformReader().read(_body())
+        route = parsed.routes[0]
+        self.assertEqual(7, parsed.version)
         self.assertEqual(configuration.Kind.STREAM, route.kind)
         self.assertEqual(2.5, route.timeout)
         self.assertTrue(route.may_repeat)
         self.assertEqual(
             ('a', 'b'), tuple(share.service for share in route.shares)
         )
-        self.assertEqual(frozenset(('k1',)), held.organisations[0].keys)
+        self.assertEqual(frozenset(('k1',)), parsed.organisations[0].keys)
 
     def test_findings(self):
-        """Everything that makes a configuration invalid is refused."""
+        """Each kind of invalid configuration is refused."""
         for change in (
             {'version': '7'},
             {'routes': [_route(service='c')]},
@@ -88,26 +88,28 @@
             {'routes': [_route(timeout=0)]},
             {'routes': [_route(_split(0, 0))]},
             {'routes': [{}]},
-            {'tenants': [_owner('x', 'k1'), _owner('y', 'k1')]},
+            {'tenants': [_tenant('x', 'k1'), _tenant('y', 'k1')]},
         ):
             with self.subTest(change=change):
                 with self.assertRaises(findings.InvalidError):
-                    reading.PlatformReader().read(_body(**change))
+                    platform_configuration.PlatformReader().read(
+                        _body(**change)
+                    )
 
     def test_cut_short(self):
-        """A body that ended early is refused whole."""
+        """A truncated body is refused."""
         with self.assertRaises(findings.InvalidError):
-            reading.PlatformReader().read(_body()[:-20])
+            platform_configuration.PlatformReader().read(_body()[:-20])
 
     def test_all_findings_together(self):
-        """Each bad row is told with its place."""
+        """The error lists each invalid row with its place."""
         bad = {'routes': [{}, _route(), {'name': 1}]}
         places = r'\A\$\.routes\.0: [^$]*\$\.routes\.2: [^$]*\Z'
         with self.assertRaisesRegex(findings.InvalidError, places):
-            reading.PlatformReader().read(_body(**bad))
+            platform_configuration.PlatformReader().read(_body(**bad))
 
 
-def _product():
+def _other_modules():
     for path in PACKAGE.rglob('*.py'):
         if ADAPTER not in path.parents and 'generated' not in path.parts:
             yield path
@@ -133,7 +135,7 @@
     }
 
 
-def _owner(name, key):
+def _tenant(name, key):
     return {'name': name, 'api-keys': [key], 'priority': 1}
 
 
@@ -143,7 +145,7 @@
             'version': 7,
             'routes': [_route(_split(9, 1))],
             'services': [{'name': 'a'}, {'name': 'b'}],
-            'tenants': [_owner('x', 'k1')],
+            'tenants': [_tenant('x', 'k1')],
             **fields,
         }
     ).encode()
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -28,7 +28,7 @@
             _command('contrl'), capture_output=True, text=True
         )
         self.assertEqual(2, done.returncode)
-        self.assertIn('say one role', done.stderr)
+        self.assertIn('expected a role', done.stderr)
 
     def _rest(self, words):
         running = subprocess.Popen(  # noqa: S603  this very interpreter
