--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -1,4 +1,4 @@
-"""Prove that orders, leases and maps pass over real links."""
+"""Test orders, leases and maps over real links."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 class _Handler(link.Handler):
-    """Answer as a control host and as the agent of rank 0."""
+    """Stand in for a control host and for the agent of rank 0."""
 
     def __init__(self, runtime: group_runtime.GroupRuntime) -> None:
         self._runtime = runtime
@@ -39,7 +39,7 @@
         held: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Take what the group's parts send."""
+        """Dispatch leases, decisions and orders."""
         if request.lease is not None:
             reply = await self._control.lease(request.lease)
             return messages.Reply(lease=reply)
@@ -53,12 +53,12 @@
     async def on_stream(
         self, held: link.Link, call: object, opening: object
     ) -> None:
-        """Take no calls."""
+        """Reject streams."""
         raise errors.RequestUnsupported
 
 
 class TestLinks(unittest.IsolatedAsyncioTestCase):
-    """Use the product's transports on loopback."""
+    """Use the transports on loopback."""
 
     async def asyncSetUp(self) -> None:
         """Listen as control and rank 0; dial as rank 1."""
@@ -90,11 +90,11 @@
         self._listener.close()
 
     async def test_control(self) -> None:
-        """A silent control host is passed over; records come back whole."""
-        dead = '127.0.0.1:1'
+        """An unreachable control host is skipped; records round-trip."""
+        unreachable = '127.0.0.1:1'
         control = control_client.LinkControlClient(
             self._peers,
-            [dead, self._address],
+            [unreachable, self._address],
         )
         request = messages.LeaseRequest(
             name=GROUP,
@@ -118,13 +118,13 @@
         self.assertEqual(await control.latest(GROUP), intent)
 
     async def test_no_control(self) -> None:
-        """Without any control host the caller gets one coded error."""
+        """Without a reachable control host a single coded error is raised."""
         control = control_client.LinkControlClient(self._peers, ['127.0.0.1:1'])
         with self.assertRaises(order_errors.ControlUnreachable):
             await control.fence(GROUP)
 
     async def test_map_of_full_size(self) -> None:
-        """A rank without memory gets a map of 58 layers from a peer."""
+        """A map of 58 layers is fetched from a peer."""
         transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
@@ -137,7 +137,7 @@
             await map_cache.MapCache(self._map, source).get('unknown')
 
     async def test_refusal(self) -> None:
-        """An order that the desk refuses comes back with its code."""
+        """A refused order returns its error code."""
         transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
--- a/tests/test_group_part.py
+++ b/tests/test_group_part.py
@@ -1,4 +1,4 @@
-"""Prove that an owner evens its group out and relays operators' orders."""
+"""Test that an owner rebalances its group and relays operators' orders."""
 
 import asyncio
 import logging
@@ -36,23 +36,23 @@
 
 
 class TestGroupPart(unittest.TestCase):
-    """Run the parts of a group's agents together."""
+    """Run the agents of a group together."""
 
     def setUp(self) -> None:
-        """Keep the logs quiet."""
+        """Silence the logs."""
         for name in ('tamarackthread', 'transitions'):
             log = logging.getLogger(name)
             log.setLevel(logging.CRITICAL)
             self.addCleanup(log.setLevel, logging.NOTSET)
 
-    def _run(self, scene: typing.Callable) -> None:
+    def _run(self, scenario: typing.Callable) -> None:
         async def whole() -> None:
             world = switch_world.World(switch_world.WorldSettings(1, RANKS))
             world.switching = False
             world.start()
             await asyncio.sleep(5)
             owners = [one for one in world.hosts if one.runtime.owner.is_owner]
-            await scene(world, owners[0])
+            await scenario(world, owners[0])
 
         experiment.run_paused(whole)
 
@@ -71,10 +71,10 @@
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
 
-    def test_evens_out(self) -> None:
-        """Two hot experts on one rank are parted, and steps get shorter."""
+    def test_rebalances(self) -> None:
+        """Two hot experts of one rank are separated, which shortens steps."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             planning = self._balancer(world, host)
             await asyncio.sleep(1)
             before = world.group.step_ms
@@ -85,12 +85,12 @@
             self.assertLess(world.group.step_ms, before * 0.7)
             self.assertGreater(len(world.control.records), 1)
 
-        self._run(scene)
+        self._run(scenario)
 
-    def test_held(self) -> None:
-        """An operator's hold stops planning until it is lifted."""
+    def test_paused(self) -> None:
+        """A paused balancer makes no plan."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             planning = self._balancer(world, host)
             planning.set_paused(paused=True)
             running = asyncio.create_task(planning.run())
@@ -99,16 +99,12 @@
             self.assertIsNone(planning.last_plan)
             self.assertEqual(world.control.records, [])
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_agent_restart_loads_nothing(self) -> None:
-        """An agent that restarts does not load its engine's weights again.
+        """A restarted agent doesn't reload the weights of its running engine."""
 
-        The engine goes on; the new agent asks it what it has.  Loading all
-        of it through the shared store would hold up the other groups.
-        """
-
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             other = next(one for one in world.hosts if one != host)
             before = other.engine.pieces_loaded
             await other.restart_agent(0.1)
@@ -116,17 +112,15 @@
             self.assertEqual(other.runtime.participant.state, lifecycle.STEADY)
             self.assertEqual(other.engine.pieces_loaded, before)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_version(self) -> None:
-        """A roll-out loads its version on every rank of a group, once.
-
-        The owner is lost while the ranks load; the next one is found and
-        takes the same order up.
+        """A roll-out loads a version at each rank once, even if the group's
+        owner is lost meanwhile.
         """
 
-        async def scene(world: object, host: object) -> None:
-            reached = remote_group.RemoteGroup(
+        async def scenario(world: object, host: object) -> None:
+            remote = remote_group.RemoteGroup(
                 remote_group.RemoteGroupSettings(switch_world.GROUP, 'v1'),
                 switch_world.NodeRanks('operator', world),
                 float,
@@ -134,7 +128,7 @@
             rolling = rollout.Rollout(
                 'r1',
                 'v2',
-                [reached],
+                [remote],
                 rollout.RolloutLimits(observe_seconds=3),
             )
             running = asyncio.create_task(rolling.run())
@@ -151,12 +145,12 @@
             self.assertEqual(len(others), len(set(others)))
             self.assertEqual(rolling.progress.left, ())
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_operator_order(self) -> None:
-        """An operator's order reaches every rank once, through the owner."""
+        """An operator's order runs once at every rank, through the owner."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             world.group.history.orders.clear()
             order = messages.GroupOrder(
                 group=switch_world.GROUP,
@@ -184,4 +178,4 @@
             state = order_state.from_json(reply.body)
             self.assertEqual(state.code, order_errors.NotOwner.code)
 
-        self._run(scene)
+        self._run(scenario)
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -1,4 +1,4 @@
-"""Prove that agents take part in their group over HTTP and real links."""
+"""Test agents in their group over HTTP and real links."""
 
 import asyncio
 import json
@@ -58,17 +58,17 @@
 
 
 async def until(condition):
-    """Wait for a condition; the runner ends a module that hangs."""
+    """Wait for a condition; the test runner has the timeout."""
     while not condition():
         await asyncio.sleep(POLL_SECONDS)
 
 
 class ControlHandler(link.Handler):
-    """Be control: its real tables of leases and decisions."""
+    """Stand in for control, with its real tables of leases and decisions."""
 
     def __init__(self):
         self.control = fake_control.Control()
-        self.before_answer = None
+        self.before_reply = None
 
     async def on_request(self, held, request):
         if request.lease is not None:
@@ -76,16 +76,16 @@
             return messages.Reply(lease=lease)
         if request.decision is not None:
             decision = await self.control.decide(request.decision)
-            if request.decision.decision and self.before_answer is not None:
-                await self.before_answer(request.decision.decision)
+            if request.decision.decision and self.before_reply is not None:
+                await self.before_reply(request.decision.decision)
             return messages.Reply(decision=decision)
         raise errors.RequestUnsupported
 
 
 class Agent:
-    """Be one rank's agent with the product's handler, without a gate."""
+    """Run one rank's agent with the real handler, without a gate."""
 
-    def __init__(self, rank, engine_address, scene):
+    def __init__(self, rank, engine_address, cluster):
         self.rank = rank
         self.own = settings.Agent(
             target_url=f'http://{engine_address}',
@@ -96,7 +96,7 @@
             rank=rank,
             ranks=SHAPE.ranks,
         )
-        self._scene = scene
+        self._cluster = cluster
         self._starts = 0
 
     @property
@@ -118,7 +118,9 @@
             self.own,
             place.identity,
             self.links,
-            control_client.LinkControlClient(self.links, [self._scene.address]),
+            control_client.LinkControlClient(
+                self.links, [self._cluster.address]
+            ),
         )
         known = feed.ConfigFeed(
             self.links,
@@ -126,13 +128,13 @@
             parents.AnyParent([], random.Random(1)),
             1,
         )
-        handler = role.AgentHandler(None, QuietReporter(), known, self.group)
+        handler = role.AgentHandler(None, FakeReporter(), known, self.group)
         self.listener = listener.Listener(place, handler)
         await self.listener.start_on(bound)
         await self.group.start()
 
     async def kill(self):
-        """Stop as a process that dies, without a word to anyone."""
+        """Stop like a killed process, without releasing the lease."""
         self.listener.close()
         self.links.close()
         await self.group.abandon()
@@ -143,7 +145,7 @@
         self.links.close()
 
     def document(self, revision):
-        """Give the target's document as control makes it."""
+        """Build the target's document as control does."""
         body = documents.Target(
             service=self.own.service,
             region='region-0',
@@ -162,18 +164,18 @@
         )
 
 
-class QuietReporter:
-    """Report no load."""
+class FakeReporter:
+    """Stand in for a reporter."""
 
     def remove(self, held):
-        """Take no notice of a lost link."""
+        """Ignore a lost link."""
 
     def add(self, held):
-        """Take no notice of a link."""
+        """Ignore a link."""
 
 
-class Scene:
-    """Put a group, its agents and control on loopback in one process."""
+class Cluster:
+    """Run a group, its agents and control on loopback in one process."""
 
     def __init__(self, folder):
         self.path = pathlib.Path(folder) / 'steps.journal'
@@ -206,7 +208,7 @@
         self._listener.close()
 
     def publish(self):
-        """Bring every agent the targets as they are announced now."""
+        """Send the current target documents to every agent."""
         for agent in self.agents:
             self.held.advance(self.held.revision + 1)
             self.held.put(agent.document(self.held.revision))
@@ -214,7 +216,7 @@
             agent.group.update_addresses(self.held)
 
     def is_steady(self):
-        """Tell whether every rank serves and one owns the group."""
+        """Tell whether every rank is steady and the group has an owner."""
         parts = [agent.runtime for agent in self.agents]
         if not all(parts):
             return False
@@ -228,7 +230,7 @@
         return None
 
     def other_map(self):
-        """Turn the cold-start map by one rank."""
+        """Return the cold-start map, rotated by one rank."""
         first = expert_map.cold_start(SHAPE)
         return expert_map.ExpertMap(SHAPE, numpy.roll(first.slots, 1, axis=1))
 
@@ -239,7 +241,7 @@
         return switch_checker.check(history, control.records, first), history
 
 
-class GroupingCase(unittest.IsolatedAsyncioTestCase):
+class GroupCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         for name in ('tamarackthread', 'transitions'):
             log = logging.getLogger(name)
@@ -247,18 +249,18 @@
             self.addCleanup(log.setLevel, logging.NOTSET)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.scene = Scene(folder.name)
-        await self.scene.start()
+        self.cluster = Cluster(folder.name)
+        await self.cluster.start()
 
     async def asyncTearDown(self):
-        await self.scene.stop()
+        await self.cluster.stop()
 
-    async def _past(self, record):
-        steps = self.scene.ranked.group
+    async def _wait_past(self, record):
+        steps = self.cluster.ranked.group
         await until(lambda: steps.step > record.from_step + 5)
 
     def _check(self, target):
-        found, history = self.scene.findings()
+        found, history = self.cluster.findings()
         self.assertEqual(found.mixed_map_steps, 0)
         self.assertEqual(found.unrecorded_map_steps, 0)
         self.assertEqual(found.stale_orders_run, 0)
@@ -267,91 +269,85 @@
         self.assertEqual(set(history.steps[-1].maps), {target.digest()})
 
     async def test_switch_by_orders(self):
-        target = self.scene.other_map()
-        owner = self.scene.owner()
+        target = self.cluster.other_map()
+        owner = self.cluster.owner()
         record = await owner.runtime.coordinator.switch_to(target)
-        await self._past(record)
+        await self._wait_past(record)
         self._check(target)
 
     async def test_agent_lost_between_arm_and_step(self):
-        """An agent dies after its rank armed and comes back before the step.
-
-        Control has recorded the commit, and the agent dies before the owner
-        can tell it, so its engine holds at the step.  The new agent has no
-        memory: it reads the commit from control and tells its engine, so no
-        step is run with two maps.
+        """An agent restarted after the commit reads it from control and
+        releases its holding engine; no step mixes two maps.
         """
-        scene = self.scene
-        target = scene.other_map()
-        owner = scene.owner()
-        lost = next(one for one in scene.agents if one is not owner)
-        engine = scene.ranked.group.engines[lost.rank]
+        cluster = self.cluster
+        target = cluster.other_map()
+        owner = cluster.owner()
+        lost = next(one for one in cluster.agents if one is not owner)
+        engine = cluster.ranked.group.engines[lost.rank]
 
         async def kill(decision):
             if decision == switch_record.Stage.COMMITTED.value:
                 await lost.kill()
 
-        scene.handler.before_answer = kill
+        cluster.handler.before_reply = kill
         record = await owner.runtime.coordinator.switch_to(target)
         self.assertTrue(engine.record.is_open)
-        self.assertLess(scene.ranked.group.step, record.from_step)
+        self.assertLess(cluster.ranked.group.step, record.from_step)
         await lost.start()
-        scene.publish()
-        await self._past(record)
+        cluster.publish()
+        await self._wait_past(record)
         self._check(target)
 
     async def test_agent_lost_while_others_arm(self):
-        """An agent dies as soon as its own engine is armed.
-
-        Its answer may be lost, so the owner commits or aborts.  The new agent
-        reads from control which it was, and the engine follows that.
+        """An agent killed while the group arms applies the recorded outcome at
+        its restart, commit or abort.
         """
-        scene = self.scene
-        target = scene.other_map()
-        owner = scene.owner()
-        lost = next(one for one in scene.agents if one is not owner)
+        cluster = self.cluster
+        target = cluster.other_map()
+        owner = cluster.owner()
+        lost = next(one for one in cluster.agents if one is not owner)
         switching = asyncio.create_task(
             owner.runtime.coordinator.switch_to(target)
         )
-        engine = scene.ranked.group.engines[lost.rank]
+        engine = cluster.ranked.group.engines[lost.rank]
         await until(lambda: engine.record.number)
         await lost.kill()
-        record = await finished(switching, scene)
+        record = await outcome(switching, cluster)
         await lost.start()
-        scene.publish()
-        await self._past(record)
-        found, history = scene.findings()
+        cluster.publish()
+        await self._wait_past(record)
+        found, history = cluster.findings()
         self.assertEqual(found.mixed_map_steps, 0)
         self.assertEqual(found.unrecorded_map_steps, 0)
         self.assertEqual(found.undecided, 0)
         self.assertEqual(set(history.steps[-1].maps), {record.settled_map})
 
-    async def test_planned_by_the_profile(self):
-        """Uneven ranks get another map once a profile has been heard."""
-        scene = self.scene
-        owner = scene.owner()
+    async def test_balanced_by_profile(self):
+        """An uneven group switches its map once a profile configures balancing."""
+        cluster = self.cluster
+        owner = cluster.owner()
         self.assertIsNone(owner.group.planning)
         balance = documents.Balance(
             interval_seconds=1,
             forecast_seconds=1,
             hysteresis_share=0.02,
         )
-        for agent in scene.agents:
+        for agent in cluster.agents:
             agent.group.apply_balance(balance)
         planning = owner.group.planning
         owner.group.apply_balance(attrs.evolve(balance, move_weight=2))
         self.assertIs(owner.group.planning, planning)
         first = expert_map.cold_start(SHAPE).digest()
-        steps = scene.ranked.group.history.steps
+        steps = cluster.ranked.group.history.steps
         await until(lambda: steps and set(steps[-1].maps) != {first})
-        found, _ = scene.findings()
+        found, _ = cluster.findings()
         self.assertEqual(found.mixed_map_steps, 0)
         self.assertEqual(found.unrecorded_map_steps, 0)
         owner.group.apply_balance(attrs.evolve(balance, interval_seconds=2))
         self.assertIsNot(owner.group.planning, planning)
 
     async def test_operator_order(self):
-        """An operator's order runs at each engine once, over its HTTP."""
+        """An operator's order runs once at each engine."""
         order = messages.GroupOrder(
             group=GROUP,
             fence=0,
@@ -360,24 +356,24 @@
             body='{"urgent": false}',
             deadline_ms=1000,
         )
-        owner = self.scene.owner()
-        orders = self.scene.ranked.group.history.orders
-        state = await ordered(owner, order)
+        owner = self.cluster.owner()
+        orders = self.cluster.ranked.group.history.orders
+        state = await send_order(owner, order)
         while state.state == order_state.RUNNING:
             await asyncio.sleep(POLL_SECONDS)
-            state = await ordered(owner, order)
+            state = await send_order(owner, order)
         self.assertEqual(state.state, order_state.DONE)
         run = sorted(one.rank for one in orders)
         self.assertEqual(run, list(range(SHAPE.ranks)))
 
-    async def test_planned_stop_gives_ownership_back(self):
-        """The next owner takes over at once, under a higher number."""
-        owner = self.scene.owner()
+    async def test_planned_stop_releases_lease(self):
+        """After a planned stop another owner has a higher fencing number."""
+        owner = self.cluster.owner()
         fence = owner.runtime.owner.fence
         await owner.stop()
-        others = [one for one in self.scene.agents if one is not owner]
+        others = [one for one in self.cluster.agents if one is not owner]
         await owner.start()
-        self.scene.publish()
+        self.cluster.publish()
         await until(
             lambda: any(
                 one.runtime.owner.is_owner
@@ -385,24 +381,24 @@
                 if one.runtime is not None
             ),
         )
-        self.assertGreater(self.scene.owner().runtime.owner.fence, fence)
+        self.assertGreater(self.cluster.owner().runtime.owner.fence, fence)
 
 
-async def ordered(agent, order):
+async def send_order(agent, order):
     reply = await agent.group.handle_order(order)
     return order_state.from_json(reply.body)
 
 
-async def finished(switching, scene):
-    """Give the record that stands, whether committed or aborted."""
+async def outcome(switching, cluster):
+    """Return the record in force, committed or aborted."""
     try:
         return await switching
     except order_errors.SwitchAborted:
-        return scene.handler.control.records[-1]
+        return cluster.handler.control.records[-1]
 
 
 class SettingsCase(unittest.IsolatedAsyncioTestCase):
-    async def test_rank_is_announced_and_found(self):
+    async def test_rank_address_is_found(self):
         own = settings.Agent(
             target_url='http://127.0.0.1:1',
             target_id='t',
@@ -445,7 +441,7 @@
         self.assertTrue(stands(9, 'yes'))
         self.assertFalse(stands(0, 'no'))
 
-    def test_trade_off(self):
+    def test_planner_settings(self):
         even = documents.Balance(evenness_weight=3, move_weight=1)
         few = documents.Balance(evenness_weight=1, move_weight=3)
         self.assertLess(
--- a/tests/test_http_engine.py
+++ b/tests/test_http_engine.py
@@ -1,4 +1,4 @@
-"""Prove what becomes of an engine's answers, refusals and silence."""
+"""Test the handling of an engine's answers, refusals and lost answers."""
 
 import asyncio
 import json
@@ -27,30 +27,30 @@
 
 
 class FakeEngine:
-    """Answer as told, one answer after the other and the last for ever."""
+    """Return the given answers in order and repeat the last one."""
 
     def __init__(self, path, *answers):
         self.app = web.Application()
         self.app.router.add_route('*', path, self._answer)
-        self.asked = []
+        self.requests = []
         self._answers = list(answers)
 
     async def _answer(self, request):
-        self.asked.append(await request.text())
+        self.requests.append(await request.text())
         answer = self._answers[0]
         if len(self._answers) > 1:
             self._answers.pop(0)
         return await answer(request)
 
 
-def saying(body, status=200):
+def json_answer(body, status=200):
     async def answer(request):
         return web.json_response(body, status=status)
 
     return answer
 
 
-def lines(*objects):
+def line_answer(*objects):
     async def answer(request):
         text = ''.join(f'{json.dumps(one)}\n' for one in objects)
         return web.Response(text=text)
@@ -58,13 +58,13 @@
     return answer
 
 
-async def lost(request):
+async def aborted_answer(request):
     request.transport.abort()
     return web.Response()
 
 
 class EngineCase(unittest.IsolatedAsyncioTestCase):
-    async def reach(self, path, *answers):
+    async def start_engine(self, path, *answers):
         fake = FakeEngine(path, *answers)
         runner = web.AppRunner(
             fake.app,
@@ -87,44 +87,40 @@
 
 class RecordCase(EngineCase):
     async def test_lost_answer(self):
-        """The engine takes an arm and its answer is lost on the way.
-
-        Were the arm taken as failed, the agent would not tell the engine the
-        outcome and it would hold for ever; so the record is sent again.
+        """A record whose answer is lost is sent again, or an armed engine
+        might never get the outcome.
         """
-        fake, engine = await self.reach(
+        fake, engine = await self.start_engine(
             http_engine.RECORD_PATH,
-            lost,
-            saying({}, 503),
-            saying({}),
+            aborted_answer,
+            json_answer({}, 503),
+            json_answer({}),
         )
         await engine.apply_record(RECORD, 7)
-        self.assertEqual(len(fake.asked), 3)
-        sent = json.loads(fake.asked[0])
+        self.assertEqual(len(fake.requests), 3)
+        sent = json.loads(fake.requests[0])
         self.assertEqual(sent['fence'], 7)
-        self.assertEqual(set(fake.asked), {fake.asked[0]})
+        self.assertEqual(set(fake.requests), {fake.requests[0]})
 
     async def test_too_late(self):
-        refusal = saying({'reason': http_engine.TOO_LATE}, 409)
-        fake, engine = await self.reach(http_engine.RECORD_PATH, refusal)
+        refusal = json_answer({'reason': http_engine.TOO_LATE}, 409)
+        fake, engine = await self.start_engine(http_engine.RECORD_PATH, refusal)
         with self.assertRaises(order_errors.ArmTooLate):
             await engine.apply_record(RECORD, 1)
-        self.assertEqual(len(fake.asked), 1)
+        self.assertEqual(len(fake.requests), 1)
 
     async def test_refused(self):
-        fake, engine = await self.reach(
+        fake, engine = await self.start_engine(
             http_engine.RECORD_PATH,
-            saying({'reason': 'old number'}, 409),
+            json_answer({'reason': 'old number'}, 409),
         )
         with self.assertRaises(order_errors.EngineFailed):
             await engine.apply_record(RECORD, 1)
-        self.assertEqual(len(fake.asked), 1)
-
-    async def test_engine_started_anew(self):
-        """The engine restarts after its weights were listed.
+        self.assertEqual(len(fake.requests), 1)
 
-        A record would have it run steps with weights that it has lost, so it
-        refuses until the agent has listed them again.
+    async def test_restarted_engine(self):
+        """A restarted engine refuses a record until its weights are listed
+        again, because it has lost those listed before.
         """
         group = ranked.RankedGroup(SHAPE, 0.01, journal.Journal(None))
         addresses = await group.start()
@@ -147,26 +143,26 @@
         return await engine.execute('set_role', '{}', 1, self.reported.append)
 
     async def test_progress_and_result(self):
-        _, engine = await self.reach(
+        _, engine = await self.start_engine(
             http_engine.ORDERS_PATH,
-            lines({'done': 0.5}, {'done': 1}, {'result': 'loaded'}),
+            line_answer({'done': 0.5}, {'done': 1}, {'result': 'loaded'}),
         )
         self.assertEqual(await self.execute(engine), 'loaded')
         self.assertEqual(self.reported, [0.5, 1])
 
     async def test_failure(self):
-        _, engine = await self.reach(
+        _, engine = await self.start_engine(
             http_engine.ORDERS_PATH,
-            lines({'done': 0.5}, {'failed': 'no such model'}),
+            line_answer({'done': 0.5}, {'failed': 'no such model'}),
         )
         failure = order_errors.EngineFailed
         with self.assertRaisesRegex(failure, 'no such model'):
             await self.execute(engine)
 
-    async def test_ended_half_way(self):
-        _, engine = await self.reach(
+    async def test_truncated_answer(self):
+        _, engine = await self.start_engine(
             http_engine.ORDERS_PATH,
-            lines({'done': 0.5}),
+            line_answer({'done': 0.5}),
         )
         with self.assertRaises(engine_client.EngineSilent):
             await self.execute(engine)
@@ -183,7 +179,7 @@
             finally:
                 stopped.set()
 
-        _, engine = await self.reach(http_engine.ORDERS_PATH, endless)
+        _, engine = await self.start_engine(http_engine.ORDERS_PATH, endless)
         work = asyncio.create_task(self.execute(engine))
         await begun.wait()
         work.cancel()
@@ -192,33 +188,37 @@
 
 class AnswerCase(EngineCase):
     async def test_unreadable_status(self):
-        for answer in (saying({}), saying([]), saying({'rank': 'x'})):
-            _, engine = await self.reach(http_engine.STATUS_PATH, answer)
+        for answer in (
+            json_answer({}),
+            json_answer([]),
+            json_answer({'rank': 'x'}),
+        ):
+            _, engine = await self.start_engine(http_engine.STATUS_PATH, answer)
             with self.assertRaises(order_errors.EngineFailed):
                 await engine.status()
 
     async def test_waits_for_a_start(self):
-        """A silent engine is asked again until it has started."""
-        _, engine = await self.reach(
+        """An engine without an answer is polled until it has started."""
+        _, engine = await self.start_engine(
             http_engine.START_PATH,
-            lost,
-            saying({'incarnation': 3}),
-            saying({'incarnation': 1}),
+            aborted_answer,
+            json_answer({'incarnation': 3}),
+            json_answer({'incarnation': 1}),
         )
         self.assertEqual(await engine.wait_started(3), 1)
 
     async def test_token_windows(self):
-        """Windows are summed; what cannot be read counts as a gap."""
+        """Windows are summed; invalid ones are skipped."""
         good = [
             {'age_ms': 2000, 'tokens': [[1, 2, 3, 4]]},
             {'age_ms': 1000, 'tokens': [[1, 1, 1, 1]]},
         ]
         bad = [{'age_ms': 1, 'tokens': [[1]]}]
-        await self.reach(
+        await self.start_engine(
             engine_tokens.TOKENS_PATH,
-            saying({'sequence': 2, 'windows': good}),
-            saying({'sequence': 3, 'windows': bad}),
-            saying({}, 503),
+            json_answer({'sequence': 2, 'windows': good}),
+            json_answer({'sequence': 3, 'windows': bad}),
+            json_answer({}, 503),
         )
         source = engine_tokens.EngineTokenSource(self.client, SHAPE)
         windows = await source.windows()
--- a/tests/test_map_switch.py
+++ b/tests/test_map_switch.py
@@ -1,4 +1,4 @@
-"""Prove that all ranks of a group use the same map in every step."""
+"""Test that all ranks of a group use the same map in every step."""
 
 import asyncio
 import logging
@@ -26,22 +26,22 @@
 
 
 def setUpModule() -> None:  # noqa: N802
-    """Keep the log of the troubles out of the test's output."""
+    """Silence the logs."""
     logging.getLogger('tamarackthread').setLevel(logging.CRITICAL)
     logging.getLogger('transitions').setLevel(logging.CRITICAL)
 
 
 def tearDownModule() -> None:  # noqa: N802
-    """Give the logs back."""
+    """Restore the logs."""
     logging.getLogger('tamarackthread').setLevel(logging.NOTSET)
     logging.getLogger('transitions').setLevel(logging.NOTSET)
 
 
 class SwitchOnArrival(group.RankEngine):
-    """Take the new map when the message comes, not at the step."""
+    """Use the new map on arrival of the record instead of at its step."""
 
     def begin(self, step: int) -> str | None:
-        """Ignore the step."""
+        """Return the target map of an open record."""
         record = self.record
         if record is not None and record.is_open:
             self._begun = step
@@ -50,10 +50,10 @@
 
 
 class RestartWithOldMap(group.RankEngine):
-    """Come back from a restart with the map of the first start."""
+    """Restart with the initial map instead of control's record."""
 
     async def restart(self, seconds: float) -> None:
-        """Keep the first record instead of waiting for control's."""
+        """Set a record of the initial map."""
         await super().restart(seconds)
         initial = next(iter(self._group._durations))
         self.record = switch_record.SwitchRecord(
@@ -66,11 +66,11 @@
 
 
 def remove_check(executor: orders.OrderExecutor) -> None:
-    """Have the desk relay every order, whatever its number."""
+    """Disable the check of fencing numbers and deadlines."""
     executor._check = lambda order, expires_at: None
 
 
-def _disturbed(seed: int, **planted: object) -> switch_checker.Findings:
+def _run_with_faults(seed: int, **faults: object) -> switch_checker.Findings:
     settings = switch_world.WorldSettings(
         seed,
         RANKS,
@@ -79,16 +79,16 @@
             late_seconds=4,
             lost_share=0.005,
         ),
-        **planted,
+        **faults,
     )
     return experiment.run_world(settings, 60)
 
 
-class TestWorlds(unittest.TestCase):
-    """Run whole groups and check their history."""
+class TestSimulations(unittest.TestCase):
+    """Run simulated groups and check their history."""
 
-    def test_calm(self) -> None:
-        """Without trouble every switch is committed and none holds."""
+    def test_without_faults(self) -> None:
+        """Without faults every switch is committed and no rank holds."""
         settings = switch_world.WorldSettings(1, RANKS)
         found = experiment.run_world(settings, 20, calm=True)
         self.assertGreater(found.switches, 4)
@@ -96,14 +96,11 @@
         self.assertEqual(set(found.held_ms), {0})
         self.assertEqual(found.mixed_map_steps, 0)
 
-    def test_troubles(self) -> None:
-        """No step has two maps, whatever fails.
-
-        Engines and agents stall and restart, owners are cut off from
-        control or from ranks and replaced, messages come late or never, two
-        troubles at once.  Switches are aborted and held, never mixed.
+    def test_with_faults(self) -> None:
+        """No step mixes two maps under stalls, restarts, partitions, and
+        delayed or lost messages.
         """
-        found = [_disturbed(seed) for seed in (41, 42, 43)]
+        found = [_run_with_faults(seed) for seed in (41, 42, 43)]
         self.assertGreater(sum(one.switches for one in found), 5)
         self.assertGreater(sum(one.orders for one in found), 50)
         for one in found:
@@ -113,7 +110,7 @@
             self.assertEqual(one.undecided, 0)
 
     def test_checker_sees_switch_on_arrival(self) -> None:
-        """A rank that switches when the message comes is found out."""
+        """The checker detects a rank that switches on arrival of the record."""
         settings = switch_world.WorldSettings(
             1,
             RANKS,
@@ -123,26 +120,26 @@
         self.assertGreater(found.mixed_map_steps, 0)
 
     def test_checker_sees_old_map(self) -> None:
-        """A rank that restarts with its first map is found out."""
+        """The checker detects a rank that restarts with the initial map."""
         found = [
-            _disturbed(seed, engine_class=RestartWithOldMap)
+            _run_with_faults(seed, engine_class=RestartWithOldMap)
             for seed in (41, 42, 43)
         ]
         self.assertGreater(sum(one.mixed_map_steps for one in found), 0)
 
 
-class _Scene:
-    """Be a calm world without owners that switch by themselves."""
+class _Simulation:
+    """Simulate a group without faults and without automatic switches."""
 
-    def __init__(self, **planted: object) -> None:
-        settings = switch_world.WorldSettings(5, RANKS, **planted)
+    def __init__(self, **faults: object) -> None:
+        settings = switch_world.WorldSettings(5, RANKS, **faults)
         self.world = switch_world.World(settings)
         self.world.switching = False
         self.world.start()
         self.owner = self.world.hosts[0]
 
     async def settle(self) -> None:
-        """Wait until an owner leads and all ranks are placed."""
+        """Wait until the group has an owner and all ranks are steady."""
         await asyncio.sleep(5)
         owners = [
             host for host in self.world.hosts if host.runtime.owner.is_owner
@@ -158,27 +155,24 @@
         )
 
 
-class TestScenes(unittest.TestCase):
-    """Induce single failures at the worst moments."""
+class TestSingleFaults(unittest.TestCase):
+    """Inject single faults at critical moments of a switch."""
 
-    def _run(self, scene: object) -> None:
-        experiment.run_paused(scene)
+    def _run(self, scenario: object) -> None:
+        experiment.run_paused(scenario)
 
     def test_restart_between_arm_and_step(self) -> None:
-        """A rank that restarts after it armed comes back with the decision.
-
-        The rank's engine and agent both die right after the arm order; the
-        owner counts it as armed and commits.  The rank reads control at its
-        start and begins no step before.
+        """A rank whose engine and agent restart after arming reads the commit
+        from control before its first step.
         """
 
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
-            host = world.world.hosts[3]
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
+            host = simulation.world.hosts[3]
             switching = asyncio.create_task(
-                world.owner.runtime.coordinator.switch_to(
-                    world.world.next_map()
+                simulation.owner.runtime.coordinator.switch_to(
+                    simulation.world.next_map()
                 ),
             )
             while host.runtime.participant.state != lifecycle.ARMED:
@@ -193,140 +187,128 @@
             self.assertEqual(
                 host.runtime.participant.record.settled_map, decided.target
             )
-            found = world.check()
+            found = simulation.check()
             self.assertEqual(found.mixed_map_steps, 0)
             self.assertEqual(found.unrecorded_map_steps, 0)
-            last = world.world.group.history.steps[-1]
+            last = simulation.world.group.history.steps[-1]
             self.assertEqual(set(last.maps), {decided.target})
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_owner_lost_before_decision(self) -> None:
-        """Callers see no pause when the owner is lost in a switch.
-
-        The owner is cut off from everyone once all ranks have armed.  Its
-        lease ends, the next owner finds the open switch and records the
-        abort, all before the step comes; the old owner decides nothing.
+        """If the owner is partitioned after arming, the next one aborts the
+        switch before its step, so that no rank holds.
         """
 
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
             switching = asyncio.create_task(
-                world.owner.runtime.coordinator.switch_to(
-                    world.world.next_map()
+                simulation.owner.runtime.coordinator.switch_to(
+                    simulation.world.next_map()
                 ),
             )
             while (
-                world.world.hosts[3].runtime.participant.state
+                simulation.world.hosts[3].runtime.participant.state
                 != lifecycle.ARMED
             ):
                 await asyncio.sleep(0.001)
-            nodes = {host.node for host in world.world.hosts}
+            nodes = {host.node for host in simulation.world.hosts}
             nodes.add(fake_control.CONTROL)
-            own = world.owner.node
-            world.world.links.cut(own, nodes - {own})
+            own = simulation.owner.node
+            simulation.world.links.cut(own, nodes - {own})
             with self.assertRaises(order_errors.NotOwner):
                 await switching
-            world.world.links.heal()
+            simulation.world.links.heal()
             await asyncio.sleep(5)
-            found = world.check()
+            found = simulation.check()
             self.assertEqual((found.switches, found.aborted), (0, 1))
             self.assertEqual(found.mixed_map_steps, 0)
             self.assertEqual(found.held_ms[0], 0)
-            last = world.world.group.history.steps[-1]
-            self.assertEqual(set(last.maps), {world.world.initial.digest()})
+            last = simulation.world.group.history.steps[-1]
+            self.assertEqual(
+                set(last.maps), {simulation.world.initial.digest()}
+            )
 
-        self._run(scene)
+        self._run(scenario)
 
-    def _stale_orders(self, **planted: object) -> int:
-        """Delay an old owner's order until the next owner has begun."""
+    def _stale_orders(self, **faults: object) -> int:
+        """Delay an order past a change of owner; count stale orders run."""
         found = []
 
-        async def scene() -> None:
-            world = _Scene(**planted)
-            await world.settle()
-            own = world.owner.node
-            world.world.links.delay_next(own, 'rank-3', 8)
-            owner = world.owner.runtime.owner
+        async def scenario() -> None:
+            simulation = _Simulation(**faults)
+            await simulation.settle()
+            own = simulation.owner.node
+            simulation.world.links.delay_next(own, 'rank-3', 8)
+            owner = simulation.owner.runtime.owner
             giving = owner.order(3, 'load_adapter', 'late', '{}')
             late = asyncio.create_task(giving)
             await asyncio.sleep(0.01)
-            world.world.links.cut(own, [fake_control.CONTROL])
+            simulation.world.links.cut(own, [fake_control.CONTROL])
             await asyncio.sleep(15)
             self.assertIsInstance(late.exception(), errors.RequestTimeout)
-            found.append(world.check().stale_orders_run)
+            found.append(simulation.check().stale_orders_run)
 
-        self._run(scene)
+        self._run(scenario)
         return found[0]
 
     def test_stale_order(self) -> None:
-        """An old owner's order that comes late does not run.
-
-        It spends 8 s on its way to rank 3.  Meanwhile its owner is cut off
-        from control and another takes over and gives orders of its own.
-        The agent of rank 3 knows the new number by then and refuses.
-        """
+        """A delayed order of a previous owner is refused."""
         self.assertEqual(self._stale_orders(), 0)
 
     def test_checker_sees_stale_orders(self) -> None:
-        """With the desk's check removed the late order runs and is found."""
+        """The checker detects a stale order that runs without the check."""
         self.assertEqual(self._stale_orders(plant=remove_check), 1)
 
     def test_no_control(self) -> None:
-        """Ranks hold at the step while nobody can reach control.
-
-        Control is cut off from all once the ranks have armed.  No rank may
-        pass the step; when control is back the switch is aborted and the
-        group goes on with its old map.
+        """Armed ranks hold at the step while control is unreachable; then the
+        switch is aborted and the old map stays in use.
         """
 
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
             switching = asyncio.create_task(
-                world.owner.runtime.coordinator.switch_to(
-                    world.world.next_map()
+                simulation.owner.runtime.coordinator.switch_to(
+                    simulation.world.next_map()
                 ),
             )
             while (
-                world.world.hosts[3].runtime.participant.state
+                simulation.world.hosts[3].runtime.participant.state
                 != lifecycle.ARMED
             ):
                 await asyncio.sleep(0.001)
-            nodes = [host.node for host in world.world.hosts]
-            world.world.links.cut(fake_control.CONTROL, nodes)
+            nodes = [host.node for host in simulation.world.hosts]
+            simulation.world.links.cut(fake_control.CONTROL, nodes)
             await asyncio.sleep(10)
-            step = world.world.group.step
+            step = simulation.world.group.step
             await asyncio.sleep(1)
-            self.assertEqual(world.world.group.step, step)
-            world.world.links.heal()
+            self.assertEqual(simulation.world.group.step, step)
+            simulation.world.links.heal()
             await asyncio.sleep(5)
             with self.assertRaises(order_errors.NotOwner):
                 await switching
-            found = world.check()
+            found = simulation.check()
             self.assertEqual((found.switches, found.aborted), (0, 1))
             self.assertEqual(found.mixed_map_steps, 0)
             self.assertGreater(found.held_ms[0], 0)
-            self.assertGreater(world.world.group.step, step)
+            self.assertGreater(simulation.world.group.step, step)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_restart_during_load(self) -> None:
-        """A rank whose engine restarts while it loads does not arm.
-
-        The load stands still for an urgent call while the engine restarts
-        and is placed again.  What came before the restart is gone, so the
-        load fails and the rank arms only after one that loads all.
+        """A load fails if the engine restarts while it is paused, because the
+        pieces loaded before are lost.
         """
 
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
-            host = world.world.hosts[3]
-            target = world.world.next_map()
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
+            host = simulation.world.hosts[3]
+            target = simulation.world.next_map()
             loading = asyncio.create_task(
-                host.runtime.participant.load(target, _no_report),
+                host.runtime.participant.load(target, _ignore_progress),
             )
             await asyncio.sleep(0.01)
             host.runtime.urgent.arrived()
@@ -337,61 +319,61 @@
             host.runtime.urgent.finished()
             with self.assertRaises(order_errors.RankNotReady):
                 await loading
-            await host.runtime.participant.load(target, _no_report)
+            await host.runtime.participant.load(target, _ignore_progress)
             wanted = switch_participant.rank_moves(
                 target.holds(), 3, urgent=False
             )
             loaded = await host.engine.loaded()
             self.assertLessEqual(set(wanted), set(loaded))
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_stalled_rank_aborts(self) -> None:
-        """A rank that cannot arm in time costs the switch, not the group."""
+        """A rank that can't arm in time aborts the switch; the group goes on."""
 
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
-            host = world.world.hosts[3]
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
+            host = simulation.world.hosts[3]
             switching = asyncio.create_task(
-                world.owner.runtime.coordinator.switch_to(
-                    world.world.next_map()
+                simulation.owner.runtime.coordinator.switch_to(
+                    simulation.world.next_map()
                 ),
             )
-            while not world.world.control.records:
+            while not simulation.world.control.records:
                 await asyncio.sleep(0.001)
             host.engine.stall(1)
             with self.assertRaises(order_errors.SwitchAborted):
                 await switching
             await asyncio.sleep(3)
-            self.assertEqual(world.check().mixed_map_steps, 0)
+            self.assertEqual(simulation.check().mixed_map_steps, 0)
             self.assertEqual(host.runtime.participant.state, lifecycle.STEADY)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_arm_too_late(self) -> None:
-        """An arm order that comes after the step began is refused."""
-
-        async def scene() -> None:
-            world = _Scene()
-            await world.settle()
-            host = world.world.hosts[3]
-            target = world.world.next_map()
-            await host.runtime.participant.load(target, _no_report)
+        """An arm order is refused after its step has begun."""
+
+        async def scenario() -> None:
+            simulation = _Simulation()
+            await simulation.settle()
+            host = simulation.world.hosts[3]
+            target = simulation.world.next_map()
+            await host.runtime.participant.load(target, _ignore_progress)
             status: engine.EngineStatus = await host.engine.status()
             record = switch_record.SwitchRecord(
                 1,
                 switch_record.Stage.PREPARED,
                 status.step - 5,
-                world.world.initial.digest(),
+                simulation.world.initial.digest(),
                 target.digest(),
             )
             with self.assertRaises(order_errors.ArmTooLate):
                 await host.runtime.participant.arm(record, 1)
             self.assertEqual(host.runtime.participant.state, lifecycle.LOADED)
 
-        self._run(scene)
+        self._run(scenario)
 
 
-def _no_report(done: float) -> None:
-    """Take no notice."""
+def _ignore_progress(done: float) -> None:
+    """Ignore the progress."""
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Prove that an agent relays an order once, in time, and never a stale one."""
+"""Test that an agent executes an order once, in time, and never a stale one."""
 
 import asyncio
 import json
@@ -25,53 +25,50 @@
 
 
 class TestOrders(unittest.TestCase):
-    """Give orders to the desk of one rank; no owner runs."""
+    """Send orders to the executor of one rank; no owner runs."""
 
     def setUp(self) -> None:
-        """Keep the logs quiet."""
+        """Silence the logs."""
         logging.getLogger('tamarackthread').setLevel(logging.CRITICAL)
         self.addCleanup(
             logging.getLogger('tamarackthread').setLevel,
             logging.NOTSET,
         )
 
-    def _run(self, scene: object) -> None:
+    def _run(self, scenario: object) -> None:
         async def whole() -> None:
             world = switch_world.World(
                 switch_world.WorldSettings(1, ranks=4, owners=0),
             )
             world.start()
             await asyncio.sleep(1)
-            await scene(world)
+            await scenario(world)
 
         experiment.run_paused(whole)
 
-    async def _give(self, world: object, order: object) -> object:
+    async def _send(self, world: object, order: object) -> object:
         reply = await world.hosts[0].runtime.executor.handle_order(order)
         return order_state.from_json(reply.body)
 
     def test_stale(self) -> None:
-        """An order with an older number is refused and does not run."""
+        """An order with a lower fencing number is refused."""
 
-        async def scene(world: object) -> None:
-            await self._give(world, _order(5, 'new'))
-            state = await self._give(world, _order(4, 'old'))
+        async def scenario(world: object) -> None:
+            await self._send(world, _order(5, 'new'))
+            state = await self._send(world, _order(4, 'old'))
             self.assertEqual(state.code, order_errors.OrderStale.code)
             await asyncio.sleep(1)
             run = [one.fence for one in world.group.history.orders]
             self.assertEqual(run, [5])
 
-        self._run(scene)
+        self._run(scenario)
 
-    def test_restarted_agent_learns_number(self) -> None:
-        """A restarted agent refuses what its memory would have refused.
-
-        The owner's number is 1 at control.  The agent restarts and an order
-        with number 0 arrives late: before the agent has asked control it
-        relays nothing, and afterwards it knows that 0 is old.
+    def test_restarted_agent_reads_fence(self) -> None:
+        """A restarted agent refuses a stale order, both before and after it
+        has read the fencing number from control.
         """
 
-        async def scene(world: object) -> None:
+        async def scenario(world: object) -> None:
             lease = messages.LeaseRequest(
                 name=switch_world.GROUP,
                 holder='x',
@@ -82,77 +79,77 @@
             granted = await world.control.lease(lease)
             world.links.cut('rank-0', [fake_control.CONTROL])
             await world.hosts[0].restart_agent(0.1)
-            state = await self._give(world, _order(granted.fence - 1))
+            state = await self._send(world, _order(granted.fence - 1))
             self.assertEqual(state.code, order_errors.FenceUnknown.code)
             world.links.heal()
             await asyncio.sleep(2)
-            state = await self._give(world, _order(granted.fence - 1))
+            state = await self._send(world, _order(granted.fence - 1))
             self.assertEqual(state.code, order_errors.OrderStale.code)
             self.assertEqual(world.group.history.orders, [])
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_expired(self) -> None:
-        """An order after its deadline is refused and does not run."""
+        """An order past its deadline is refused."""
 
-        async def scene(world: object) -> None:
-            state = await self._give(world, _order(1, deadline_ms=0))
+        async def scenario(world: object) -> None:
+            state = await self._send(world, _order(1, deadline_ms=0))
             self.assertEqual(state.code, order_errors.OrderExpired.code)
             self.assertEqual(world.group.history.orders, [])
 
-        self._run(scene)
+        self._run(scenario)
 
-    def test_sent_again(self) -> None:
-        """Sending an order again tells its progress and runs it once."""
+    def test_resent(self) -> None:
+        """Resending an order returns its state and doesn't run it again."""
 
-        async def scene(world: object) -> None:
-            states = [(await self._give(world, _order(1))).state]
+        async def scenario(world: object) -> None:
+            states = [(await self._send(world, _order(1))).state]
             await asyncio.sleep(1)
-            states.append((await self._give(world, _order(1))).state)
+            states.append((await self._send(world, _order(1))).state)
             self.assertEqual(states, [order_state.RUNNING, order_state.DONE])
             self.assertEqual(len(world.group.history.orders), 1)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_failed_order_resumes(self) -> None:
-        """An order that failed runs on when it is sent again."""
+        """Resending a failed order resumes it."""
 
-        async def scene(world: object) -> None:
+        async def scenario(world: object) -> None:
             down = asyncio.create_task(world.hosts[0].engine.restart(0.5))
             await asyncio.sleep(0.01)
-            await self._give(world, _order(1))
+            await self._send(world, _order(1))
             await asyncio.sleep(0.01)
-            failed = await self._give(world, _order(1))
+            failed = await self._send(world, _order(1))
             await down
             await asyncio.sleep(1)
-            resumed = await self._give(world, _order(1))
+            resumed = await self._send(world, _order(1))
             self.assertEqual(failed.state, order_state.RUNNING)
             self.assertEqual(resumed.code, order_errors.EngineFailed.code)
             await asyncio.sleep(1)
-            done = await self._give(world, _order(1))
+            done = await self._send(world, _order(1))
             self.assertEqual(done.state, order_state.DONE)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_cancel(self) -> None:
-        """A cancelled order ends, also when it comes after the cancel."""
+        """A cancelled order ends, also if it arrives after the cancellation."""
 
-        async def scene(world: object) -> None:
-            await self._give(world, _order(1))
+        async def scenario(world: object) -> None:
+            await self._send(world, _order(1))
             for name in ('one', 'later'):
                 body = json.dumps({'order_id': name})
                 cancel = _order(1, 'c', action=order_state.CANCEL, body=body)
-                await self._give(world, cancel)
+                await self._send(world, cancel)
                 await asyncio.sleep(0.1)
-                state = await self._give(world, _order(1, name))
+                state = await self._send(world, _order(1, name))
                 self.assertEqual(state.state, order_state.CANCELLED)
 
-        self._run(scene)
+        self._run(scenario)
 
-    def test_nonsense(self) -> None:
-        """Unknown actions, groups and bodies are refused by their code."""
+    def test_malformed(self) -> None:
+        """Unknown actions and groups and malformed bodies are refused."""
 
-        async def scene(world: object) -> None:
+        async def scenario(world: object) -> None:
             for changed in (
                 {'action': 'dance'},
                 {'group': 'other'},
@@ -160,27 +157,24 @@
                 {'action': order_state.MAP_ARM, 'body': '[]'},
                 {'action': order_state.CANCEL, 'body': '[]'},
             ):
-                state = await self._give(world, _order(1, **changed))
+                state = await self._send(world, _order(1, **changed))
                 self.assertEqual(state.code, order_errors.OrderInvalid.code)
 
-        self._run(scene)
+        self._run(scenario)
 
 
 class TestStoreSlots(unittest.TestCase):
-    """Share the weight store by leases."""
+    """Lease the slots of the weight store."""
 
     def test_slots_bound_loaders(self) -> None:
-        """No more loaders than slots load at once; urgent ones get theirs.
-
-        Four loaders compete for two common slots and slot 0.  Background
-        loaders never take slot 0, so that an urgent one need not wait for
-        them.
+        """Concurrent loaders are limited to the slots, and background loaders
+        never take the urgent one.
         """
 
-        async def scene() -> None:
+        async def scenario() -> None:
             control = fake_control.Control()
             settings = store_slots.SlotSettings(slots=3, lease_ms=60_000)
-            got: list[str] = []
+            acquired: list[str] = []
 
             async def take(name: str, urgent: bool) -> None:
                 store = store_slots.LeasedStoreLimiter(
@@ -190,16 +184,16 @@
                     random.Random(name),
                 )
                 await store.acquire(urgent)
-                got.append(name)
+                acquired.append(name)
 
             tasks = [
                 asyncio.create_task(take(f'background-{number}', urgent=False))
                 for number in range(4)
             ]
             await asyncio.sleep(20)
-            self.assertEqual(len(got), 2)
+            self.assertEqual(len(acquired), 2)
             await asyncio.wait_for(take('urgent', urgent=True), 10)
             for task in tasks:
                 task.cancel()
 
-        experiment.run_paused(scene)
+        experiment.run_paused(scenario)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Prove that an agent notices a target that is silent or stuck."""
+"""Test that an agent detects a target that is silent or stuck."""
 
 import unittest
 
@@ -12,13 +12,13 @@
     def __init__(self):
         self.tokens = 0
         self.running = 1
-        self.per_ask = 1
+        self.tokens_per_poll = 1
         self.silent = False
 
     async def load(self):
         if self.silent:
             raise target_errors.TargetSilent
-        self.tokens += self.per_ask
+        self.tokens += self.tokens_per_poll
         return target.TargetReport(
             running=self.running,
             queued=0,
@@ -57,16 +57,14 @@
         self.assertFalse(self.run_for(20))
 
     def test_idle_target_is_not_stuck(self):
-        self.assertFalse(self.run_for(20, {'running': 0, 'per_ask': 0}))
+        self.assertFalse(self.run_for(20, {'running': 0, 'tokens_per_poll': 0}))
 
     def test_hung_engine_is_stuck(self):
-        """Callers get no token though the engine answers its heartbeat.
-
-        Its steps stop while calls run; after the profile's time without
-        progress the agent counts it as leaving, and not before.
+        """An engine that answers polls without making tokens counts as stuck
+        after the profile's time, and not before.
         """
-        self.assertFalse(self.run_for(4, {'per_ask': 0}))
-        self.assertTrue(self.run_for(6, {'per_ask': 0}))
+        self.assertFalse(self.run_for(4, {'tokens_per_poll': 0}))
+        self.assertTrue(self.run_for(6, {'tokens_per_poll': 0}))
 
     def test_silent_target_is_stuck(self):
         self.assertTrue(self.run_for(2, {'silent': True}))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Prove that a bad version stops at the first group that gets worse."""
+"""Test that a roll-out stops at the first group with a regression."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class _Group(rollout.RolloutGroup):
-    """Be a group whose step time depends on its version and the wave."""
+    """Fake a group whose step time depends on its version and the load."""
 
     def __init__(self, name: str, world: dict[str, float]) -> None:
         self._name = name
@@ -20,7 +20,7 @@
         return self._name
 
     async def load_version(self, version: str, rollout_id: str) -> str:
-        """Switch at once."""
+        """Load the version at once."""
         previous = self.versions[-1]
         if version == 'broken':
             raise order_errors.EngineFailed('no such version')
@@ -40,7 +40,7 @@
     """Roll versions out over three groups."""
 
     def setUp(self) -> None:
-        """Build groups that share one wave of load."""
+        """Build groups that share one load."""
         self._world: dict[str, float] = {'wave': 1, 'growth': 1}
         self._groups = [_Group(name, self._world) for name in 'abc']
 
@@ -58,8 +58,8 @@
         self.assertEqual(self._versions(), ['v2', 'v2', 'v2'])
         self.assertEqual(rolling.progress.left, ())
 
-    def test_worse(self) -> None:
-        """A version that slows or fails is undone, the rest is untouched."""
+    def test_regression(self) -> None:
+        """A version that slows or fails is rolled back; the rest is untouched."""
         for version in ('slow', 'failing', 'broken'):
             with self.subTest(version=version):
                 rolling = self._rollout(version)
@@ -68,17 +68,17 @@
                 self.assertEqual(self._versions(), ['v1', 'v1', 'v1'])
                 self.assertIn('a: ', rolling.progress.stopped)
 
-    def test_wave(self) -> None:
-        """A wave that slows every group is not blamed on the version."""
+    def test_load_change(self) -> None:
+        """A change of load that slows every group is not a regression."""
         self._world['growth'] = 1.4
         groups = self._groups[:2]
         rolling = rollout.Rollout('r', 'v2', groups, rollout.RolloutLimits())
-        # The last group has no untouched one left to be compared with.
+        # The last group has no other one left to compare with.
         with self.assertRaisesRegex(order_errors.RolloutStopped, 'b: '):
             experiment.run_paused(rolling.run)
 
     def test_operator_stops(self) -> None:
-        """A stop by an operator touches no further group."""
+        """After a stop by an operator no further group is upgraded."""
         rolling = self._rollout('v2')
         rolling.stop('asked to')
         with self.assertRaises(order_errors.RolloutStopped):
--- a/tests/test_urgent_gate.py
+++ b/tests/test_urgent_gate.py
@@ -1,4 +1,4 @@
-"""Prove that the gate tells the weight loader of urgent calls."""
+"""Test that the gate signals urgent calls to the weight loader."""
 
 import asyncio
 import types
@@ -13,26 +13,26 @@
 
 
 class SlowClient:
-    """Hold a call until told, then fail it."""
+    """Block a call until released, then fail it."""
 
     def __init__(self):
         self.entered = asyncio.Event()
-        self.going_on = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def send_call(self, opening, body, idle_seconds):
         self.entered.set()
-        await self.going_on.wait()
+        await self.released.wait()
         raise target_errors.TargetUnreachable()
 
     async def cancel(self, call_id):
-        """Have nothing to stop."""
+        """Do nothing."""
 
 
 class Call:
-    """Be a call without a body whose caller stays."""
+    """Fake a call without a body whose link stays up."""
 
     async def receive(self):
-        """Give no part of a body, which is its end."""
+        """Return the end of the body."""
 
     async def wait_failed(self):
         await asyncio.Event().wait()
@@ -42,8 +42,8 @@
 
 
 class UrgentGateCase(unittest.IsolatedAsyncioTestCase):
-    async def near_while_open(self, priority):
-        """Tell whether urgent work is near during a call and after it."""
+    async def pauses_around_call(self, priority):
+        """Return whether loading pauses during a call and after it."""
         client = SlowClient()
         signal = weight_loading.UrgentSignal(
             moves.UrgentCallMonitor(pause_seconds=0)
@@ -64,12 +64,12 @@
         serving = asyncio.create_task(guard.serve(Call(), opening))
         await client.entered.wait()
         during = signal.must_pause()
-        client.going_on.set()
+        client.released.set()
         await serving
         return during, signal.must_pause()
 
     async def test_urgent_call(self):
-        self.assertEqual(await self.near_while_open(0), (True, False))
+        self.assertEqual(await self.pauses_around_call(0), (True, False))
 
     async def test_normal_call(self):
-        self.assertEqual(await self.near_while_open(1), (False, False))
+        self.assertEqual(await self.pauses_around_call(1), (False, False))
