--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -1,4 +1,4 @@
-"""Prove that a configuration comes from one near host, and all the same comes."""
+"""Test that an entry fetches each configuration once, from a nearby host."""
 
 import asyncio
 import types
@@ -12,7 +12,7 @@
 
 ZONES = ('east', 'west', 'north')
 HOSTS = tuple(f'10.0.{number}.1:7' for number in range(6))
-# In force everywhere within so long of the acknowledgement.
+# Time from the acknowledgement until a configuration is in force everywhere.
 BOUND_SECONDS = 2.5
 
 
@@ -21,7 +21,7 @@
 
 
 class Net:
-    """Be the links of one entry to six control hosts in three zones."""
+    """Links of one entry to six control hosts in three availability zones."""
 
     def __init__(self):
         self.own = identity.Identity(
@@ -60,7 +60,7 @@
         return messages.Reply(site=reply)
 
     def accept(self, version, *but):
-        """Have each host apply a version, one a little after another."""
+        """Apply a version on each host, with short delays in between."""
         loop = asyncio.get_running_loop()
         for place, host in enumerate(HOSTS):
             if host not in but:
@@ -72,7 +72,7 @@
 
 
 class Pupil(following.Pupil):
-    """Hold the newest version."""
+    """Keep the newest version."""
 
     def __init__(self):
         self.held = document.Document()
@@ -86,10 +86,10 @@
         return 0
 
     def learn_zones(self, rows):
-        """Know no zones."""
+        """Ignore zones."""
 
     def learn_target(self, said):
-        """Know no targets."""
+        """Ignore targets."""
 
     def learn_document(self, held):
         self.held = held
@@ -97,22 +97,19 @@
 
 class FetchedCase(policy_case.PausedCase):
     def test_one_copy(self):
-        """Each of many versions comes once, from a host of the own zone."""
+        """Each version is fetched once, from a host in the same zone."""
         self.run_paused(self._one_copy())
 
     def test_near_hosts_silent(self):
-        """The hosts of the own zone say nothing more; no link breaks.
-
-        The version must be in force in time all the same.
-        """
+        """A version arrives in time though all hosts in the zone are silent."""
         self.run_paused(self._silent())
 
     def test_near_hosts_behind(self):
-        """The hosts of the own zone are cut off from the leader."""
+        """A version arrives in time though the zone's hosts lag behind."""
         self.run_paused(self._behind())
 
     def test_quick_succession(self):
-        """Twelve versions a second: the last one is in force in time."""
+        """The last of many versions in quick succession arrives in time."""
         self.run_paused(self._storm())
 
     async def _one_copy(self):
@@ -138,7 +135,7 @@
             net.accept(version, HOSTS[0], HOSTS[3])
             await asyncio.sleep(BOUND_SECONDS)
             self.assertEqual(version, pupil.version)
-        # Once it is known that they are behind, the next host brings it.
+        # Once they are known to lag, another host sends the document.
         self.assertLess(len(net.documents), 6)
 
     async def _storm(self):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Prove that an evacuated zone stays so, and that its targets get nothing."""
+"""Test that an evacuated zone stays evacuated and its targets get no calls."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
     return machine.zone_command(zones.Zone(name, is_evacuated, revision))
 
 
-def said(target, zone, **fields):
+def announcement(target, zone, **fields):
     return announcements.Announcement(
         target=target,
         service=SERVICE,
@@ -46,11 +46,7 @@
 
 class MachineCase(unittest.TestCase):
     def test_held_up_copy(self):
-        """A copy that was held up does not undo a newer request.
-
-        The operator evacuates a zone, a copy of the command stays on its way,
-        the zone is restored, and then the copy reaches the leader.
-        """
+        """A delayed copy of a command does not undo a newer request."""
         site = machine.SiteMachine()
         late = command('east', 0)
         self.assertEqual(machine.APPLIED, site.apply(1, late))
@@ -60,7 +56,7 @@
         self.assertFalse(site.zones.is_evacuated('east'))
 
     def test_sent_again(self):
-        """A request that is sent again changes nothing and is accepted."""
+        """A repeated request is accepted and changes nothing."""
         site = machine.SiteMachine()
         site.apply(1, command('east', 0))
         told = []
@@ -70,10 +66,7 @@
         self.assertEqual(1, site.zones.changes)
 
     def test_snapshot(self):
-        """Zones and the configuration come back from a snapshot.
-
-        One of an older release holds the configuration alone.
-        """
+        """Zones and configuration survive a snapshot, also of an older release."""
         site = machine.SiteMachine()
         site.apply(1, document.pack(4, b'four').encode())
         older = site.snapshot()
@@ -87,14 +80,14 @@
         self.assertFalse(restored.zones.changes)
 
     def test_command_of_a_later_release(self):
-        """A command that can't be read is left by every member alike."""
+        """Members ignore a command of a later release that they can't parse."""
         site = machine.SiteMachine()
         unreadable = b'%b%b' % (command('east', 0)[:9], b'\xff')
         self.assertEqual(machine.SUPERSEDED, site.apply(1, unreadable))
 
 
-class ForgetfulMachine(machine.SiteMachine):
-    """The planted fault: what is asked counts, whatever has happened since."""
+class UncheckedMachine(machine.SiteMachine):
+    """Faulty machine that applies zone changes whatever their revision."""
 
     def apply(self, index, command):
         if not command.startswith(machine._ZONE_PREFIX):
@@ -110,17 +103,16 @@
 
 
 class History:
-    """Be operators who evacuate and restore zones while hosts are lost.
+    """Operators evacuate and restore zones while hosts fail.
 
-    Each zone has an operator of its own, who sends a request to host after
-    host until it is acknowledged, then reads, and sends the next.  Some copies
-    of what hosts proposed are held up and come when the request is over.
+    Each zone has its own operator, who retries a request on any host until it
+    is acknowledged and then reads it back.  Some proposals arrive again later.
     """
 
     def __init__(self, seed, machine_of=machine.SiteMachine):
         self.random = random.Random(seed)
         self.net = consensus_net.Net(machine_of, snapshot_entries=1)
-        self.found = []
+        self.mismatches = []
 
     async def run(self):
         await self.net.start(*consensus_net.NODES)
@@ -148,9 +140,9 @@
     async def _ask(self, name, *, is_evacuated):
         while True:
             node = self.random.choice(sorted(self.net.processes))
-            self._hold_up(node, name, is_evacuated=is_evacuated)
+            self._schedule_copy(node, name, is_evacuated=is_evacuated)
             try:
-                await self._of(node).request(
+                await self._evacuation_on(node).request(
                     name, AUTHOR, is_evacuated=is_evacuated
                 )
             except errors.CodedError:
@@ -158,8 +150,8 @@
                 continue
             return
 
-    def _hold_up(self, node, name, *, is_evacuated):
-        """Send what the host is about to propose once more, later."""
+    def _schedule_copy(self, node, name, *, is_evacuated):
+        """Schedule a delayed copy of what the host is about to propose."""
         if self.random.random() > 0.5:
             return
         revision = self.net.machines[node].zones.get(name).revision
@@ -180,17 +172,17 @@
             while True:
                 node = self.random.choice(sorted(self.net.processes))
                 try:
-                    rows = await self._of(node).list_zones()
+                    rows = await self._evacuation_on(node).list_zones()
                 except errors.CodedError:
                     await asyncio.sleep(0.1)
                     continue
                 break
         held = {row.name: row.is_evacuated for row in rows}
         if held[name] != self.wanted[name]:
-            self.found.append((name, self.wanted[name], held[name]))
+            self.mismatches.append((name, self.wanted[name], held[name]))
 
     async def _break(self):
-        """Kill a host or cut it off, one at a time."""
+        """Kill and restart one host at a time."""
         while True:
             await asyncio.sleep(self.random.uniform(0.5, 3))
             node = self.random.choice(consensus_net.NODES)
@@ -198,7 +190,7 @@
             await asyncio.sleep(self.random.uniform(0, 2))
             await self.net.start(node)
 
-    def _of(self, node):
+    def _evacuation_on(self, node):
         return evacuation.Evacuation(
             self.net.processes[node], self.net.machines[node], ZONES
         )
@@ -206,37 +198,33 @@
 
 class GroupCase(consensus_net.PausedCase):
     def test_through_any_host(self):
-        """A follower takes a request; it stands after all hosts were killed."""
+        """A follower accepts a request, and it survives a restart of all hosts."""
         self.run_paused(self._any_host())
 
     def test_unknown_zone(self):
-        """A zone that the site has not is refused before anything is asked."""
+        """An unknown zone is rejected before anything is proposed."""
         self.run_paused(self._unknown())
 
     def test_without_a_quorum(self):
-        """A host that is cut off does not acknowledge what it seems to hold.
-
-        It has applied the evacuation and not that the zone was restored; the
-        operator evacuates it again and must not be told that it is so.
-        """
+        """A partitioned host does not acknowledge a request from stale state."""
         self.run_paused(self._without_quorum())
 
     def test_histories(self):
-        """Operators race and lose answers while hosts are killed."""
+        """Requests survive lost responses and host failures."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 history = History(seed)
                 self.run_paused(history.run())
-                self.assertEqual([], history.found)
+                self.assertEqual([], history.mismatches)
 
     def test_histories_with_a_planted_fault(self):
-        """The check finds requests that were undone by a late copy."""
-        found = []
+        """The history check detects requests undone by a late copy."""
+        mismatches = []
         for seed in SEEDS:
-            history = History(seed, ForgetfulMachine)
+            history = History(seed, UncheckedMachine)
             self.run_paused(history.run())
-            found += history.found
-        self.assertTrue(found)
+            mismatches += history.mismatches
+        self.assertTrue(mismatches)
 
     async def _any_host(self):
         net = consensus_net.Net(machine.SiteMachine, snapshot_entries=1)
@@ -284,7 +272,7 @@
 
 class FeedCase(policy_case.PausedCase):
     def test_follower_is_woken(self):
-        """A follower learns of an evacuation at once, and is told it once."""
+        """A waiting follower receives an evacuation at once, and only once."""
         self.run_paused(self._woken())
 
     async def _woken(self):
@@ -310,24 +298,20 @@
 
 class EntryCase(policy_case.PausedCase):
     def test_targets_get_nothing(self):
-        """Every choice of a target leaves an evacuated zone out.
-
-        The zone's targets are the least loaded and in the entry's own zone.  With
-        the other zone evacuated too, no call goes anywhere.
-        """
+        """Targets in an evacuated zone are never chosen, even the nearest."""
         self.run_paused(self._nothing())
 
     def test_older_word(self):
-        """A control host that is behind takes no request back."""
+        """An older revision from a lagging control host is ignored."""
         self.run_paused(self._older())
 
     async def _nothing(self):
         known = self.known()
         known.learn_zones([zones.Zone('east', True, 1)])
         for _ in range(20):
-            found = known.choose(SERVICE, ())
-            self.assertEqual('west', found.said.zone)
-            found.own += 1
+            chosen = known.choose(SERVICE, ())
+            self.assertEqual('west', chosen.said.zone)
+            chosen.own += 1
         self.assertEqual('w1', known.choose(SERVICE, ('w0',)).name)
         crowd = known.crowd(SERVICE, 1)
         self.assertEqual((2, 4), (crowd.ranks, crowd.places))
@@ -345,18 +329,14 @@
     def known(self):
         known = targets.Targets('east', 1.0, random.Random(5))
         for number in range(2):
-            known.take(said(f'e{number}', 'east'))
-            known.take(said(f'w{number}', 'west'))
+            known.take(announcement(f'e{number}', 'east'))
+            known.take(announcement(f'w{number}', 'west'))
         return known
 
 
 class GroupRanksCase(unittest.TestCase):
     def test_ranks_without_calls(self):
-        """Ranks of an evacuated zone say nothing of the demand.
-
-        Their counts stand still and they run no calls: read in place of others,
-        no shift is seen and the group seems idle, however uneven it is.
-        """
+        """Ranks of an evacuated zone are not sampled for demand or load."""
         members = tuple(
             ranks.Rank(f't{number}', f'a{number}', takes_calls=number > 1)
             for number in range(4)
@@ -380,8 +360,8 @@
         self.assertEqual([2, 3], [row.rank for row in group.serving_reports])
 
 
-class Asked:
-    """Stand for the requests of one control host."""
+class FakeEvacuation:
+    """Fake of ``evacuation.Evacuation`` that records the authors."""
 
     def __init__(self):
         self.rows = {name: zones.Zone(name) for name in ZONES}
@@ -399,7 +379,7 @@
 
 class OperatorCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.asked = Asked()
+        self.asked = FakeEvacuation()
         self.listener = listener.Listener(
             test_operator.options('c1'),
             handler.SiteHandler(None, None, None, self.asked),
@@ -411,7 +391,7 @@
         await asyncio.sleep(0)
 
     async def test_evacuates_and_lists(self):
-        """The command line's client evacuates a zone and is shown all."""
+        """The command line's client evacuates a zone and lists all zones."""
         rows = await self.ask(messages.Role.OPERATOR, 'east')
         self.assertEqual(
             [('east', True), ('west', False)],
@@ -420,7 +400,7 @@
         self.assertEqual(['ann at desk'], self.asked.authors)
 
     async def test_refused(self):
-        """A zone that is unknown, or a process that is no operator's."""
+        """An unknown zone and a peer that is no operator are rejected."""
         for role, zone in (
             (messages.Role.OPERATOR, 'north'),
             (messages.Role.ENTRY, 'east'),
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Prove that groups of one service do not wait for each other."""
+"""Test that groups of one service are balanced independently."""
 
 import asyncio
 import itertools
@@ -31,7 +31,7 @@
 SPARE = 2
 COPY_SECONDS = 0.09
 SWITCH_SECONDS = 0.3
-# Between two shifts of demand.
+# Interval between shifts of demand.
 SHIFT_SECONDS = 2.3
 SHARED = configuration.Experts(
     sets=SETS,
@@ -43,7 +43,7 @@
 
 
 def groups_of_ranks():
-    """Build several groups whose ranks one owner asks and orders."""
+    """Build several groups with the same owner."""
     return several.Several(
         [
             test_site_maps.FakeGroup(random.Random(number))
@@ -52,8 +52,8 @@
     )
 
 
-class Told(test_site_maps.NoNews):
-    """Hold the groups that an owner has told of."""
+class GroupRecorder(test_site_maps.NoNews):
+    """Record the groups reported by an owner."""
 
     def record_groups(self, term, rows):
         self.rows = rows
@@ -65,19 +65,11 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def test_silent_group(self):
-        """Callers of two groups wait while a third one's orders get lost.
-
-        All orders to a rank of the first group get no answer, so its switch
-        takes seconds.  Demand of the others shifts meanwhile, and each must
-        have a map for it soon.
-        """
+        """A group with a silent rank does not delay the maps of the others."""
         self.run_paused(self._silent())
 
     def test_held_groups(self):
-        """An owner is lost with all three groups held.
-
-        The next one lets them go side by side: each takes half a second.
-        """
+        """A new owner releases all held groups concurrently."""
         self.run_paused(self._held())
 
     async def _silent(self):
@@ -101,21 +93,21 @@
         before = [one.step for one in asked.groups]
         for held in asked.groups:
             held.rows[0].held = held.step + 1
-        owning = asyncio.create_task(self._duty(asked).run())
+        owner_task = asyncio.create_task(self._owner_loop(asked).run())
         await asyncio.sleep(1.2)
         for group, step in zip(asked.groups, before, strict=True):
             self.assertGreater(group.step, step)
-        await self._end(asked, [*steps, owning])
+        await self._end(asked, [*steps, owner_task])
 
     def _begin(self, asked):
         work = [group.run() for group in asked.groups]
-        work.append(self._duty(asked).run())
+        work.append(self._owner_loop(asked).run())
         return [asyncio.create_task(one) for one in work]
 
-    def _duty(self, asked):
+    def _owner_loop(self, asked):
         return owner_loop.OwnerLoop(
             test_site_maps.Leading(),
-            Told(),
+            GroupRecorder(),
             test_site_maps.OneService(),
             test_site_maps.owner_of(asked),
             outlives_lease=True,
@@ -129,8 +121,8 @@
             self.assertEqual([], group.mixed)
 
 
-def uneven():
-    """Build map 0 and a demand in which some experts take most tokens."""
+def uneven_demand():
+    """Build the initial map and an uneven demand."""
     generator = random.Random(SEED)
     held = tuple(tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS))
     tokens = []
@@ -141,17 +133,17 @@
     return tuple(held for _ in range(SETS)), tokens
 
 
-class StageCase(unittest.TestCase):
-    """Answer the load in which demand changes before its map is copied."""
+class CopyTimeCase(unittest.TestCase):
+    """Plan maps for demand that may change before the copies are done."""
 
     def setUp(self):
-        held, tokens = uneven()
+        held, tokens = uneven_demand()
         self.current = held
         self.tokens = tokens
         self.bounds = rebalancing.Bounds(PLACES, SPARE)
 
     def test_short_while(self):
-        """Callers lose less by few copies at once than by the evenest map."""
+        """For short-lived demand a few copies cost callers less time."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
@@ -169,7 +161,7 @@
         )
 
     def test_time_enough(self):
-        """Demand that stays is worth the evenest map."""
+        """For lasting demand the map is as even as possible."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS, switch_seconds=0, stable_seconds=1000
         )
@@ -181,7 +173,7 @@
         )
 
     def test_no_time(self):
-        """No copy is made for demand that is over before it is there."""
+        """No copies are planned for demand that ends before they are done."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
@@ -190,7 +182,7 @@
         self.assertEqual(self.current, self.plan(cost))
 
     def test_bound_of_a_rank(self):
-        """No rank copies more than the bound, however many sets there are."""
+        """No rank copies more than the bound over all sets."""
         stages = group_planning.StagedRebalancer(
             self.current, self.tokens, self.bounds
         )
@@ -214,9 +206,9 @@
         )
 
 
-class SpanCase(unittest.TestCase):
+class DurationCase(unittest.TestCase):
     def test_how_long_demand_lasts(self):
-        """What is left of a demand follows from how long earlier ones stayed."""
+        """The expected remainder follows from the duration of earlier demands."""
         known = demand.Demand()
         counts = [0, 0, 0, 0]
         for reading in range(60):
@@ -232,21 +224,20 @@
         self.assertGreater(known.remaining_seconds(shifted_at + 10), 0)
 
 
-class MixedCase(policy_case.PausedCase):
+class MixedReadingCase(policy_case.PausedCase):
     def test_reading_of_two_demands(self):
-        """No map whose copies take long is made from two demands at once.
+        """No map with long copies is planned from a mix of two demands.
 
-        The first reading after a shift holds choices from before it.  Ranks
-        that copy for it can't take the map that is needed for a second.
+        The first reading after a shift includes choices from before it.
         """
         self.run_paused(self._mixed())
 
     async def _mixed(self):
-        decider = map_planner.MapPlanner(test_site_maps.timed_work.TimedWork(0))
+        planner = map_planner.MapPlanner(test_site_maps.timed_work.TimedWork(0))
         group = _group()
         for shape in (SHARED, attrs.evolve(SHARED, copy_seconds=0.001)):
             known = group_state.GroupState(shape, version=1)
-            held, tokens = uneven()
+            held, tokens = uneven_demand()
             known.placement = held
             known.step_seconds = 0.2
             counts = tokens
@@ -256,7 +247,7 @@
                 counts = _added(counts, more)
                 known.demand.add_counts({'t0': ranks.Counts(1, counts)}, now)
             self.assertTrue(known.demand.is_mixed)
-            wanted = await decider.plan(known, group)
+            wanted = await planner.plan(known, group)
             self.assertEqual(shape is SHARED, wanted is None)
 
 
@@ -289,13 +280,9 @@
     )
 
 
-class ShiftsCase(unittest.TestCase):
+class ShiftCase(unittest.TestCase):
     def test_slow_copies(self):
-        """Demand shifts for three groups before the evenest maps are copied.
-
-        Mended one after another, groups are even for a small part of the time;
-        side by side and by few copies first, for the larger part.
-        """
+        """Planning by copy time keeps groups even for longer after shifts."""
         pattern = groups.PATTERNS[0]
         standing, _, ours = (
             groups.play(pattern, variant, SEED, groups.QUICK_SHIFTS)
@@ -304,27 +291,26 @@
         self.assertGreater(ours['even_share'], 2 * standing['even_share'])
 
 
-class PaceCase(policy_case.PausedCase):
+class ReadIntervalCase(policy_case.PausedCase):
     def test_pause_between_readings(self):
-        """A group is read anew no sooner than a reading's pace after its switch.
+        """Counts are not read again too soon after a switch.
 
-        Begun by a clock that goes on while a group is switched, the next reading
-        came right after it and brought switches that nobody needed.
+        They would include choices from before it and cause needless switches.
         """
         self.run_paused(self._paused())
 
     async def _paused(self):
-        maps = Slow()
+        maps = SlowOwner()
         working = owner_loop.OwnerLoop(
             test_site_maps.Leading(),
-            Told(),
+            GroupRecorder(),
             test_site_maps.OneService(),
             maps,
             outlives_lease=True,
         )
-        owning = asyncio.create_task(working.run())
+        owner_task = asyncio.create_task(working.run())
         await asyncio.sleep(5)
-        owning.cancel()
+        owner_task.cancel()
         self.assertGreater(len(maps.worked), 3)
         pauses = [
             later[0] - earlier[1]
@@ -333,8 +319,8 @@
         self.assertGreaterEqual(min(pauses), maps.read_interval)
 
 
-class Slow:
-    """An owner whose work takes longer than the pace of its readings."""
+class SlowOwner:
+    """Fake owner whose reconciliation takes longer than its read interval."""
 
     read_interval = 0.2
     discovery_interval = 1.0
@@ -346,10 +332,10 @@
         self.worked = []
 
     def reset(self):
-        """Forget nothing."""
+        """Do nothing."""
 
     async def discover(self, services):
-        """Find nothing new."""
+        """Do nothing."""
 
     async def reconcile(self, name, term):
         began = asyncio.get_running_loop().time()
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -1,4 +1,4 @@
-"""Prove that a map reaches the ranks of a large group, and that it is made."""
+"""Test maps of large groups: their distribution, and when a new one is made."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tamarackthread.shared.site import configuration
 from tests import policy_case, test_reading_rest
 
-# 26 KB of map over a link of 100 Mbit a second.
+# A map of 26 KB on a link of 100 Mbit/s.
 MAP_SECONDS = 0.0021
 
 
 class NarrowLink(test_reading_rest.LargeGroup):
-    """Send all orders over one link, one after the other."""
+    """Send all orders over one slow link, one after the other."""
 
     def __init__(self):
         super().__init__()
@@ -30,15 +30,15 @@
         loop = asyncio.get_running_loop()
         self.sent += 1
         self._free_at = max(loop.time(), self._free_at) + MAP_SECONDS
-        takes = self._free_at - loop.time()
-        await asyncio.sleep(min(takes, asked.timeout_seconds))
-        if takes > asked.timeout_seconds:
+        seconds = self._free_at - loop.time()
+        await asyncio.sleep(min(seconds, asked.timeout_seconds))
+        if seconds > asked.timeout_seconds:
             return ranks.Outcome.UNKNOWN
         return ranks.Outcome.DONE
 
 
-class AtOnce(offload.Offload):
-    """Do the work at once."""
+class InlineOffload(offload.Offload):
+    """Run the work without a thread."""
 
     async def run(self, work, *arguments):
         return work(*arguments)
@@ -46,12 +46,7 @@
 
 class PrepareCase(policy_case.PausedCase):
     def test_each_rank_once(self):
-        """A group of 129 ranks waits two seconds for a map of 26 KB each.
-
-        Sent to all at once it fills the owner's link for longer than an answer
-        is waited for; what was on its way is sent again behind it, and with it
-        everything else that the owner has to say.
-        """
+        """A large map is sent to each rank once, within the link's capacity."""
         self.run_paused(self._each_rank_once())
 
     async def _each_rank_once(self):
@@ -64,61 +59,54 @@
         self.assertLess(loop.time() - began, 0.5)
 
 
-class PressedCase(policy_case.PausedCase):
-    """Answer the load in which calls wait although steps are short.
+class FullGroupCase(policy_case.PausedCase):
+    """Balance a full group although its steps are short.
 
-    The pattern: demand has shifted, one rank takes three times the mean, and
-    the group has more calls than places.  Steps are under the time that any
-    stream's caller would feel, but each call waits for a place as long as
-    others last; evener ranks would serve half as many calls again.
+    Calls queue for slots, so shorter steps let the group serve more of them.
     """
 
     SHAPE = configuration.Experts(sets=1, experts=4, places=3, spare=2, slots=6)
 
-    def test_full_group_is_pressed(self):
-        """Its owner goes on with its maps, however short the steps are."""
-        self.run_paused(self._pressed())
+    def test_full_group_needs_balancing(self):
+        """A full group needs balancing however short its steps are."""
+        self.run_paused(self._full())
 
     def test_short_steps_of_a_full_group_are_made_shorter(self):
-        """It gets a map where a group with room is left as it is.
-
-        At 20 ms a step no caller would feel the difference, but each of the
-        calls that wait for a place would.
-        """
-        self.run_paused(self._evened())
+        """A full group gets a map; one with free slots keeps its own."""
+        self.run_paused(self._balanced())
 
     def test_group_with_room_is_left(self):
-        """Short steps of a group with free places delay nobody."""
-        known = self._known(calls=1)
-        self.assertFalse(known.is_full)
-        self.assertFalse(known.needs_balancing(10))
+        """A group with short steps and free slots needs no balancing."""
+        state = self._state(calls=1)
+        self.assertFalse(state.is_full)
+        self.assertFalse(state.needs_balancing(10))
 
-    async def _pressed(self):
-        known = self._known(calls=7)
-        self.assertTrue(known.is_full)
-        self.assertTrue(known.needs_balancing(0.5))
+    async def _full(self):
+        state = self._state(calls=7)
+        self.assertTrue(state.is_full)
+        self.assertTrue(state.needs_balancing(0.5))
 
-    async def _evened(self):
+    async def _balanced(self):
         group = _group(4, calls=7)
-        full, roomy = (self._known(calls) for calls in (7, 3))
-        decider = map_planner.MapPlanner(AtOnce())
-        for known in (full, roomy):
-            known.version = 1
-            known.placement = (((0,), (1,), (2,), (3,)),)
+        full, roomy = (self._state(calls) for calls in (7, 3))
+        planner = map_planner.MapPlanner(InlineOffload())
+        for state in (full, roomy):
+            state.version = 1
+            state.placement = (((0,), (1,), (2,), (3,)),)
             for count in (0, 1, 2):
                 row = tuple(count * choices for choices in (90, 10, 12, 8))
-                known.demand.add_counts({'t0': ranks.Counts(1, (row,))}, 0)
-            known.step_seconds = 0.02
-        found = await decider.plan(full, group)
+                state.demand.add_counts({'t0': ranks.Counts(1, (row,))}, 0)
+            state.step_seconds = 0.02
+        found = await planner.plan(full, group)
         self.assertGreater(_copies(found), 1)
-        self.assertIsNone(await decider.plan(roomy, group))
-
-    def _known(self, calls):
-        known = group_state.GroupState(self.SHAPE, gap=0.12, version=1)
-        known.step_seconds = 0.03
-        known.update(_group(4, calls), 0)
-        known.step_seconds = 0.03
-        return known
+        self.assertIsNone(await planner.plan(roomy, group))
+
+    def _state(self, calls):
+        state = group_state.GroupState(self.SHAPE, gap=0.12, version=1)
+        state.step_seconds = 0.03
+        state.update(_group(4, calls), 0)
+        state.step_seconds = 0.03
+        return state
 
 
 def _copies(placement):
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -151,7 +151,7 @@
         rows = [ranks.Rank(f't{number}', 'a') for number in range(TARGETS)]
         asked = Silent()
         found = owner.Owner(
-            asked, lambda service: rows, print, test_large_maps.AtOnce()
+            asked, lambda service: rows, print, test_large_maps.InlineOffload()
         )
         found.reset()
         shape = types.SimpleNamespace()
