--- a/tests/test_lossy_ranks.py
+++ b/tests/test_lossy_ranks.py
@@ -1,4 +1,4 @@
-"""Prove that an owner knows a group over a link that loses packets."""
+"""Test that an owner reads the state of a group over a lossy link."""
 
 from __future__ import annotations
 
@@ -16,16 +16,15 @@
 from tests import policy_case, test_site_maps
 
 RANKS = 63
-# One packet in twenty-five is lost each way, on the link to a third of the ranks.
-LOST_SHARE = 0.08
+# Packet loss of 4 % each way.
+LOSS_RATE = 0.08
 TRIES = 40
-# A new owner that does not know its group reads again after a tenth of a second;
-# nine times in ten it is to know it at once.
-KNOWN_SHARE = 0.9
+# Fraction of attempts in which a new owner must learn the map at once.
+MIN_KNOWN_FRACTION = 0.9
 
 
 class LossyRanks(test_site_maps.FakeGroup):
-    """Lose some answers."""
+    """Ranks whose responses are lost at random."""
 
     def __init__(self, generator):
         super().__init__(generator)
@@ -39,7 +38,7 @@
 
     async def _unless_lost(self, answer):
         self.asked += 1
-        if self.random.random() < LOST_SHARE:
+        if self.random.random() < LOSS_RATE:
             await asyncio.sleep(ranks.ANSWER_TIMEOUT_SECONDS)
             return None
         await asyncio.sleep(0.003)
@@ -60,32 +59,29 @@
 
 class LossyCase(policy_case.PausedCase):
     def test_new_owner_learns_the_map(self):
-        """An owner is killed while a zone's link loses packets.
-
-        The next one needs the word of all 63 ranks on what they hold before it
-        can plan.  One of them is silent nearly each time, and if it asks all of
-        them anew each time the group keeps an uneven map for seconds.
-        """
+        """A new owner reads the map of all ranks despite lost responses."""
         self.run_paused(self._learns())
 
     def test_few_are_asked_again(self):
-        """Only the silent ranks are asked again, as each is charged for."""
+        """Only silent ranks are queried again."""
         self.run_paused(self._asks_few())
 
     async def _learns(self):
         known = 0
         for seed in range(TRIES):
             lossy = LossyRanks(random.Random(seed))
-            known += await readings.read_placement(lossy, _watched(), _group())
-        self.assertGreaterEqual(known, KNOWN_SHARE * TRIES)
+            known += await readings.read_placement(
+                lossy, _group_state(), _group()
+            )
+        self.assertGreaterEqual(known, MIN_KNOWN_FRACTION * TRIES)
 
     async def _asks_few(self):
         lossy = LossyRanks(random.Random(1))
         await group_discovery.fetch_reports(lossy, _group().members)
-        self.assertLess(lossy.asked, RANKS * (1 + 3 * LOST_SHARE))
+        self.assertLess(lossy.asked, RANKS * (1 + 3 * LOSS_RATE))
 
 
-def _watched():
+def _group_state():
     return group_state.GroupState(
         configuration.Experts(sets=2, experts=8, places=2, spare=1), gap=0.15
     )
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -1,4 +1,4 @@
-"""Prove that what a control host does for a target does not grow with all."""
+"""Test that a control host's work per target does not grow with all targets."""
 
 import asyncio
 import types
@@ -21,7 +21,7 @@
 SERVICE = 's'
 
 
-def said(number, sequence=1, **fields):
+def announcement(number, sequence=1, **fields):
     return announcements.Announcement(
         target=f't{number}',
         service=SERVICE,
@@ -34,8 +34,8 @@
     )
 
 
-class Unread(dict):
-    """A table of targets that nobody may look through."""
+class NoScanDict(dict):
+    """Dictionary that must not be iterated."""
 
     def values(self):
         raise AssertionError('all targets were looked at')
@@ -44,56 +44,62 @@
     __iter__ = values
 
 
-class RosterCase(policy_case.PausedCase):
+class SiteDirectoryCase(policy_case.PausedCase):
     def test_one_announcement(self):
-        """Guards against a look at all targets for each announcement."""
+        """Recording an announcement does not scan all targets."""
         known = site_directory.SiteDirectory(machine.SiteMachine(), None)
         for number in range(TARGETS):
-            known.learn_target(said(number))
+            known.learn_target(announcement(number))
         held = known._announcements
-        known._announcements = Unread(held)
-        known.learn_target(said(7, sequence=2))
-        moved = attrs.evolve(said(TARGETS), address=said(8).address)
+        known._announcements = NoScanDict(held)
+        known.learn_target(announcement(7, sequence=2))
+        moved = attrs.evolve(
+            announcement(TARGETS), address=announcement(8).address
+        )
         known.learn_target(moved)
         rest = dict.keys(known._announcements)
         self.assertNotIn('t8', rest)
         self.assertIn(moved.target, rest)
 
     def test_address_that_changes(self):
-        """Guards against a target that is lost with its former address."""
+        """A target is kept when another takes over its former address."""
         known = site_directory.SiteDirectory(machine.SiteMachine(), None)
-        known.learn_target(said(1))
-        known.learn_target(attrs.evolve(said(1, 2), address=said(2).address))
-        known.learn_target(said(3))
-        known.learn_target(attrs.evolve(said(4), address=said(1).address))
+        known.learn_target(announcement(1))
+        known.learn_target(
+            attrs.evolve(announcement(1, 2), address=announcement(2).address)
+        )
+        known.learn_target(announcement(3))
+        known.learn_target(
+            attrs.evolve(announcement(4), address=announcement(1).address)
+        )
         names = sorted(row.target for row in known.known_targets())
         self.assertEqual(['t1', 't3', 't4'], names)
 
 
-class FeedingCase(policy_case.PausedCase):
+class FeedCase(policy_case.PausedCase):
     def test_many_followers(self):
-        """Guards against a reply to each follower for each announcement."""
+        """Target updates to many followers are batched."""
         self.assertLess(self.run_paused(self._replies(FOLLOWERS)), 30)
 
     def test_configuration_waits_for_nothing(self):
-        """Guards against a configuration held back with news of targets."""
+        """Other news is not delayed by the batching of target updates."""
         self.run_paused(self._urgent())
 
     async def _replies(self, followers):
         targets = target_registry.TargetRegistry(1.2)
-        fed = self._feeding(targets, followers)
+        site_feed = self._feed_with_followers(targets, followers)
         replies = []
 
         async def follow():
             serial = 0
             while True:
-                reply = await fed.answer(_peer(0), _asked(serial))
+                reply = await site_feed.answer(_peer(0), _asked(serial))
                 serial = reply.serial
                 replies.append(len(reply.targets))
 
         following = asyncio.create_task(follow())
         for number in range(1000):
-            targets.record(said(number))
+            targets.record(announcement(number))
             await asyncio.sleep(0.01)
         following.cancel()
         self.assertGreater(sum(replies), 900)
@@ -102,23 +108,25 @@
     async def _urgent(self):
         loop = asyncio.get_running_loop()
         targets = target_registry.TargetRegistry(1.2)
-        fed = self._feeding(targets, FOLLOWERS)
-        asking = asyncio.create_task(fed.answer(_peer(0), _asked(0)))
+        site_feed = self._feed_with_followers(targets, FOLLOWERS)
+        asking = asyncio.create_task(site_feed.answer(_peer(0), _asked(0)))
         await asyncio.sleep(0.1)
         began = loop.time()
         targets.record_groups(1, [_group()])
         await asking
         self.assertEqual(began, loop.time())
 
-    def _feeding(self, targets, followers):
-        fed = feed.Feed(machine.SiteMachine(), targets, list, 1)
+    def _feed_with_followers(self, targets, followers):
+        site_feed = feed.Feed(machine.SiteMachine(), targets, list, 1)
         now = asyncio.get_running_loop().time() + 1000
-        fed._followers = {f'e{number}': now for number in range(followers)}
-        return fed
+        site_feed._followers = {
+            f'e{number}': now for number in range(followers)
+        }
+        return site_feed
 
 
-class Silent(ranks.Ranks):
-    """Be ranks that answer nothing, and count how often they are asked."""
+class SilentRanks(ranks.Ranks):
+    """Ranks that never respond, with a count of the queries."""
 
     def __init__(self):
         self.asked = 0
@@ -127,10 +135,10 @@
         self.asked += 1
 
     async def counts(self, rank, sets):
-        """Answer nothing."""
+        """Return nothing."""
 
     async def placement(self, rank):
-        """Answer nothing."""
+        """Return nothing."""
 
     async def order(self, rank, asked):
         return ranks.Outcome.UNKNOWN
@@ -139,17 +147,17 @@
         return 0
 
     async def close(self):
-        """Hold nothing."""
+        """Do nothing."""
 
 
-class LookCase(policy_case.PausedCase):
+class DiscoveryCase(policy_case.PausedCase):
     def test_many_ranks(self):
-        """Guards against an owner that asks thousands of ranks all the time."""
-        self.run_paused(self._looks())
+        """Discovery slows down with the number of ranks."""
+        self.run_paused(self._discovers())
 
-    async def _looks(self):
+    async def _discovers(self):
         rows = [ranks.Rank(f't{number}', 'a') for number in range(TARGETS)]
-        asked = Silent()
+        asked = SilentRanks()
         found = owner.Owner(
             asked, lambda service: rows, print, test_large_maps.InlineOffload()
         )
--- a/tests/test_new_owner.py
+++ b/tests/test_new_owner.py
@@ -1,4 +1,4 @@
-"""Prove that a group waits little when its owner is replaced or unanswered."""
+"""Test that a new owner and lost responses stall a group only briefly."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 )
 from tests import policy_case, test_site_maps
 
-# Longest that an owner may take from its first look until the group steps: the
-# lag of reports, the orders, and a look in between.
-STANDSTILL_SECONDS = 1.0
+# Maximum time until the group steps again: the lag of reports, the orders and one
+# more discovery.
+MAX_STALL_SECONDS = 1.0
 RANKS = 12
-LOST_SHARE = 0.5
+LOSS_RATE = 0.5
 
 
 class CountedGroup(test_site_maps.FakeGroup):
-    """Count the orders by what they ask."""
+    """Count the orders by operation and rank."""
 
     def __init__(self, generator):
         super().__init__(generator)
@@ -35,8 +35,8 @@
         return await super().order(rank, asked)
 
 
-class DeafRanks(test_site_maps.FakeGroup):
-    """Lose half of the answers; the orders are carried out all the same."""
+class LossyRanks(test_site_maps.FakeGroup):
+    """Lose a share of the responses; the orders are carried out."""
 
     def __init__(self, generator, share):
         super().__init__(generator)
@@ -50,8 +50,8 @@
         return ranks.Outcome.DONE
 
 
-class LosingRanks(test_site_maps.FakeGroup):
-    """Lose the answer to one rank's first map, which it has taken."""
+class LostPrepareRanks(test_site_maps.FakeGroup):
+    """Lose the response to one rank's first map."""
 
     def __init__(self, generator, *, takes):
         super().__init__(generator)
@@ -75,89 +75,67 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def test_hold_is_found_soon(self):
-        """Every stream of a group pauses for more than a second.
-
-        The owner holds the group and is killed.  The next owner's first look
-        gets reports from before the hold, and its second would come a second
-        later.  It has to look again as soon as reports can tell.
-        """
+        """A new owner finds a held group although the first reports are older."""
         self.run_paused(self._found_soon())
 
     def test_hold_is_ended_once(self):
-        """A group that was let go is held again for half a second.
-
-        The new owner lets it go, and its next look gets reports from before
-        that.  They must not make it bring the switch to its end once more.
-        """
+        """Late reports of a hold do not make the owner hold the group again."""
         self.run_paused(self._ended_once())
 
     def test_prepare_waits_for_the_step(self):
-        """A map that follows another at once is refused by every rank.
-
-        They are armed until the step of the last switch begins.  One rank is
-        asked until it is free, and the rest are asked once.
-        """
+        """Only one rank is polled while the ranks are armed for another switch."""
         self.run_paused(self._prepared())
 
     def test_lost_answers(self):
-        """A group is held for half a second while half of the answers are lost.
-
-        Each order without an answer was sent anew after 0.15 s, and with twelve
-        ranks some get their fourth copy.  Sent anew sooner, they take less than
-        half of that.
-        """
+        """Lost responses are retried soon enough to keep a hold short."""
         self.run_paused(self._lost())
 
     def test_lost_answer_to_a_map(self):
-        """A group keeps an uneven map for seconds over a link that loses packets.
-
-        The answer of one rank to a map is lost, and it refuses the second copy,
-        since it has had that version.  Its report tells that it has the map.
-        """
+        """A rank whose response was lost counts as prepared by its report."""
         self.run_paused(self._lost_map(takes=True))
 
     def test_lost_map(self):
-        """A rank that refuses a map and has not got it is not taken for ready."""
+        """A rank that refuses a map it does not have is not prepared."""
         self.run_paused(self._lost_map(takes=False))
 
     async def _lost_map(self, *, takes):
-        group = LosingRanks(random.Random(1), takes=takes)
-        stepping = asyncio.create_task(group.run())
+        group = LostPrepareRanks(random.Random(1), takes=takes)
+        step_task = asyncio.create_task(group.run())
         await asyncio.sleep(1)
         placement = (tuple(map(group._experts, range(test_site_maps.RANKS))),)
         switcher = switching.Switcher(group, 1)
         held = test_site_maps.held_by(group)
         self.assertEqual(takes, await switcher.prepare(held, 2, placement))
-        stepping.cancel()
+        step_task.cancel()
 
     async def _found_soon(self):
         group = CountedGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         await asyncio.sleep(1)
         group.rows[0].held = group.step + 1
         before = group.step
-        working = self._begin(group)
-        await asyncio.sleep(STANDSTILL_SECONDS)
+        owner_task = self._begin(group)
+        await asyncio.sleep(MAX_STALL_SECONDS)
         self.assertGreater(group.step, before)
-        await self._end(group, stepping, working)
+        await self._end(group, step_task, owner_task)
 
     async def _ended_once(self):
         group = CountedGroup(random.Random(1))
-        # Reports tell of twice as long ago as usual.
+        # Doubles the lag of the reports.
         group.seen = [*group.seen, *group.seen]
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         await asyncio.sleep(1)
         group.rows[0].held = group.step + 1
         await asyncio.sleep(0.6)
-        working = self._begin(group)
+        owner_task = self._begin(group)
         await asyncio.sleep(1.2)
         last = f'a{test_site_maps.RANKS - 1}'
         self.assertEqual(1, group.orders[ranks.HOLD, last])
-        await self._end(group, stepping, working)
+        await self._end(group, step_task, owner_task)
 
     async def _prepared(self):
         group = CountedGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         await asyncio.sleep(1)
         for row in group.rows:
             row.armed = ranks.Armed(1, group.step + 4)
@@ -168,13 +146,13 @@
         self.assertTrue(await switcher.prepare(held, 2, placement))
         for number in range(1, test_site_maps.RANKS):
             self.assertEqual(1, group.orders[ranks.PREPARE, f'a{number}'])
-        stepping.cancel()
+        step_task.cancel()
 
     async def _lost(self):
         loop = asyncio.get_running_loop()
-        took = []
+        durations = []
         for seed in range(30):
-            group = DeafRanks(random.Random(seed), LOST_SHARE)
+            group = LossyRanks(random.Random(seed), LOSS_RATE)
             members = tuple(
                 ranks.Rank(f't{number}', f'a{number}')
                 for number in range(RANKS)
@@ -186,33 +164,32 @@
             switcher = switching.Switcher(group, 1)
             armed = ranks.Armed(1, 9)
             self.assertTrue(await switcher.finish(held, armed, members[:1]))
-            took.append(loop.time() - began)
-        # With the usual patience it takes 0.82 s in the mean.
-        self.assertLess(statistics.mean(took), 0.45)
+            durations.append(loop.time() - began)
+        # With the usual timeout the mean is 0.82 s.
+        self.assertLess(statistics.mean(durations), 0.45)
 
     def _begin(self, group):
-        working = owner_loop.OwnerLoop(
+        owner_task = owner_loop.OwnerLoop(
             test_site_maps.Leading(),
             test_site_maps.NoNews(),
             test_site_maps.OneService(),
             test_site_maps.owner_of(group),
             outlives_lease=True,
         )
-        return asyncio.create_task(working.run())
+        return asyncio.create_task(owner_task.run())
 
-    async def _end(self, group, stepping, working):
-        stepping.cancel()
-        working.cancel()
+    async def _end(self, group, step_task, owner_task):
+        step_task.cancel()
+        owner_task.cancel()
         await group.close()
         self.assertEqual([], group.mixed)
 
 
 class ShiftCase(policy_case.PausedCase):
     def test_first_reading_is_not_kept(self):
-        """A shift is answered by three maps, each a little less uneven.
+        """The first reading after a shift is dropped once there is a second.
 
-        The first reading after a shift holds choices from before it as well.
-        Mixed into the later ones, it made the second map uneven too.
+        It includes choices from before the shift.
         """
         held = demand.Demand()
         total = [0, 0, 0, 0]
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -1,4 +1,4 @@
-"""Prove that control on a host without a disk neither ends nor costs much."""
+"""Test that control without a data folder idles at little cost."""
 
 import pathlib
 import signal
@@ -6,31 +6,29 @@
 import sys
 import unittest
 
-# Resident megabytes of a bare interpreter are 9; a role holds more than 40.
-MOST_MEGABYTES = 16
+# A bare interpreter has 9 MB resident, a control role more than 40.
+MAX_MEGABYTES = 16
 
 
-class RestingCase(unittest.TestCase):
+class IdleControlCase(unittest.TestCase):
     def test_without_folder(self):
-        """Each control process of a host without a disk ends at once.
+        """Without a data folder control idles with little memory until stopped.
 
-        Its settings name no data folder, so they are refused, and the platform
-        starts it again and again, a hundred times a day.  It has to rest
-        instead, with little memory, and to end when it is asked to.
+        If it exited, its supervisor would restart it again and again.
         """
         for words in (('control',), ('control', '')):
             with self.subTest(words=words):
-                self._rest(words)
+                self._check_idle(words)
 
     def test_unknown_role(self):
-        """A role that does not exist is told, not rested for."""
+        """An unknown role is an error."""
         done = subprocess.run(  # noqa: S603  this very interpreter
             _command('contrl'), capture_output=True, text=True
         )
         self.assertEqual(2, done.returncode)
         self.assertIn('say one role', done.stderr)
 
-    def _rest(self, words):
+    def _check_idle(self, words):
         running = subprocess.Popen(  # noqa: S603  this very interpreter
             _command(*words), stdout=subprocess.PIPE, text=True
         )
@@ -41,7 +39,7 @@
             megabytes = int(pages.split()[1]) * 4 // 1024
             running.terminate()
             self.assertEqual(0, running.wait())
-        self.assertLessEqual(megabytes, MOST_MEGABYTES)
+        self.assertLessEqual(megabytes, MAX_MEGABYTES)
 
 
 def _command(*words):
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -1,4 +1,4 @@
-"""Prove what control hosts of a site keep, and how they come and go."""
+"""Test what control hosts of a site store, and how they join and leave."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 State = announcements.State
 
 
-def said(state=State.READY, sequence=1, target='t1', **fields):
+def announcement(state=State.READY, sequence=1, target='t1', **fields):
     """Build an announcement."""
     return announcements.Announcement(
         target=target,
@@ -44,11 +44,7 @@
 
 class SiteMachineCase(unittest.TestCase):
     def test_highest_version_wins(self):
-        """An operator reads back the highest version, in whatever order.
-
-        Two operators race and the older change is committed last; it must
-        be acknowledged and change nothing, also after a snapshot.
-        """
+        """The highest version wins whatever the order of commits."""
         site = machine.SiteMachine()
         newer = document.pack(7, b'seven')
         self.assertEqual(machine.APPLIED, site.apply(1, newer.encode()))
@@ -60,7 +56,7 @@
         self.assertEqual(7, restored.held.version)
 
     def test_other_content_under_a_held_version(self):
-        """Other content sent under the version in force never shows."""
+        """Different content under the version in force is ignored."""
         site = machine.SiteMachine()
         site.apply(1, document.pack(7, b'first').encode())
         site.apply(2, document.pack(7, b'second').encode())
@@ -69,101 +65,95 @@
 
 class FollowsCase(unittest.TestCase):
     def test_farewell_is_final(self):
-        """A late announcement brings no leaving target back.
-
-        The announcement was held up on its way and arrives, with whatever
-        sequence, after the target has said that it leaves.
-        """
-        leaving = said(State.LEAVING, sequence=5)
-        self.assertFalse(said(sequence=9).follows(leaving))
-        self.assertTrue(said(State.GONE, sequence=0).follows(leaving))
-        gone = said(State.GONE, sequence=0)
-        self.assertFalse(said(State.LEAVING, sequence=9).follows(gone))
+        """A late announcement does not revive a target that is leaving."""
+        leaving = announcement(State.LEAVING, sequence=5)
+        self.assertFalse(announcement(sequence=9).follows(leaving))
+        self.assertTrue(announcement(State.GONE, sequence=0).follows(leaving))
+        gone = announcement(State.GONE, sequence=0)
+        self.assertFalse(announcement(State.LEAVING, sequence=9).follows(gone))
 
     def test_overtaken(self):
-        """Of two hosts' words the one with the higher sequence counts."""
-        self.assertFalse(said(sequence=4).follows(said(sequence=5)))
-        self.assertTrue(said(sequence=6).follows(said(State.SILENT, 5)))
+        """Of two hosts' announcements the higher sequence wins."""
+        self.assertFalse(
+            announcement(sequence=4).follows(announcement(sequence=5))
+        )
+        self.assertTrue(
+            announcement(sequence=6).follows(announcement(State.SILENT, 5))
+        )
 
 
-class BookCase(policy_case.PausedCase):
+class TargetRegistryCase(policy_case.PausedCase):
     def test_silent_and_back(self):
-        """A target that stops announcing itself is told silent, then ready."""
+        """A target turns silent after missed announcements, then ready again."""
         self.run_paused(self._silent())
 
     def test_refreshed(self):
-        """Word of a target is told again although nothing has changed.
+        """Unchanged targets are published again periodically.
 
-        A target moves from one host to another and back; the other then says
-        that it is silent, with a newer sequence than was told here.
+        Another host may have published a newer, silent state meanwhile.
         """
         self.run_paused(self._refreshed())
 
     def test_follower_is_woken(self):
-        """A follower that waits learns of a farewell at once."""
+        """A waiting follower learns at once that a target is gone."""
         self.run_paused(self._woken())
 
     async def _silent(self):
-        held = target_registry.TargetRegistry(1)
-        held.record(said(sequence=1))
+        registry = target_registry.TargetRegistry(1)
+        registry.record(announcement(sequence=1))
         await asyncio.sleep(3)
-        held.sweep()
-        self.assertEqual(State.READY, held.changed_since(0)[0].state)
+        registry.sweep()
+        self.assertEqual(State.READY, registry.changed_since(0)[0].state)
         await asyncio.sleep(1)
-        held.sweep()
-        self.assertEqual(State.SILENT, held.changed_since(0)[0].state)
-        held.record(said(sequence=2))
-        self.assertEqual(State.READY, held.changed_since(0)[0].state)
+        registry.sweep()
+        self.assertEqual(State.SILENT, registry.changed_since(0)[0].state)
+        registry.record(announcement(sequence=2))
+        self.assertEqual(State.READY, registry.changed_since(0)[0].state)
 
     async def _refreshed(self):
-        held = target_registry.TargetRegistry(1)
+        registry = target_registry.TargetRegistry(1)
         for sequence in range(6):
-            held.record(said(sequence=sequence))
+            registry.record(announcement(sequence=sequence))
             await asyncio.sleep(1)
-        self.assertGreaterEqual(held.serial, 2)
+        self.assertGreaterEqual(registry.serial, 2)
 
     async def _woken(self):
-        held = target_registry.TargetRegistry(1)
-        held.record(said())
-        followers = feed.Feed(machine.SiteMachine(), held, list, 11)
+        registry = target_registry.TargetRegistry(1)
+        registry.record(announcement())
+        followers = feed.Feed(machine.SiteMachine(), registry, list, 11)
         asked = messages.SiteFeedRequest(
-            version=0, epoch=11, serial=held.serial, wait_ms=60_000
+            version=0, epoch=11, serial=registry.serial, wait_ms=60_000
         )
         waiting = asyncio.create_task(followers.answer(_Peer(), asked))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
-        held.mark_gone('t1')
+        registry.mark_gone('t1')
         reply = await waiting
         self.assertEqual(State.GONE, reply.targets[0].state)
 
 
 class GroupCase(consensus_net.PausedCase):
     def test_joining_takes_a_silent_place(self):
-        """A host that joins replaces a voter that was taken away for good.
+        """A joining host replaces a lost voter.
 
-        Only added, it would make four voters of which one is always lost;
-        the loss of one more would leave no quorum.
+        As a fourth voter beside a lost one it would not raise availability.
         """
         self.run_paused(self._joining())
 
     def test_silent_voter_is_let_go(self):
-        """A fourth voter that was taken away does not count for ever."""
+        """A fourth voter that was lost is removed."""
         self.run_paused(self._let_go())
 
     def test_read_after_suspension(self):
-        """A leader that slept does not serve an older configuration.
-
-        Its clock stood still, so its lease looks whole, while another was
-        elected and accepted a change.  A read must ask a quorum.
-        """
+        """A suspended leader with a seemingly valid lease serves no reads."""
         self.run_paused(self._suspended())
 
     def test_change_is_taken_through_any_host(self):
-        """A follower passes a change on and acknowledges it; resent too."""
+        """A follower forwards a change and acknowledges it, also on a retry."""
         self.run_paused(self._any_host())
 
     def test_invalid_is_refused_first(self):
-        """An invalid change is refused even under an overtaken version."""
+        """An invalid change is rejected even if its version is outdated."""
         self.run_paused(self._invalid())
 
     async def _joining(self):
@@ -198,7 +188,7 @@
         await net.start(*consensus_net.NODES)
         old = await net.leader()
         net.isolate(old)
-        # The lease by its own clock is whole at this moment.
+        # By its own clock the lease is still valid.
         self.assertTrue(net.processes[old].has_lease())
         with self.assertRaises((failures.NotLeader, failures.NoQuorum)):
             await net.processes[old].read_barrier(0.5)
@@ -209,14 +199,14 @@
         leader = await net.leader()
         follower = next(node for node in consensus_net.NODES if node != leader)
         site = net.machines[follower]
-        taken = api.SiteApi(
+        site_api = api.SiteApi(
             net.processes[follower], site, reading.PlatformReader()
         )
-        self.assertEqual(3, await taken.replace(body(3)))
+        self.assertEqual(3, await site_api.replace(body(3)))
         self.assertEqual(3, net.machines[leader].held.version)
         await net.until(lambda: site.held.version == 3)
         net.kill(leader)
-        self.assertEqual(3, await taken.replace(body(3)))
+        self.assertEqual(3, await site_api.replace(body(3)))
 
     async def _invalid(self):
         net = consensus_net.Net()
@@ -224,11 +214,11 @@
         leader = await net.leader()
         site = machine.SiteMachine()
         site.apply(1, document.pack(9, body(9)).encode())
-        taken = api.SiteApi(
+        site_api = api.SiteApi(
             net.processes[leader], site, reading.PlatformReader()
         )
         with self.assertRaises(findings.InvalidError):
-            await taken.replace(body(3, prefix='no-slash'))
+            await site_api.replace(body(3, prefix='no-slash'))
 
 
 class _Identity:
--- a/tests/test_step_times.py
+++ b/tests/test_step_times.py
@@ -1,4 +1,4 @@
-"""Prove that the owner of a group's maps knows how long its steps take."""
+"""Test the owner's estimate of a group's step time."""
 
 import unittest
 
@@ -30,36 +30,33 @@
 
 class StepCase(unittest.TestCase):
     def setUp(self):
-        self.known = group_state.GroupState(SHAPE, gap=0.15, min_step=EMPTY)
-        self.known.update_from(report(0, 100), 1.0)
-        self.known.update_from(report(0, 105), 1.0 + 5 * STEP)
+        self.state = group_state.GroupState(SHAPE, gap=0.15, min_step=EMPTY)
+        self.state.update_from(report(0, 100), 1.0)
+        self.state.update_from(report(0, 105), 1.0 + 5 * STEP)
 
     def test_usual(self):
-        """Two reports of one rank, far enough apart, tell the step."""
-        self.assertAlmostEqual(STEP, self.known.step_seconds)
+        """Two reports of one rank, far enough apart, give the step time."""
+        self.assertAlmostEqual(STEP, self.state.step_seconds)
 
     def test_fresher_report_of_another_rank(self):
-        """A group keeps the map of a demand that is over for six seconds.
+        """A newer report of another rank does not shorten the step time.
 
-        The first rank's report is four steps old and another one's is new, both
-        asked for within a hundredth of a second.  A step seems to take 3 ms, and
-        the next switch is armed for a step that comes ten seconds late; until
-        then the ranks refuse every other map.
+        The next switch would be scheduled far too late.
         """
-        self.known.update(group(105, 109), 1.312)
-        self.assertAlmostEqual(STEP, self.known.step_seconds)
+        self.state.update(group(105, 109), 1.312)
+        self.assertAlmostEqual(STEP, self.state.step_seconds)
 
     def test_report_made_anew(self):
-        """The rank's report is made anew between two questions, four steps on."""
-        self.known.update_from(report(0, 109), 1.312)
-        self.assertAlmostEqual(STEP, self.known.step_seconds)
+        """Two reports close in time do not shorten the step time."""
+        self.state.update_from(report(0, 109), 1.312)
+        self.assertAlmostEqual(STEP, self.state.step_seconds)
 
     def test_least(self):
-        """No step is shorter than one of a group without calls."""
-        self.known.update_from(report(0, 205), 2.0)
-        self.assertAlmostEqual(EMPTY, self.known.step_seconds)
+        """The step time is at least that of a group without calls."""
+        self.state.update_from(report(0, 205), 2.0)
+        self.assertAlmostEqual(EMPTY, self.state.step_seconds)
 
     def test_longer_steps(self):
-        """Demand has shifted: the next two reports tell of longer steps."""
-        self.known.update_from(report(0, 109), 1.3 + 4 * 0.15)
-        self.assertAlmostEqual(0.15, self.known.step_seconds)
+        """Longer steps show in the next two reports."""
+        self.state.update_from(report(0, 109), 1.3 + 4 * 0.15)
+        self.assertAlmostEqual(0.15, self.state.step_seconds)
