--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -52,7 +52,7 @@
     )
 
 
-class GroupRecorder(test_site_maps.NoNews):
+class GroupRecorder(test_site_maps.EmptyRegistry):
     """Record the groups reported by an owner."""
 
     def record_groups(self, term, rows):
@@ -80,7 +80,7 @@
         before = [group.rows[0].version for group in others]
         broken.lost = 1
         for group in asked.groups:
-            group.favour(5)
+            group.set_favourite(5)
         await asyncio.sleep(2)
         for group, version in zip(others, before, strict=True):
             self.assertGreater(group.rows[0].version, version)
@@ -106,9 +106,9 @@
 
     def _owner_loop(self, asked):
         return owner_loop.OwnerLoop(
-            test_site_maps.Leading(),
+            test_site_maps.FormerLeader(),
             GroupRecorder(),
-            test_site_maps.OneService(),
+            test_site_maps.OneServiceDirectory(),
             test_site_maps.owner_of(asked),
             outlives_lease=True,
         )
@@ -302,9 +302,9 @@
     async def _paused(self):
         maps = SlowOwner()
         working = owner_loop.OwnerLoop(
-            test_site_maps.Leading(),
+            test_site_maps.FormerLeader(),
             GroupRecorder(),
-            test_site_maps.OneService(),
+            test_site_maps.OneServiceDirectory(),
             maps,
             outlives_lease=True,
         )
--- a/tests/test_new_owner.py
+++ b/tests/test_new_owner.py
@@ -104,7 +104,7 @@
         await asyncio.sleep(1)
         placement = (tuple(map(group._experts, range(test_site_maps.RANKS))),)
         switcher = switching.Switcher(group, 1)
-        held = test_site_maps.held_by(group)
+        held = test_site_maps.view_of(group)
         self.assertEqual(takes, await switcher.prepare(held, 2, placement))
         step_task.cancel()
 
@@ -142,7 +142,7 @@
             row.highest = 1
         placement = (tuple(map(group._experts, range(test_site_maps.RANKS))),)
         switcher = switching.Switcher(group, 1)
-        held = test_site_maps.held_by(group)
+        held = test_site_maps.view_of(group)
         self.assertTrue(await switcher.prepare(held, 2, placement))
         for number in range(1, test_site_maps.RANKS):
             self.assertEqual(1, group.orders[ranks.PREPARE, f'a{number}'])
@@ -170,9 +170,9 @@
 
     def _begin(self, group):
         owner_task = owner_loop.OwnerLoop(
-            test_site_maps.Leading(),
-            test_site_maps.NoNews(),
-            test_site_maps.OneService(),
+            test_site_maps.FormerLeader(),
+            test_site_maps.EmptyRegistry(),
+            test_site_maps.OneServiceDirectory(),
             test_site_maps.owner_of(group),
             outlives_lease=True,
         )
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -1,8 +1,8 @@
-"""Prove that all ranks of a group use one map in every step, whatever is lost.
+"""Test that all ranks of a group use one map in every step, whatever fails.
 
-The ranks here are a model of what engines promise: an order may get no answer
-and be carried out later, a hold lasts until it is let go, a restart of a rank
-ends the epoch.  Each history checks every step of the group.
+The ranks are a model of an engine's promises: an order without a response may
+be carried out later, a hold lasts until released, and the restart of a rank
+ends the epoch.  Each step of the group is checked.
 """
 
 import asyncio
@@ -28,18 +28,18 @@
 RANKS = 4
 STEP_SECONDS = 0.05
 LAG_SECONDS = 0.2
-# The limit of an order without an answer, and the way of its second copy.
-LOST_SECONDS = 0.17
-# Histories that have failed: a late copy of an owner's own arm is in 21, one
-# version given out twice, and holds at two steps.
-FAILED_SEEDS = (1659, 9799)
+# Timeout of an order without a response, and the way of its second copy.
+RESEND_SECONDS = 0.17
+# Seeds that found faults: a late second arm order, a version issued twice, and holds
+# at two steps.
+REGRESSION_SEEDS = (1659, 9799)
 SHAPE = configuration.Experts(
     sets=1, experts=8, places=4, spare=2, copy_seconds=0.1
 )
 
 
 def owner_of(group):
-    """Build an owner whose plans take a stated time."""
+    """Build an owner whose planning takes a fixed time."""
     return owner.Owner(
         group,
         group.members,
@@ -60,7 +60,7 @@
 
 
 class FakeGroup(ranks.Ranks):
-    """Be the ranks of one group and what reaches them."""
+    """Ranks of one group, over a link that may lose or delay orders."""
 
     def __init__(self, generator):
         self.random = generator
@@ -72,7 +72,7 @@
         self.copying = 0.0
         self.answering = 0.002
         self.silent = ''
-        self.losing = ''
+        self.slow_address = ''
         self.held_steps = 0
         self.seen = []
         self._tasks = set()
@@ -113,8 +113,8 @@
     def stall_seconds(self, numbers):
         return 0
 
-    def favour(self, expert):
-        """Have another expert be chosen ten times as often as the rest."""
+    def set_favourite(self, expert):
+        """Let an expert be chosen ten times as often as the others."""
         self._favoured = expert
 
     async def placement(self, rank):
@@ -131,15 +131,15 @@
             self._tasks.add(task)
             return ranks.Outcome.UNKNOWN
         await asyncio.sleep(self.answering)
-        if rank.address == self.losing:
-            await asyncio.sleep(LOST_SECONDS)
+        if rank.address == self.slow_address:
+            await asyncio.sleep(RESEND_SECONDS)
         if asked.fence < self.rows[row].fence:
             return ranks.Outcome.OUTDATED
         found = self._carry_out(self.rows[row], asked)
         return ranks.Outcome.DONE if found else ranks.Outcome.REFUSED
 
     def record_pace(self, target, pace):
-        """Take how fast a target is, which no test here looks at."""
+        """Ignore the pace."""
 
     async def close(self):
         for task in self._tasks:
@@ -245,8 +245,8 @@
         ]
 
 
-def held_by(group):
-    """Build the view that an owner has of the group."""
+def view_of(group):
+    """Build an owner's view of the group."""
     return switching.Group(
         name='g',
         epoch=group.epoch,
@@ -255,17 +255,17 @@
     )
 
 
-async def look_and_read(owning, term):
-    """Look once and read counts three times, as an owner does for ever."""
+async def discover_and_reconcile(map_owner, term):
+    """Discover groups once and reconcile them three times."""
     service = configuration.Service(name='s', experts=SHAPE)
-    await owning.discover_and_release([service], term)
+    await map_owner.discover_and_release([service], term)
     for _ in range(3):
         await asyncio.sleep(0.1)
-        await owning.reconcile_all(term)
+        await map_owner.reconcile_all(term)
 
 
-class Leading:
-    """Be a member of the log that led in term 1."""
+class FormerLeader:
+    """Member of the log that led in term 1 and then lost its lease."""
 
     term = 1
 
@@ -273,17 +273,17 @@
         self._asked = 0
 
     def has_lease(self):
-        """Lead at the first question only."""
+        """Return ``True`` at the first call only."""
         self._asked += 1
         return self._asked == 1
 
 
-class NoNews:
+class EmptyRegistry:
     def changed_since(self, serial):
         return []
 
 
-class OneService:
+class OneServiceDirectory:
     def services(self):
         return [configuration.Service(name='s', experts=SHAPE)]
 
@@ -294,87 +294,51 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def test_owners_die_and_freeze(self):
-        """Owners are killed and frozen between any two orders, orders are late.
+        """No step has mixed maps when owners are killed, frozen or restarted.
 
-        A new owner takes over with a higher fence, the old one may wake and
-        go on; ranks restart.  No step may begin with two maps, and a group
-        that was held must go on once an owner has looked at it in peace.
+        Orders may be late, ranks may restart, and the group must not stay held.
         """
-        for seed in (*range(60), *FAILED_SEEDS):
+        for seed in (*range(60), *REGRESSION_SEEDS):
             with self.subTest(seed=seed):
                 self.run_paused(self._history(seed))
 
-    def test_arm_that_is_on_its_way(self):
-        """An owner dies with an arm on its way, which comes late.
-
-        The next owner finds the group held and nobody armed.  Let go at once,
-        the late arm would switch one rank alone.  Fenced, it is refused.
-        """
-        self.run_paused(self._on_its_way())
+    def test_late_arm(self):
+        """A late arm order of a dead owner is refused by its successor's fence."""
+        self.run_paused(self._late_arm())
 
     def test_copies_take_long(self):
-        """Ranks copy for longer than was worked out.
-
-        They refuse to be armed until they have the experts, while the group
-        is held and every caller waits.  The owner asks again at once, and the
-        group goes on with the new map in force on all ranks.
-        """
+        """The owner retries to arm ranks whose copies take longer than planned."""
         self.run_paused(self._long_copies(0.2))
 
     def test_copies_never_end(self):
-        """Ranks can't be armed at all, and the group must not stay held.
-
-        The owner gives up after a quarter of a second, and takes the switch
-        back at its next look; the group goes on with the map that it had.
-        """
+        """A switch is rolled back if the copies never end."""
         self.run_paused(self._long_copies(100))
 
     def test_lossy_links(self):
-        """The reports of one rank get lost, so that no look is whole.
-
-        The ranks are the same all the same, and their demand is followed.
-        Were each look to need all reports, nothing would be evened for as
-        long as links lose packets.
-        """
-        self.run_paused(self._lossy())
+        """A silent rank does not keep a known group from being balanced."""
+        self.run_paused(self._silent_rank())
 
     def test_holds_at_two_steps(self):
-        """Two owners have left ranks of one group held at different steps.
-
-        A rank is held at one step at a time and refuses to be held at the
-        other.  The next owner has all of them held at the first step, brings
-        the switch there to its end, and the group goes on.
-        """
+        """Ranks that are held at different steps are released."""
         self.run_paused(self._two_holds())
 
-    def test_lost_orders_hold_nobody(self):
-        """Orders to one rank get lost and are sent again after their limit.
-
-        Its arm comes late too.  A step that was chosen for quick answers
-        would be waited for by all callers of the group until then; it is
-        chosen for what preparing has taken, so that no step waits.
-        """
+    def test_lost_orders(self):
+        """A step is scheduled late enough to hold no calls when orders are lost."""
         self.run_paused(self._lost_orders())
 
     def test_late_report_of_a_hold(self):
-        """A look right after a switch sees the group held, as it was before.
-
-        Reports lag.  Held once more, to bring to its end a switch that has
-        ended, the group would keep all its callers waiting for half a second.
-        """
+        """A late report of a hold does not hold the group again."""
         self.run_paused(self._late_report())
 
     def test_without_leader(self):
-        """Nobody leads for some seconds, then another does.
+        """Without a leader the last owner goes on only if engines check fences.
 
-        Where engines check fences the last leader goes on evening the ranks,
-        until one refuses its orders for the next leader's; it gives none from
-        then on.  Where engines don't, it stops with its lease.
+        It stops as soon as a rank has seen a later owner's fence.
         """
-        self.run_paused(self._leaderless())
+        self.run_paused(self._without_leader())
 
     def test_without_holding(self):
-        """The check sees ranks switch alone when the hold is left out."""
+        """The check detects mixed maps if the hold is left out."""
         self.run_paused(self._without_hold())
 
     async def _history(self, seed):
@@ -383,9 +347,9 @@
         group.lost = generator.choice((0, 0.1, 0.3))
         group.late = generator.choice((0, 0.1, 0.3))
         group.copying = generator.choice((0, 0.1, 1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         for fence in range(1, 6):
-            await self._reign(group, generator, fence)
+            await self._run_owner(group, generator, fence)
             if generator.random() < 0.2:
                 group.restart()
         group.lost = 0
@@ -393,25 +357,25 @@
         calm = owner_of(group)
         before = group.step
         for _ in range(6):
-            await asyncio.wait_for(look_and_read(calm, 9), 60)
+            await asyncio.wait_for(discover_and_reconcile(calm, 9), 60)
             await asyncio.sleep(1)
         await asyncio.sleep(7)
         await calm.discover_and_release(
             [configuration.Service(name='s', experts=SHAPE)], 9
         )
         await asyncio.sleep(1)
-        stepping.cancel()
+        step_task.cancel()
         await group.close()
         self.assertEqual([], group.mixed)
         self.assertGreater(group.step, before + 20)
 
-    async def _reign(self, group, generator, fence):
-        """Own the group for a while, then die or freeze at any moment."""
-        owning = owner_of(group)
+    async def _run_owner(self, group, generator, fence):
+        """Own the group for a while, then die or overlap with the next owner."""
+        map_owner = owner_of(group)
 
         async def work():
             while True:
-                await look_and_read(owning, fence)
+                await discover_and_reconcile(map_owner, fence)
                 await asyncio.sleep(0.3)
 
         working = asyncio.create_task(work())
@@ -419,21 +383,21 @@
         if generator.random() < 0.5:
             working.cancel()
             return
-        # The old owner goes on beside the next one for a while.
+        # The old owner runs beside the next one for a while.
         asyncio.get_running_loop().call_later(
             generator.uniform(0, 5), working.cancel
         )
 
-    async def _on_its_way(self):
+    async def _late_arm(self):
         group = FakeGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         old = switching.Switcher(group, 1)
         placement = (tuple(map(group._experts, range(RANKS))),)
-        await old.prepare(held_by(group), 1, placement)
+        await old.prepare(view_of(group), 1, placement)
         step = group.step + 20
-        hold = old._order(ranks.HOLD, held_by(group), step=step)
+        hold = old._order(ranks.HOLD, view_of(group), step=step)
         await group.order(group.members('s')[0], hold)
-        arm = old._order(ranks.ARM, held_by(group), version=1, step=step)
+        arm = old._order(ranks.ARM, view_of(group), version=1, step=step)
 
         async def late():
             await asyncio.sleep(2)
@@ -446,43 +410,43 @@
         )
         await arriving
         await asyncio.sleep(1)
-        stepping.cancel()
+        step_task.cancel()
         self.assertEqual([], group.mixed)
         self.assertGreater(group.step, step)
 
     async def _long_copies(self, copying):
         group = FakeGroup(random.Random(1))
         group.copying = copying
-        stepping = asyncio.create_task(group.run())
-        owning = owner_of(group)
+        step_task = asyncio.create_task(group.run())
+        map_owner = owner_of(group)
         for _ in range(4):
-            await look_and_read(owning, 1)
-        stepping.cancel()
+            await discover_and_reconcile(map_owner, 1)
+        step_task.cancel()
         self.assertEqual([], group.mixed)
         self.assertGreater(group.step, 15)
         versions = {row.version for row in group.rows}
         self.assertEqual(1, len(versions))
         self.assertEqual(copying < 1, versions != {0})
 
-    async def _lossy(self):
+    async def _silent_rank(self):
         group = FakeGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
-        owning = owner_of(group)
+        step_task = asyncio.create_task(group.run())
+        map_owner = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
-        await owning.discover_and_release([service], 1)
+        await map_owner.discover_and_release([service], 1)
         group.silent = 'a3'
         for _ in range(3):
-            await look_and_read(owning, 1)
-        stepping.cancel()
+            await discover_and_reconcile(map_owner, 1)
+        step_task.cancel()
         self.assertLess(0, group.rows[0].version)
         self.assertEqual([], group.mixed)
 
     async def _two_holds(self):
         group = FakeGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         old = switching.Switcher(group, 1)
         placement = (tuple(map(group._experts, range(RANKS))),)
-        await old.prepare(held_by(group), 1, placement)
+        await old.prepare(view_of(group), 1, placement)
         for row in group.rows:
             row.held = group.step + 3
             row.armed = ranks.Armed(1, group.step + 3)
@@ -493,54 +457,54 @@
             [configuration.Service(name='s', experts=SHAPE)], 2
         )
         await asyncio.sleep(2)
-        stepping.cancel()
+        step_task.cancel()
         self.assertEqual([], group.mixed)
         self.assertGreater(group.step, before + 20)
 
     async def _lost_orders(self):
         group = FakeGroup(random.Random(1))
-        group.losing = 'a2'
-        stepping = asyncio.create_task(group.run())
-        owning = owner_of(group)
+        group.slow_address = 'a2'
+        step_task = asyncio.create_task(group.run())
+        map_owner = owner_of(group)
         for _ in range(3):
-            await look_and_read(owning, 1)
+            await discover_and_reconcile(map_owner, 1)
         before = group.rows[0].version
         group.held_steps = 0
-        group.favour(3)
+        group.set_favourite(3)
         for _ in range(3):
-            await look_and_read(owning, 1)
-        stepping.cancel()
+            await discover_and_reconcile(map_owner, 1)
+        step_task.cancel()
         self.assertLess(before, group.rows[0].version)
         self.assertEqual(0, group.held_steps)
 
     async def _late_report(self):
         group = FakeGroup(random.Random(1))
         group.answering = 0.05
-        stepping = asyncio.create_task(group.run())
-        owning = owner_of(group)
+        step_task = asyncio.create_task(group.run())
+        map_owner = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
-        await owning.discover_and_release([service], 1)
-        while owning._states['g'].version <= 0:
-            await owning.reconcile_all(1)
+        await map_owner.discover_and_release([service], 1)
+        while map_owner._states['g'].version <= 0:
+            await map_owner.reconcile_all(1)
         while group.seen[0][0].held is None:
             await asyncio.sleep(0.01)
         self.assertIsNone(group.rows[0].held)
         before = group.step
-        await owning.discover_and_release([service], 1)
+        await map_owner.discover_and_release([service], 1)
         await asyncio.sleep(0.4)
-        stepping.cancel()
-        self.assertFalse(owning.has_released)
+        step_task.cancel()
+        self.assertFalse(map_owner.has_released)
         self.assertGreater(group.step, before + 6)
 
-    async def _leaderless(self):
+    async def _without_leader(self):
         for outlives_lease in (True, False):
             group = FakeGroup(random.Random(1))
             maps = owner_of(group)
-            leading = Leading()
+            leading = FormerLeader()
             working = owner_loop.OwnerLoop(
                 leading,
-                NoNews(),
-                OneService(),
+                EmptyRegistry(),
+                OneServiceDirectory(),
                 maps,
                 outlives_lease=outlives_lease,
             )
@@ -553,7 +517,7 @@
             self.assertEqual(outlives_lease, switched > 0)
             for row in group.rows:
                 row.fence = 5_000_000
-            group.favour(7)
+            group.set_favourite(7)
             await asyncio.sleep(3)
             self.assertEqual(switched, group.rows[0].version)
             self.assertEqual(outlives_lease, maps.is_outdated)
@@ -563,26 +527,22 @@
 
     async def _without_hold(self):
         group = FakeGroup(random.Random(1))
-        stepping = asyncio.create_task(group.run())
+        step_task = asyncio.create_task(group.run())
         switcher = switching.Switcher(group, 1)
         placement = (tuple(map(group._experts, range(RANKS))),)
-        await switcher.prepare(held_by(group), 1, placement)
+        await switcher.prepare(view_of(group), 1, placement)
         arm = switcher._order(
-            ranks.ARM, held_by(group), version=1, step=group.step + 3
+            ranks.ARM, view_of(group), version=1, step=group.step + 3
         )
         await group.order(group.members('s')[1], arm)
         await asyncio.sleep(1)
-        stepping.cancel()
+        step_task.cancel()
         self.assertTrue(group.mixed)
 
 
-class WatchedCase(unittest.TestCase):
-    def test_failures_do_not_add_up(self):
-        """Switches that were taken back give copies a little more time.
-
-        Doubled each time without an end, some days of lost orders would have
-        the owner wait for minutes, and look at no group meanwhile.
-        """
+class GroupStateCase(unittest.TestCase):
+    def test_copy_time_is_bounded(self):
+        """The copy time allowed after failed switches is bounded."""
         known = group_state.GroupState(SHAPE)
         for _ in range(20):
             known.back_off(0)
@@ -590,11 +550,11 @@
         self.assertGreater(known.copy_slack, group_state.COPY_SLACK)
 
 
-class EveningCase(unittest.TestCase):
-    """Answer the load in which a few experts take most of the choices."""
+class RebalanceCase(unittest.TestCase):
+    """Rebalance ranks when a few experts take most of the choices."""
 
     def test_within_bounds(self):
-        """A plan comes near even within the copies that a rank may take."""
+        """A plan is nearly even within the bounds on copies and slots."""
         generator = random.Random(5)
         current = tuple(
             tuple(range(rank * 6, rank * 6 + 6)) for rank in range(12)
@@ -613,12 +573,9 @@
         self.assertEqual(set(range(72)), placed)
 
     def test_large_group(self):
-        """Sixty-three ranks come near even, also after demand has shifted.
+        """A group of many ranks is nearly even, also after shifts.
 
-        With so many ranks another one is nearly always as busy as the
-        busiest.  A plan that asked each step to lower the peak of them all
-        ended after four copies, and all ranks waited for one with 1.6 times
-        the mean.
+        A plan must not stop because several ranks share the peak load.
         """
         generator = random.Random(7)
         current = tuple(tuple(range(rank, 252, 63)) for rank in range(63))
@@ -635,11 +592,7 @@
             current = planned
 
     def test_slow_rank(self):
-        """A rank that takes long is freed of experts, and gets none.
-
-        All ranks of a group wait for it in each step, whatever it is that
-        slows it, so what it does must be little.
-        """
+        """A slow rank loses experts and gains none."""
         current = tuple(
             tuple(range(rank * 6, rank * 6 + 6)) for rank in range(12)
         )
@@ -654,7 +607,7 @@
         self.assertLessEqual(set(planned[0]), set(current[0]))
 
     def test_even_load_moves_nothing(self):
-        """Where nothing is gained, nothing is copied."""
+        """An even load needs no copies."""
         current = tuple((rank, rank + 4) for rank in range(4))
         planned = rebalancing.rebalance(
             current, tuple(5 for _ in range(8)), rebalancing.Bounds(4, 2)
@@ -663,20 +616,20 @@
 
 
 class DemandCase(unittest.TestCase):
-    """Answer the load in which other experts are in demand all at once."""
+    """Follow demand that shifts abruptly."""
 
     def setUp(self):
         self.known = demand.Demand()
         self._sums = [0, 0, 0]
 
     def choose(self, *more):
-        """Have one rank choose its experts so many times more."""
+        """Add choices of one rank to its counts."""
         for expert, count in enumerate(more):
             self._sums[expert] += count
         self.known.add_counts({'t': ranks.Counts(2, (tuple(self._sums),))}, 0)
 
     def test_restart_is_no_demand(self):
-        """Counts that began anew with an epoch are not taken for choices."""
+        """Counts that restart with an epoch are not taken for choices."""
         self.known.add_counts({'t': ranks.Counts(1, ((900, 900, 9),))}, 0)
         self.choose(5, 0, 0)
         self.assertEqual([], self.known.tokens)
@@ -686,11 +639,7 @@
         self.assertEqual([[3.4, 1.7, 0]], self.known.tokens)
 
     def test_shift_is_taken_at_once(self):
-        """What was in demand before a shift is forgotten by the next reading.
-
-        Mixed into the new demand, it would have maps made for experts that
-        nobody chooses any more, for as long as it is remembered.
-        """
+        """Demand from before a shift is dropped at the next reading."""
         for _ in range(9):
             self.choose(90, 10, 0)
         self.choose(0, 10, 90)
@@ -698,7 +647,7 @@
         self.assertEqual([[0, 10, 90]], self.known.tokens)
 
     def test_small_shift_is_taken_at_the_second_reading(self):
-        """A reading that is somewhat odd counts if the next one is like it."""
+        """A slightly different reading counts once a second one confirms it."""
         for _ in range(9):
             self.choose(90, 10, 0)
         self.choose(90, 10, 60)
@@ -707,7 +656,7 @@
         self.assertEqual([[90, 10, 60]], self.known.tokens)
 
     def test_odd_reading_is_no_shift(self):
-        """A few calls of another kind on one rank don't change the demand."""
+        """A single outlier does not change the demand."""
         for _ in range(9):
             self.choose(90, 10, 0)
         self.choose(90, 10, 60)
@@ -716,9 +665,9 @@
         self.assertEqual(0, self.known.tokens[0][2])
 
     def test_rank_that_was_not_read(self):
-        """A rank counts only beside its own reading just before.
+        """Counts are compared only with the reading just before.
 
-        One that was left out for a while has counted through a shift.
+        A rank left out for a while may have counted through a shift.
         """
         for _ in range(3):
             self.choose(10, 0, 0)
