--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -11,7 +11,7 @@
 
 from bench.fuzzing import mutations, report, samples
 from tamarackthread.control import claims, configuration
-from tamarackthread.control import machine as machines
+from tamarackthread.control import state_machine as machines
 from tamarackthread.control.site import target_registry
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.platform import door
@@ -227,7 +227,9 @@
         raise CheckedBodyUnreadable(body) from exc
 
 
-def _apply_some(rng: random.Random, held: machines.Machine, kind: type) -> None:
+def _apply_some(
+    rng: random.Random, held: machines.StateMachine, kind: type
+) -> None:
     for index in range(1, _COMMANDS_EACH + 1):
         command = wire.encode(samples.message(rng, kind))
         if rng.random() < 0.5:
--- a/bench/history/breaks.py
+++ b/bench/history/breaks.py
@@ -18,8 +18,8 @@
     election_timer,
     following,
     hard_state,
+    leader_term,
     reconfiguration,
-    reign,
     replica,
     replication,
     segments,
@@ -28,10 +28,10 @@
 )
 from tamarackthread.generated.messages import ttypes as messages
 
-_settle = hard_state.HardState.settle
+_persist = hard_state.HardState.persist
 _load_state = hard_state.HardState.load
-_lease_until = reign.Reign.lease_until
-_learn = replication.PeerTasks._learn
+_lease_until = leader_term.LeaderTerm.lease_until
+_handle_reply = replication.PeerReplicator._handle_reply
 _judge = configuration.Configuration._judge
 
 
@@ -58,13 +58,13 @@
     """Return at once."""
 
 
-async def _settle_first_only(self: hard_state.HardState) -> None:
+async def _persist_first_only(self: hard_state.HardState) -> None:
     if not self.term:
-        await _settle(self)
+        await _persist(self)
 
 
-def _put_off_only(self: election_timer.ElectionTimer) -> None:
-    self.put_off()
+def _reset_only(self: election_timer.ElectionTimer) -> None:
+    self.reset()
 
 
 async def _load_with_old_disk_id(
@@ -74,13 +74,13 @@
 
 
 def _endless_lease(
-    _self: reign.Reign, _members: typing.Any, now: float
+    _self: leader_term.LeaderTerm, _members: typing.Any, now: float
 ) -> float:
     return now + 1
 
 
 def _lease_while_released(
-    self: reign.Reign, members: typing.Any, now: float
+    self: leader_term.LeaderTerm, members: typing.Any, now: float
 ) -> float:
     was_handing_over = self._is_handing_over
     self._is_handing_over = False
@@ -93,13 +93,13 @@
     return times.election_max
 
 
-def _learn_from_answer(
-    self: replication.PeerTasks,
+def _handle_from_answer(
+    self: replication.PeerReplicator,
     request: typing.Any,
     reply: typing.Any,
     _sent_at: float,
 ) -> None:
-    _learn(self, request, reply, self._state.now)
+    _handle_reply(self, request, reply, self._state.now)
 
 
 def _vote_again(state: replica.Replica, request: typing.Any) -> bool:
@@ -109,7 +109,7 @@
 
 
 def _durable_alone(
-    _self: reign.Reign, _members: typing.Any, durable: int
+    _self: leader_term.LeaderTerm, _members: typing.Any, durable: int
 ) -> int:
     return durable
 
@@ -120,7 +120,7 @@
     return 0
 
 
-def _take_and_void(state: replica.Replica, request: typing.Any) -> int:
+def _append_and_truncate(state: replica.Replica, request: typing.Any) -> int:
     fresh = [
         entry for entry in request.entries if entry.index > state.commit_index
     ]
@@ -158,14 +158,14 @@
         'skip-vote-sync',
         'terms and votes are answered and forgotten by a crash',
         hard_state.HardState,
-        'settle',
-        _settle_first_only,
+        'persist',
+        _persist_first_only,
         seed=96,
     ),
     Break(
         'drop-lease-check',
         'a leader counts on its lease without a quorum that answers',
-        reign.Reign,
+        leader_term.LeaderTerm,
         'lease_until',
         _endless_lease,
         seed=1,
@@ -181,7 +181,7 @@
     Break(
         'lease-after-release',
         'a leader uses its lease after telling the voters that it is void',
-        reign.Reign,
+        leader_term.LeaderTerm,
         'lease_until',
         _lease_while_released,
         seed=6,
@@ -189,16 +189,16 @@
     Break(
         'lease-from-answer',
         "the lease counts from a heartbeat's answer, not from its sending",
-        replication.PeerTasks,
-        '_learn',
-        _learn_from_answer,
+        replication.PeerReplicator,
+        '_handle_reply',
+        _handle_from_answer,
         seed=1,
     ),
     Break(
         'vote-against-lease',
         'a vote is given although a leader was heard a moment ago',
         voting,
-        'hears_leader',
+        'has_active_leader',
         lambda _state: False,
         seed=5,
     ),
@@ -206,8 +206,8 @@
         'vote-after-restart',
         'a restarted voter forgets that it may have heard a leader',
         election_timer.ElectionTimer,
-        'restart',
-        _put_off_only,
+        'start',
+        _reset_only,
         seed=9,
     ),
     Break(
@@ -229,7 +229,7 @@
     Break(
         'commit-without-quorum',
         'what the leader alone has synced is committed',
-        reign.Reign,
+        leader_term.LeaderTerm,
         'quorum_index',
         _durable_alone,
         seed=5,
@@ -254,8 +254,8 @@
         'void-on-repeat',
         'a doubled or late request voids the entries after it',
         following,
-        '_take',
-        _take_and_void,
+        '_append_missing',
+        _append_and_truncate,
         seed=38,
     ),
     Break(
--- a/bench/history/scenarios.py
+++ b/bench/history/scenarios.py
@@ -84,7 +84,7 @@
         self._hosts.network.weather.most_delay = 0.06
         await asyncio.sleep(1)
         for host in self._hosts.running:
-            host.process._state.timer.run_out()  # noqa: SLF001
+            host.process._state.timer.expire()  # noqa: SLF001
 
     async def _shrink(self) -> None:
         """Ask for two removals at once, sometimes of an isolated leader."""
--- a/bench/history/watched.py
+++ b/bench/history/watched.py
@@ -5,14 +5,14 @@
 import xxhash
 
 from bench.history import events
-from tamarackthread.control import configuration, machine
+from tamarackthread.control import configuration, state_machine
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import wire
 
 KIND = 'organisation'
 
 
-class Watched(machine.Machine):
+class Watched(state_machine.StateMachine):
     """Note each command applied, and any step back."""
 
     def __init__(self, node: str, history: events.History) -> None:
--- a/tamarackthread/control/applying.py
+++ b/tamarackthread/control/applying.py
@@ -86,9 +86,9 @@
             result = self._machine.apply(index, entry.command)
         self._applied_index = index
         self._bytes_since += len(entry.command)
-        term = self._state.reign
+        term = self._state.leader_term
         if term is not None and entry.term == term.term:
-            term.resolve(index, result)
+            term.complete_proposal(index, result)
 
     def _wake(self) -> None:
         waiting = []
@@ -135,4 +135,4 @@
         if self._state.log.size_bytes <= times.snapshot_bytes:
             index -= times.trailing_entries
         self._state.log.compact(index)
-        self._state.members.forget(index)
+        self._state.members.compact(index)
--- a/tamarackthread/control/formation.py
+++ b/tamarackthread/control/bootstrap.py
@@ -16,7 +16,7 @@
 from tamarackthread.shared import errors
 
 FIRST_TERM = 1
-_log = logging.getLogger('tamarackthread.control.formation')
+_log = logging.getLogger('tamarackthread.control.bootstrap')
 
 
 async def attempt(state: replica.Replica) -> None:
@@ -36,7 +36,7 @@
 async def _found(state: replica.Replica, disks: dict[str, bytes]) -> None:
     members = membership.Membership()
     for node, disk_id in disks.items():
-        members = members.put(
+        members = members.with_member(
             membership.Member(
                 node=node,
                 address=state.parts.bootstrap[node],
@@ -52,7 +52,7 @@
     )
     state.adopt_term(FIRST_TERM)
     ticket = state.append([entry])
-    await state.hard.settle()
+    await state.hard.persist()
     await state.log.synced(ticket)
     _log.info('consensus: formed %s of %s', state.parts.group, list(disks))
 
--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from tamarackthread.control import claim_record, machine
+from tamarackthread.control import claim_record, state_machine
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, claim_times, errors, wire
 
@@ -45,7 +45,7 @@
 MOST_PASSED_MS = 365 * 24 * 3_600_000
 
 
-class ClaimsMachine(machine.Machine):
+class ClaimsMachine(state_machine.StateMachine):
     """Hold one shard's claims."""
 
     def __init__(self, limits: Limits | None = None) -> None:
@@ -113,7 +113,7 @@
 
         Raises ``SnapshotUnreadable`` for data that is no such snapshot.
         """
-        with machine.reading_snapshot():
+        with state_machine.reading_snapshot():
             self._restore(data)
 
     def _restore(self, data: bytes) -> None:
--- a/tamarackthread/control/proposer.py
+++ b/tamarackthread/control/config_proposer.py
@@ -12,20 +12,20 @@
 
 MILLISECONDS = 1000
 
-Wall = collections.abc.Callable[[], float]
+WallClock = collections.abc.Callable[[], float]
 
 
-class Proposer:
+class ConfigProposer:
     """Turn requests into commands and the machine's answers into replies.
 
     The wall clock is for people who read the audit trail.  Promises count
     the time that passed on the loop's clock between commands.
     """
 
-    def __init__(self, config: group.Group, wall: Wall) -> None:
+    def __init__(self, config: group.Group, wall_clock: WallClock) -> None:
         """Propose to ``config``; ``wall`` gives seconds since 1970."""
         self._config = config
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._stamped_at: float | None = None
         self._term = 0
 
@@ -59,7 +59,7 @@
         reply = await self._propose(messages.ConfigCommand(decision=request))
         return reply.decision
 
-    def keeper(
+    def lease_keeper(
         self,
         machine: configuration.Configuration,
     ) -> leases.LeaseKeeper:
@@ -71,7 +71,7 @@
         self,
         command: messages.ConfigCommand,
     ) -> messages.Reply:
-        command.unix_ms = int(self._wall() * MILLISECONDS)
+        command.unix_ms = int(self._wall_clock() * MILLISECONDS)
         command.elapsed_ms = self._elapsed_ms()
         done = await self._config.propose(wire.encode(command))
         reply = wire.decode(messages.Reply, done.result)
--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -14,10 +14,10 @@
 from tamarackthread.control import (
     answers,
     decisions,
-    history,
+    document_history,
     leases,
-    machine,
     references,
+    state_machine,
     trail,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -40,7 +40,7 @@
 Watcher = collections.abc.Callable[[int], None]
 
 
-class Configuration(machine.Machine):
+class Configuration(state_machine.StateMachine):
     """Apply changes, hand-overs of leases and decisions in their order."""
 
     def __init__(self, audit_records: int = trail.RECORDS_LIMIT) -> None:
@@ -55,7 +55,7 @@
         return self._documents
 
     @property
-    def history(self) -> history.History:
+    def history(self) -> document_history.DocumentHistory:
         """Give the earlier versions of documents."""
         return self._history
 
@@ -98,7 +98,7 @@
                 floor=self._documents.floor,
                 revision=self._documents.revision,
                 documents=list(self._documents.everything()),
-                history=self._history.everything(),
+                history=self._history.all_versions(),
                 audit=self._trail.everything(),
                 answers=self._answers.everything(),
                 leases=self._table.everything(),
@@ -113,14 +113,14 @@
         """
         self._reset()
         if data:
-            with machine.reading_snapshot():
+            with state_machine.reading_snapshot():
                 self._restore(wire.decode(messages.ConfigSnapshot, data))
         self._notify()
 
     def _reset(self) -> None:
         self._clock_ms = 0
         self._documents = catalogue.Catalogue()
-        self._history = history.History()
+        self._history = document_history.DocumentHistory()
         self._trail = trail.Trail(self._audit_records)
         self._answers = answers.Answers()
         self._table = leases.LeaseTable()
@@ -129,7 +129,7 @@
     def _restore(self, state: messages.ConfigSnapshot) -> None:
         self._clock_ms = state.clock_ms
         self._documents.replace(state.documents, state.revision, state.floor)
-        self._history.replace(state.history)
+        self._history.restore(state.history)
         self._trail.replace(state.audit)
         self._answers.replace(state.answers)
         self._table.replace(state.leases)
--- a/tamarackthread/control/consensus.py
+++ b/tamarackthread/control/consensus.py
@@ -16,11 +16,11 @@
     following,
     installing,
     leading,
-    machine,
     parts,
     proposing,
     reconfiguration,
     replica,
+    state_machine,
     timing,
     transport,
     voting,
@@ -40,7 +40,7 @@
         *,
         group: str,
         node: str,
-        machine: machine.Machine,  # noqa: WPS442
+        machine: state_machine.StateMachine,
         disk: disk.Disk,  # noqa: WPS442
         transport: transport.Transport,  # noqa: WPS442
         members: collections.abc.Mapping[str, str],
@@ -68,7 +68,7 @@
         self._installer = installing.Installer(
             self._state, self._applier.restore
         )
-        self._leadership = leading.Leadership(self._state)
+        self._leadership = leading.Leader(self._state)
         self._proposer = proposing.Proposer(
             self._state, self._applier, self._leadership
         )
@@ -90,10 +90,10 @@
     @property
     def is_leader(self) -> bool:
         """Say whether this member leads and has no reason to doubt it."""
-        term = self._state.reign
+        term = self._state.leader_term
         if term is None:
             return False
-        return not term.is_abandoned(self._state.membership, self._state.now)
+        return not term.has_lost_quorum(self._state.membership, self._state.now)
 
     @property
     def term(self) -> int:
@@ -130,10 +130,10 @@
         This is a promise: a handover waits until it has run out.
         """
         left = self._lease_left()
-        term = self._state.reign
+        term = self._state.leader_term
         if term is None or left <= 0:
             return 0
-        term.promise(self._state.now + left)
+        term.promise_lease(self._state.now + left)
         return left
 
     async def start(self) -> None:
@@ -258,7 +258,7 @@
         raise errors.RequestUnsupported
 
     def _lease_left(self) -> float:
-        term = self._state.reign
+        term = self._state.leader_term
         if term is None or self._reason is not None:
             return 0
         # Before an entry of its own term is committed, the leader may not
--- a/tamarackthread/control/history.py
+++ b/tamarackthread/control/document_history.py
@@ -11,7 +11,7 @@
 BYTES_LIMIT = 24 * 1024 * 1024
 
 
-class History:
+class DocumentHistory:
     """Hold up to 50 earlier versions a document and 24 MB in all."""
 
     def __init__(self) -> None:
@@ -34,16 +34,16 @@
         while self._bytes > BYTES_LIMIT:
             self._drop(next(iter(self._versions)))
 
-    def of(self, kind: str, name: str) -> list[messages.Document]:
+    def versions_of(self, kind: str, name: str) -> list[messages.Document]:
         """List the earlier versions of one document, the oldest first."""
         revisions = self._by_key.get((kind, name), ())
         return [self._versions[revision] for revision in revisions]
 
-    def everything(self) -> list[messages.Document]:
+    def all_versions(self) -> list[messages.Document]:
         """List all versions that are kept, the oldest first."""
         return list(self._versions.values())
 
-    def replace(
+    def restore(
         self,
         documents: collections.abc.Iterable[messages.Document],
     ) -> None:
--- a/tamarackthread/control/election.py
+++ b/tamarackthread/control/election.py
@@ -7,8 +7,8 @@
 import logging
 
 from tamarackthread.control import (
+    bootstrap,
     failures,
-    formation,
     membership,
     replica,
     role,
@@ -27,7 +27,7 @@
     """Follow, stand when the leader is silent, and ``lead`` when elected."""
     while True:
         await state.timer.wait()
-        state.timer.try_again()
+        state.timer.back_off()
         try:
             elected = await _stand(state)
         except failures.DiskFull as exc:
@@ -50,22 +50,22 @@
     nothing, so that the usual wait goes on.
     """
     times = state.parts.times
-    if not times.hurry or leader != state.leader:
+    if not times.short_election_max or leader != state.leader:
         return
     try:
         await state.parts.transport.call(
-            leader, formation.probe(state), times.election_min / 2
+            leader, bootstrap.probe(state), times.election_min / 2
         )
     except errors.RequestTimeout:
         return
     except errors.CodedError:
         if leader == state.leader and not state.role.leads:
-            state.timer.hurry()
+            state.timer.shorten()
 
 
 async def _stand(state: replica.Replica) -> bool:
     if state.is_blank:
-        await formation.attempt(state)
+        await bootstrap.attempt(state)
     if not _may_stand(state):
         return False
     return await _would_win(state) and await _win(state)
@@ -93,14 +93,14 @@
         return False
     # The leader may have been heard again while the others were asked.  Its
     # lease then rests on this member too, whose own vote would break it.
-    if voting.hears_leader(state):
+    if voting.has_active_leader(state):
         return False
     term = state.hard.term + 1
     state.adopt_term(term, state.parts.node)
     state.role.move('stand')
     # The own vote must last like any other: after a crash this member could
     # vote for somebody else in the same term.
-    await state.hard.settle()
+    await state.hard.persist()
     granted = False
     if state.hard.term == term:
         granted = await _collect(state, _request(state, term))
--- a/tamarackthread/control/election_timer.py
+++ b/tamarackthread/control/election_timer.py
@@ -32,7 +32,7 @@
         return self._due_at - _now()
 
     @property
-    def is_leader_heard(self) -> bool:
+    def is_leader_active(self) -> bool:
         """Say whether a leader's lease may still rest on this member."""
         return _now() < self._heard_at + self._times.election_min
 
@@ -45,7 +45,7 @@
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._sooner.wait(), wait)
 
-    def restart(self) -> None:
+    def start(self) -> None:
         """Begin after the process has started.
 
         A voter that has restarted can't know whether it heard a leader a
@@ -54,44 +54,49 @@
         Where nobody counts on the lease, that wait guards nothing: a leader
         that works is heard by a quorum, which refuses this member's pre-vote.
         """
-        if self._times.hurry:
-            self.hurry()
+        if self._times.short_election_max:
+            self.shorten()
         else:
-            self.hear()
+            self.record_contact()
 
-    def hear(self) -> None:
+    def record_contact(self) -> None:
         """Note that a leader has just spoken."""
         self._heard_at = _now()
-        self.put_off()
+        self.reset()
 
-    def hurry(self) -> None:
+    def shorten(self) -> None:
         """Wait for no leader any more, and stand within a moment."""
         self._heard_at = -math.inf
-        self._due_at = _now() + self._rng.uniform(0, self._times.hurry)
+        self._due_at = _now() + self._rng.uniform(
+            0, self._times.short_election_max
+        )
         self._sooner.set()
 
-    def try_again(self) -> None:
+    def back_off(self) -> None:
         """Wait a random time before standing once more.
 
         Without a leader to wait for, and that is so until one is heard, the
         wait has only to keep candidates from meeting again.
         """
-        if self._times.hurry and self._heard_at == -math.inf:
-            self._due_at = _now() + self._rng.uniform(1, 3) * self._times.hurry
+        if self._times.short_election_max and self._heard_at == -math.inf:
+            self._due_at = (
+                _now()
+                + self._rng.uniform(1, 3) * self._times.short_election_max
+            )
         else:
-            self.put_off()
+            self.reset()
 
-    def put_off(self) -> None:
+    def reset(self) -> None:
         """Wait a random time from now before standing."""
         self._due_at = _now() + self._rng.uniform(
             self._times.election_min, self._times.election_max
         )
 
-    def release(self) -> None:
+    def forget_leader(self) -> None:
         """Forget the leader, which has given up its lease."""
         self._heard_at = -math.inf
 
-    def run_out(self) -> None:
+    def expire(self) -> None:
         """Stand for election as soon as possible."""
         self._due_at = _now()
         self._sooner.set()
--- a/tamarackthread/control/entries.py
+++ b/tamarackthread/control/entry_registry.py
@@ -17,7 +17,7 @@
 from tamarackthread.shared import documents
 
 
-class Entries:
+class EntryRegistry:
     """Announce and forget entries as the leader."""
 
     def __init__(
--- a/tamarackthread/control/folder.py
+++ b/tamarackthread/control/folder.py
@@ -35,7 +35,7 @@
             os.close(self._lock)
             raise DataFolderBusy(path) from exc
 
-    def of_group(self, name: str) -> pathlib.Path:
+    def group_path(self, name: str) -> pathlib.Path:
         """Give the folder of a replicated group."""
         return self._path / name
 
--- a/tamarackthread/control/following.py
+++ b/tamarackthread/control/following.py
@@ -16,8 +16,8 @@
     if request.term < state.hard.term or request.term == 0:
         return _reply(state, request, success=False)
     state.adopt_term(request.term)
-    state.hear(request.leader)
-    await state.hard.settle()
+    state.follow(request.leader)
+    await state.hard.persist()
     if state.hard.term != request.term:
         return _reply(state, request, success=False)
     if request.release_lease:
@@ -26,20 +26,20 @@
     if conflict:
         return _reply(state, request, success=False, conflict=conflict)
     if request.entries:
-        await state.log.synced(_take(state, request))
+        await state.log.synced(_append_missing(state, request))
     if state.hard.term != request.term:
         return _reply(state, request, success=False)
     matched = request.previous_index + len(request.entries)
-    state.verify(matched)
+    state.record_match(matched)
     state.commit(request.commit_index)
     return _reply(state, request, success=True, last_index=matched)
 
 
 def _release(state: replica.Replica, request: messages.AppendRequest) -> None:
     """Let others be elected at once, because the leader holds no lease."""
-    state.timer.release()
+    state.timer.forget_leader()
     if request.campaign and state.is_voter:
-        state.timer.run_out()
+        state.timer.expire()
 
 
 def _conflict(state: replica.Replica, request: messages.AppendRequest) -> int:
@@ -56,7 +56,9 @@
     return max(state.log.first_of_term(previous), state.commit_index + 1)
 
 
-def _take(state: replica.Replica, request: messages.AppendRequest) -> int:
+def _append_missing(
+    state: replica.Replica, request: messages.AppendRequest
+) -> int:
     """Add the entries that are missing and return the ticket to wait for.
 
     Entries already held are passed over: a doubled or late request must not
--- a/tamarackthread/control/forwarding.py
+++ b/tamarackthread/control/forwarding.py
@@ -13,10 +13,10 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, peers
 
-PATIENCE_SECONDS = 4.0
-TRY_SECONDS = 2.0
-PAUSE_SECONDS = 0.05
-_PASSING = (
+RETRY_TIMEOUT_SECONDS = 4.0
+ATTEMPT_TIMEOUT_SECONDS = 2.0
+RETRY_INTERVAL_SECONDS = 0.05
+_RETRYABLE = (
     failures.NotLeader,
     failures.OutcomeUnknown,
     errors.AddressUnreachable,
@@ -55,16 +55,16 @@
     ) -> messages.Reply | None:
         """Ask the leader; ``None`` once this host leads itself."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + PATIENCE_SECONDS
+        until = loop.time() + RETRY_TIMEOUT_SECONDS
         failure: errors.CodedError = failures.NotLeader('no leader is known')
         while loop.time() < until:
             if leads():
                 return None
             try:
                 return await self._ask_leader(request)
-            except _PASSING as exc:
+            except _RETRYABLE as exc:
                 failure = exc
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         raise failure
 
     async def _ask_leader(self, request: messages.Request) -> messages.Reply:
@@ -72,13 +72,13 @@
         if not address:
             raise failures.NotLeader('no leader is known')
         asking = asyncio.ensure_future(
-            self._links.request(address, request, TRY_SECONDS),
+            self._links.request(address, request, ATTEMPT_TIMEOUT_SECONDS),
         )
         try:
             # An isolated leader answers nothing; the wait for it ends as
             # soon as another one is known.
             while not asking.done():
-                await asyncio.wait((asking,), timeout=PAUSE_SECONDS)
+                await asyncio.wait((asking,), timeout=RETRY_INTERVAL_SECONDS)
                 if not asking.done() and self.leader_address() != address:
                     raise failures.NotLeader('leader changed')
             return asking.result()
--- a/tamarackthread/control/hard_state.py
+++ b/tamarackthread/control/hard_state.py
@@ -52,7 +52,7 @@
         except FileNotFoundError:
             self._disk_id = fresh_disk_id
             self._changes += 1
-            await self.settle()
+            await self.persist()
             return
         scan = records.scan(FILE, data, may_be_torn=False)
         if not scan.payloads:
@@ -63,10 +63,10 @@
         self._disk_id = stored.disk_id
 
     def advance(self, term: int, vote: str = '') -> None:
-        """Move to a later term, or vote in this one; ``settle`` makes it last.
+        """Move to a later term, or vote in this one; ``persist`` makes it last.
 
         The memory moves first, so that nothing of an older term is accepted
-        while the disk is busy; no reply leaves before ``settle`` returns.
+        while the disk is busy; no reply leaves before ``persist`` returns.
         """
         if term < self._term:
             raise ValueError(f'term {term} after {self._term}')
@@ -76,7 +76,7 @@
         self._vote = vote
         self._changes += 1
 
-    async def settle(self) -> None:
+    async def persist(self) -> None:
         """Return once the term and vote of this moment will last."""
         wanted = self._changes
         while self._settled < wanted:
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -11,15 +11,15 @@
 from tamarackthread.control import (
     claim_service,
     claims,
+    config_proposer,
     configuration,
     consensus,
     disk,
-    entries,
+    entry_registry,
     folder,
     forwarding,
     leadership,
     operations,
-    proposer,
     requests,
     shards,
     source,
@@ -73,7 +73,7 @@
             self._feed,
             self._own.timing.node_lease_seconds,
         )
-        self._propose = proposer.Proposer(self._config, time.time)
+        self._propose = config_proposer.ConfigProposer(self._config, time.time)
         self._written = {
             kind: targets.DocumentWriter(kind, self._propose)
             for kind in (documents.TARGET, documents.ENTRY)
@@ -119,7 +119,7 @@
             group=name,
             node=self._node,
             machine=machine,
-            disk=disk.FolderDisk(self._folder.of_group(name)),
+            disk=disk.FolderDisk(self._folder.group_path(name)),
             transport=transport.LinkTransport(self._links),
             members=members,
             timing=times_of(self._own),
@@ -176,7 +176,7 @@
                         self._machine,
                         self._written[documents.TARGET],
                     ),
-                    entry_list=entries.Entries(
+                    entry_list=entry_registry.EntryRegistry(
                         self._machine,
                         self._written[documents.ENTRY],
                     ),
--- a/tamarackthread/control/installing.py
+++ b/tamarackthread/control/installing.py
@@ -34,8 +34,8 @@
         if request.term < state.hard.term:
             return self._reply(0, installed=False)
         state.adopt_term(request.term)
-        state.hear(request.leader)
-        await state.hard.settle()
+        state.follow(request.leader)
+        await state.hard.persist()
         async with self._lock:
             return await self._take(request)
 
--- a/tamarackthread/control/reign.py
+++ b/tamarackthread/control/leader_term.py
@@ -25,7 +25,7 @@
     is_full: bool = False
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def note_disk(self, disk_id: bytes, last_index: int) -> None:
+    def check_disk(self, disk_id: bytes, last_index: int) -> None:
         """Begin again if the member answers from another disk."""
         if disk_id == self.disk_id:
             return
@@ -37,7 +37,7 @@
         self.wake.set()
 
 
-class Reign:
+class LeaderTerm:
     """A leader's term, from its election until it steps down."""
 
     def __init__(
@@ -53,13 +53,13 @@
         self._term = term
         self._times = times
         self._first_index = first_index
-        self._began_at = now
-        self._over = asyncio.Event()
-        self._answered = asyncio.Event()
+        self._elected_at = now
+        self._ended = asyncio.Event()
+        self._responded = asyncio.Event()
         self._progress: dict[str, Progress] = {}
         self._is_handing_over = False
         self._is_released = False
-        self._promised_until = -math.inf
+        self._lease_promised_until = -math.inf
         self._proposals: dict[int, asyncio.Future[bytes]] = {}
 
     @property
@@ -73,19 +73,19 @@
         return self._first_index
 
     @property
-    def began_at(self) -> float:
+    def elected_at(self) -> float:
         """Return when this member was elected, in loop time."""
-        return self._began_at
+        return self._elected_at
 
     @property
-    def over(self) -> asyncio.Event:
+    def ended(self) -> asyncio.Event:
         """Return an event set when this member leads the term no longer."""
-        return self._over
+        return self._ended
 
     @property
-    def answered(self) -> asyncio.Event:
+    def responded(self) -> asyncio.Event:
         """Return an event set whenever a member has answered."""
-        return self._answered
+        return self._responded
 
     @property
     def progress(self) -> dict[str, Progress]:
@@ -103,12 +103,12 @@
         return self._is_released
 
     @property
-    def promised_until(self) -> float:
+    def lease_promised_until(self) -> float:
         """Return the latest lease end that somebody was told, loop time."""
-        return self._promised_until
+        return self._lease_promised_until
 
     @property
-    def waiting(self) -> int:
+    def pending_proposals(self) -> int:
         """Return how many proposals wait for their commit."""
         return len(self._proposals)
 
@@ -122,29 +122,29 @@
 
     def end(self) -> None:
         """End the term; what was proposed and not seen committed is open."""
-        self._over.set()
+        self._ended.set()
         for waiter in self._proposals.values():
             if not waiter.done():
                 waiter.set_exception(failures.OutcomeUnknown())
         self._proposals = {}
 
-    def expect(self, index: int) -> asyncio.Future[bytes]:
+    def add_proposal(self, index: int) -> asyncio.Future[bytes]:
         """Return a future for the machine's result at an index."""
         waiter = asyncio.get_running_loop().create_future()
         self._proposals[index] = waiter
         return waiter
 
-    def resolve(self, index: int, result: bytes) -> None:
+    def complete_proposal(self, index: int, result: bytes) -> None:
         """Give a proposer the machine's result."""
         waiter = self._proposals.pop(index, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(result)
 
-    def promise(self, until: float) -> None:
+    def promise_lease(self, until: float) -> None:
         """Remember that somebody counts on no other leader until then."""
-        self._promised_until = max(self._promised_until, until)
+        self._lease_promised_until = max(self._lease_promised_until, until)
 
-    def wake_all(self) -> None:
+    def wake_peers(self) -> None:
         """Have every peer's task look for something to send."""
         for progress in self._progress.values():
             progress.wake.set()
@@ -155,17 +155,17 @@
         """Return the index up to which a quorum has synced the log."""
         reached: dict[str, float] = {}
         for voter in members.voters:
-            reached[voter.node] = self._match_of(voter, own_durable)
-        return int(members.reached(reached)) if reached else 0
+            reached[voter.node] = self._matched_index(voter, own_durable)
+        return int(members.quorum_value(reached)) if reached else 0
 
-    def quorum_heard_at(
+    def quorum_acked_at(
         self, members: membership.Membership, now: float
     ) -> float:
         """Return a time since which a quorum has answered a message."""
         heard: dict[str, float] = {}
         for voter in members.voters:
-            heard[voter.node] = self._heard_of(voter, now)
-        return members.reached(heard) if heard else -math.inf
+            heard[voter.node] = self._acked_at(voter, now)
+        return members.quorum_value(heard) if heard else -math.inf
 
     def lease_until(self, members: membership.Membership, now: float) -> float:
         """Return when the lease ends, in loop time.
@@ -177,17 +177,19 @@
         """
         if self._is_handing_over:
             return -math.inf
-        return self.quorum_heard_at(members, now) + self._times.lease
+        return self.quorum_acked_at(members, now) + self._times.lease
 
-    def is_abandoned(self, members: membership.Membership, now: float) -> bool:
+    def has_lost_quorum(
+        self, members: membership.Membership, now: float
+    ) -> bool:
         """Say whether the leader must step down for want of a quorum.
 
         It does so when its lease ends: an isolated leader must know that it
         leads no longer before another can be elected.
         """
-        if now < self._began_at + self._times.election_min:
+        if now < self._elected_at + self._times.election_min:
             return False
-        return self.quorum_heard_at(members, now) + self._times.lease <= now
+        return self.quorum_acked_at(members, now) + self._times.lease <= now
 
     def has_room(self, members: membership.Membership) -> bool:
         """Say whether a quorum of disks takes entries, by their answers."""
@@ -195,9 +197,9 @@
         for voter in members.voters:
             held = self._progress.get(voter.node)
             room[voter.node] = 0 if held is not None and held.is_full else 1
-        return members.reached(room) > 0
+        return members.quorum_value(room) > 0
 
-    def _match_of(self, voter: membership.Member, own_durable: int) -> int:
+    def _matched_index(self, voter: membership.Member, own_durable: int) -> int:
         if voter.node == self._node:
             return own_durable
         held = self._progress.get(voter.node)
@@ -208,7 +210,7 @@
             return 0
         return held.match_index
 
-    def _heard_of(self, voter: membership.Member, now: float) -> float:
+    def _acked_at(self, voter: membership.Member, now: float) -> float:
         if voter.node == self._node:
             return now
         held = self._progress.get(voter.node)
--- a/tamarackthread/control/leading.py
+++ b/tamarackthread/control/leading.py
@@ -7,8 +7,8 @@
 import logging
 
 from tamarackthread.control import (
+    leader_term,
     reconfiguration,
-    reign,
     replica,
     replication,
 )
@@ -17,24 +17,24 @@
 _log = logging.getLogger('tamarackthread.control.leading')
 
 
-class Leadership:
+class Leader:
     """Run what only a leader does, from its election until it steps down."""
 
     def __init__(self, state: replica.Replica) -> None:
         """Begin without a term."""
         self._state = state
-        self._peers: dict[str, replication.PeerTasks] = {}
+        self._peers: dict[str, replication.PeerReplicator] = {}
         self._tasks: dict[str, list[asyncio.Task[None]]] = {}
 
     @property
-    def peers(self) -> dict[str, replication.PeerTasks]:
+    def peers(self) -> dict[str, replication.PeerReplicator]:
         """Return the tasks for each other member, empty when not leading."""
         return self._peers
 
     async def lead(self) -> None:
         """Lead until the term ends for this member."""
         state = self._state
-        term = state.begin_reign()
+        term = state.become_leader()
         log_events.tell(
             _log,
             log_events.Event.LEADER,
@@ -56,7 +56,7 @@
         What somebody was promised about the lease is kept: it's given up only
         after the latest end that was told.
         """
-        term = self._state.reign
+        term = self._state.leader_term
         if term is None:
             return
         term.begin_handover()
@@ -65,20 +65,22 @@
         finally:
             # A leader that has begun to hand over takes no proposals.  If its
             # caller gives up waiting, it must not stay in between for ever.
-            if self._state.reign is term:
+            if self._state.leader_term is term:
                 self._state.step_down('hands over')
 
-    async def _hand_over(self, term: reign.Reign) -> None:
+    async def _hand_over(self, term: leader_term.LeaderTerm) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._state.parts.times.handover):
+            async with asyncio.timeout(
+                self._state.parts.times.handover_timeout
+            ):
                 await asyncio.sleep(
-                    max(0, term.promised_until - self._state.now)
+                    max(0, term.lease_promised_until - self._state.now)
                 )
                 await self._release(term)
-                await term.over.wait()
+                await term.ended.wait()
 
-    async def _watch(self, term: reign.Reign) -> None:
-        while not term.over.is_set():
+    async def _watch(self, term: leader_term.LeaderTerm) -> None:
+        while not term.ended.is_set():
             self._start_peers(term)
             self._raise_failures()
             why = self._why_not(term)
@@ -90,12 +92,12 @@
                 async with asyncio.timeout(
                     self._state.parts.times.heartbeat / 2
                 ):
-                    await term.over.wait()
+                    await term.ended.wait()
 
-    def _why_not(self, term: reign.Reign) -> str:
+    def _why_not(self, term: leader_term.LeaderTerm) -> str:
         """Return why this member must not go on leading, empty if it may."""
         state = self._state
-        if term.is_abandoned(state.membership, state.now):
+        if term.has_lost_quorum(state.membership, state.now):
             return 'no quorum answers'
         # A leader whose own disk stalls still answers heartbeats and looks
         # alive, while it can neither vote nor begin a term after a failure.
@@ -109,17 +111,17 @@
             return 'is no longer a voter'
         return ''
 
-    async def _give_up(self, term: reign.Reign, why: str) -> None:
+    async def _give_up(self, term: leader_term.LeaderTerm, why: str) -> None:
         if not term.is_handing_over:
             term.begin_handover()
-            wait = term.promised_until - self._state.now
+            wait = term.lease_promised_until - self._state.now
             if 0 < wait <= self._state.parts.times.lease:
                 await asyncio.sleep(wait)
             await self._release(term)
-        if self._state.reign is term:
+        if self._state.leader_term is term:
             self._state.step_down(why)
 
-    async def _release(self, term: reign.Reign) -> None:
+    async def _release(self, term: leader_term.LeaderTerm) -> None:
         """Tell all voters that the lease is void, and the best one to stand."""
         best = await self._best_peer(term)
         term.release()
@@ -128,7 +130,7 @@
             calls.append(peer.release(campaign=node == best))
         await asyncio.gather(*calls)
 
-    async def _best_peer(self, term: reign.Reign) -> str:
+    async def _best_peer(self, term: leader_term.LeaderTerm) -> str:
         """Return the voter with the longest log, given a moment to catch up."""
         times = self._state.parts.times
         patience = self._state.now + times.heartbeat_timeout
@@ -139,7 +141,7 @@
                 return best
             await asyncio.sleep(times.heartbeat / 2)
 
-    def _longest(self, term: reign.Reign) -> tuple[str, int]:
+    def _longest(self, term: leader_term.LeaderTerm) -> tuple[str, int]:
         best, matched = '', -1
         for voter in self._state.membership.voters:
             held = term.progress.get(voter.node)
@@ -149,7 +151,7 @@
                 best, matched = voter.node, held.match_index
         return best, matched
 
-    def _start_peers(self, term: reign.Reign) -> None:
+    def _start_peers(self, term: leader_term.LeaderTerm) -> None:
         state = self._state
         wanted = {
             member.node
@@ -161,7 +163,7 @@
         }
         wanted.discard(state.parts.node)
         for node in sorted(wanted.difference(self._peers)):
-            peer = replication.PeerTasks(state, term, node)
+            peer = replication.PeerReplicator(state, term, node)
             self._peers[node] = peer
             self._tasks[node] = [
                 asyncio.create_task(peer.beat()),
--- a/tamarackthread/control/log.py
+++ b/tamarackthread/control/log.py
@@ -43,7 +43,7 @@
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._writing_since: float | None = None
         self._full = False
-        self._forget_to = 0
+        self._compact_index = 0
 
     @property
     def base_index(self) -> int:
@@ -78,7 +78,7 @@
     def is_stalled(self, now: float) -> bool:
         """Say whether one write has taken longer than a disk may take."""
         since = self._writing_since
-        return since is not None and now - since > self._limits.stall
+        return since is not None and now - since > self._limits.stall_timeout
 
     def term_at(self, index: int) -> int | None:
         """Return an entry's term, or ``None`` where nothing is held."""
@@ -130,7 +130,7 @@
         self._bytes = sum(len(entry.command) for entry in continued)
         self._durable_index = self.last_index
         if entries and not continued:
-            self._push([_cut(0)])
+            self._push([_truncation(0)])
 
     def append(
         self, entries: collections.abc.Sequence[messages.LogEntry]
@@ -150,7 +150,7 @@
             self._bytes -= len(entry.command)
         self._entries = self._entries[:place]
         self._durable_index = min(self._durable_index, index - 1)
-        self._push([_cut(index)])
+        self._push([_truncation(index)])
 
     def reset(self, index: int, term: int) -> None:
         """Continue after a snapshot that another member has sent.
@@ -166,7 +166,7 @@
         self._base_index = index
         self._base_term = term
         self._durable_index = index
-        self._push([_cut(0)])
+        self._push([_truncation(0)])
 
     def compact(self, index: int) -> None:
         """Forget entries up to ``index``, which a durable snapshot covers."""
@@ -180,7 +180,7 @@
         self._base_index = index
         self._base_term = term
         self._durable_index = max(self._durable_index, index)
-        self._forget_to = index
+        self._compact_index = index
         self._work.set()
 
     async def synced(self, ticket: int) -> None:
@@ -211,7 +211,7 @@
             self._work.clear()
             while self._pending:
                 await self._write_some()
-            await self._store.forget(self._forget_to)
+            await self._store.compact(self._compact_index)
 
     def _push(
         self, entries: collections.abc.Sequence[messages.LogEntry]
@@ -274,9 +274,9 @@
         self._waiters = waiting
 
 
-def _cut(index: int) -> messages.LogEntry:
+def _truncation(index: int) -> messages.LogEntry:
     return messages.LogEntry(
-        index=index, term=0, kind=segments.Kind.CUT, command=b''
+        index=index, term=0, kind=segments.Kind.TRUNCATE, command=b''
     )
 
 
--- a/tamarackthread/control/member_history.py
+++ b/tamarackthread/control/member_history.py
@@ -37,33 +37,33 @@
                 chosen = members
         return chosen
 
-    def begin(
+    def reset(
         self, index: int, members: membership.Membership, keep_later: bool
     ) -> None:
         """Take the members of a snapshot, and later ones still in the log."""
         later = [row for row in self._rows if row[0] > index and keep_later]
         self._rows = [(index, members), *later]
-        self._tell_addresses()
+        self._publish_addresses()
 
-    def note(self, entry: messages.LogEntry) -> None:
+    def record(self, entry: messages.LogEntry) -> None:
         """Put the members of an entry in force, if it has any."""
         if entry.kind != segments.Kind.MEMBERS:
             return
         self._rows.append((entry.index, membership.decode(entry.command)))
-        self._tell_addresses()
+        self._publish_addresses()
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Go back to the members before an index."""
         while len(self._rows) > 1 and self._rows[-1][0] >= index:
             self._rows.pop()
 
-    def forget(self, index: int) -> None:
+    def compact(self, index: int) -> None:
         """Drop members that were replaced at or before an index."""
         while len(self._rows) > 1 and self._rows[1][0] <= index:
             self._rows.pop(0)
 
-    def _tell_addresses(self) -> None:
+    def _publish_addresses(self) -> None:
         for node, address in self._parts.bootstrap.items():
-            self._parts.transport.learn(node, address)
+            self._parts.transport.set_address(node, address)
         for member in self.newest.members:
-            self._parts.transport.learn(member.node, member.address)
+            self._parts.transport.set_address(member.node, member.address)
--- a/tamarackthread/control/membership.py
+++ b/tamarackthread/control/membership.py
@@ -52,19 +52,21 @@
         member = self.find(node)
         return member is not None and member.voter and member.disk_id == disk_id
 
-    def put(self, member: Member) -> Membership:
+    def with_member(self, member: Member) -> Membership:
         """Return a copy with a member added or in place of its former self."""
-        others = self.drop(member.node).members
+        others = self.without(member.node).members
         ordered = sorted((*others, member), key=lambda held: held.node)
         return Membership(tuple(ordered))
 
-    def drop(self, node: str) -> Membership:
+    def without(self, node: str) -> Membership:
         """Return a copy without a node."""
         return Membership(
             tuple(held for held in self.members if held.node != node)
         )
 
-    def reached(self, values: collections.abc.Mapping[str, float]) -> float:
+    def quorum_value(
+        self, values: collections.abc.Mapping[str, float]
+    ) -> float:
         """Return the value that a quorum of voters has reached or passed."""
         counted = sorted(
             (values[voter.node] for voter in self.voters), reverse=True
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -7,11 +7,11 @@
 import attrs
 
 from tamarackthread.control import (
+    config_proposer,
     configuration,
-    entries,
+    entry_registry,
     leadership,
     portioning,
-    proposer,
     source,
     status,
 )
@@ -32,9 +32,9 @@
     leading: leadership.Leadership
     origin: source.ControlSource
     below: subtree.Subtree
-    propose: proposer.Proposer
+    propose: config_proposer.ConfigProposer
     targets: announcing.Targets
-    entry_list: entries.Entries
+    entry_list: entry_registry.EntryRegistry
     links: dialling.Peers
     own_node: str
 
@@ -45,7 +45,7 @@
     def __init__(self, parts: Parts) -> None:
         """Hold soft state anew for each term that this host leads."""
         self._parts = parts
-        self._keeper = parts.propose.keeper(parts.machine)
+        self._keeper = parts.propose.lease_keeper(parts.machine)
         self._portioning = portioning.Portioning(parts.machine)
         parts.leading.on_lead(self._keeper.lead)
         parts.leading.on_lead(self._portioning.restart)
--- a/tamarackthread/control/parts.py
+++ b/tamarackthread/control/parts.py
@@ -8,7 +8,7 @@
 import attrs
 
 from tamarackthread.control import disk, timing
-from tamarackthread.control import machine as machines
+from tamarackthread.control import state_machine as machines
 from tamarackthread.control import transport as transports
 
 
@@ -21,7 +21,7 @@
 
     group: str
     node: str
-    machine: machines.Machine
+    machine: machines.StateMachine
     files: disk.Disk
     transport: transports.Transport
     times: timing.Timing
--- a/tamarackthread/control/proposing.py
+++ b/tamarackthread/control/proposing.py
@@ -10,8 +10,8 @@
 from tamarackthread.control import (
     applying,
     failures,
+    leader_term,
     leading,
-    reign,
     replica,
     segments,
 )
@@ -42,7 +42,7 @@
         self,
         state: replica.Replica,
         applier: applying.Applier,
-        leadership: leading.Leadership,
+        leadership: leading.Leader,
     ) -> None:
         """Share the member's state."""
         self._state = state
@@ -53,11 +53,11 @@
         self, command: bytes, timeout_seconds: float
     ) -> ProposeResult:
         """Commit and apply a command as the leader."""
-        term = self._require_reign()
+        term = self._require_leading()
         self._require_size(command)
         self._require_room(term)
         index = self._state.append_own(segments.Kind.COMMAND, command)
-        waiter = term.expect(index)
+        waiter = term.add_proposal(index)
         try:
             async with asyncio.timeout(timeout_seconds):
                 return ProposeResult(index, await waiter)
@@ -83,7 +83,7 @@
             return reply.index
         try:
             async with asyncio.timeout(timeout_seconds):
-                return await self._confirm(self._require_reign())
+                return await self._confirm(self._require_leading())
         except TimeoutError as exc:
             raise failures.NoQuorum from exc
 
@@ -91,7 +91,7 @@
         self, request: messages.ProposeRequest, timeout_seconds: float
     ) -> messages.Reply:
         """Answer another member; an empty command asks for a read's index."""
-        self._require_reign()
+        self._require_leading()
         if not request.command:
             index = await self.read_index(timeout_seconds)
             return messages.Reply(
@@ -118,7 +118,7 @@
             raise errors.FrameInvalid('leader answered something else')
         return reply.propose
 
-    async def _confirm(self, term: reign.Reign) -> int:
+    async def _confirm(self, term: leader_term.LeaderTerm) -> int:
         """Prove that this member still leads, by its lease or by asking.
 
         A suspended host wakes with the clock that it fell asleep with, and
@@ -126,7 +126,7 @@
         may happen, only answers to what was sent after the read began count.
         """
         await self._applier.wait(term.first_index)
-        if term.over.is_set():
+        if term.ended.is_set():
             raise failures.NotLeader(leader=self._state.leader)
         index = self._state.commit_index
         began = self._state.now
@@ -143,28 +143,32 @@
                 task.cancel()
         return index
 
-    def _has_lease(self, term: reign.Reign, now: float) -> bool:
+    def _has_lease(self, term: leader_term.LeaderTerm, now: float) -> bool:
         if not self._state.parts.times.is_lease_trusted:
             return False
         return term.lease_until(self._state.membership, now) > now
 
-    async def _await_quorum(self, term: reign.Reign, began: float) -> None:
+    async def _await_quorum(
+        self, term: leader_term.LeaderTerm, began: float
+    ) -> None:
         while True:
-            if term.over.is_set():
+            if term.ended.is_set():
                 raise failures.NotLeader(leader=self._state.leader)
             members = self._state.membership
-            if term.quorum_heard_at(members, self._state.now) >= began:
+            if term.quorum_acked_at(members, self._state.now) >= began:
                 return
-            term.answered.clear()
+            term.responded.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._state.parts.times.heartbeat):
-                    await term.answered.wait()
+                    await term.responded.wait()
 
-    def _require_reign(self) -> reign.Reign:
-        term = self._state.reign
+    def _require_leading(self) -> leader_term.LeaderTerm:
+        term = self._state.leader_term
         if term is None:
             raise failures.NotLeader(leader=self._state.leader)
-        abandoned = term.is_abandoned(self._state.membership, self._state.now)
+        abandoned = term.has_lost_quorum(
+            self._state.membership, self._state.now
+        )
         if term.is_handing_over or abandoned:
             raise failures.NotLeader('leadership is ending')
         return term
@@ -181,9 +185,9 @@
                 f'{len(command)} bytes, at most {limit}'
             )
 
-    def _require_room(self, term: reign.Reign) -> None:
+    def _require_room(self, term: leader_term.LeaderTerm) -> None:
         state = self._state
-        if term.waiting >= state.parts.times.pending_proposals:
+        if term.pending_proposals >= state.parts.times.pending_proposals:
             raise failures.TooManyProposals
         room = state.parts.files.free_bytes()
         if state.log.is_full or room < state.parts.times.reserve_bytes:
--- a/tamarackthread/control/reads.py
+++ b/tamarackthread/control/reads.py
@@ -46,7 +46,7 @@
         return []
     if not request.history:
         return [latest] if latest.body else []
-    earlier = machine.history.of(request.kind, request.name)
+    earlier = machine.history.versions_of(request.kind, request.name)
     return _newest_within_page([*earlier, latest])
 
 
--- a/tamarackthread/control/reconfiguration.py
+++ b/tamarackthread/control/reconfiguration.py
@@ -8,8 +8,8 @@
 
 from tamarackthread.control import (
     failures,
+    leader_term,
     membership,
-    reign,
     replica,
     segments,
 )
@@ -48,7 +48,11 @@
     if state.membership.find(node) is not None:
         raise failures.MemberChangeRefused(f'{node} is a member already')
     fresh = membership.Member(node=node, address=address)
-    _write(state, state.membership.put(fresh), f'{node} is added as a learner')
+    _write(
+        state,
+        state.membership.with_member(fresh),
+        f'{node} is added as a learner',
+    )
 
 
 def join(state: replica.Replica, node: str, address: str) -> None:
@@ -58,11 +62,11 @@
     one voter more, of which one is always lost, and the next loss would stop
     the group.  A voter that was only silent asks to join when it is back.
     """
-    if state.reign is None:
+    if state.leader_term is None:
         raise failures.NotLeader(leader=state.leader)
     if state.membership.find(node) is not None:
         return
-    silent = _silent_voter(state, state.reign)
+    silent = _silent_voter(state, state.leader_term)
     if silent:
         replace(state, silent, node, address)
         return
@@ -74,7 +78,7 @@
     _require_settled(state)
     if state.membership.find(node) is None:
         raise failures.MemberChangeRefused(f'{node} is not a member')
-    left = state.membership.drop(node)
+    left = state.membership.without(node)
     if not left.voters:
         raise failures.MemberChangeRefused('the last voter stays')
     _write(state, left, f'{node} is removed')
@@ -97,10 +101,14 @@
         if state.membership.find(node) is not None:
             raise failures.MemberChangeRefused(f'{node} is a member already')
         fresh = membership.Member(node=node, address=address, replaces=old)
-    _write(state, state.membership.put(fresh), f'{node} is to replace {old}')
+    _write(
+        state,
+        state.membership.with_member(fresh),
+        f'{node} is to replace {old}',
+    )
 
 
-def advance(state: replica.Replica, term: reign.Reign) -> None:
+def advance(state: replica.Replica, term: leader_term.LeaderTerm) -> None:
     """Take the next step towards the members that were asked for.
 
     The wish is in the log, so that the next leader goes on with it.  A step
@@ -139,31 +147,31 @@
     )
 
 
-def _let_go(state: replica.Replica, term: reign.Reign) -> None:
+def _let_go(state: replica.Replica, term: leader_term.LeaderTerm) -> None:
     """Remove a voter that is silent, while enough others are left.
 
     A voter more than the group needs is one that may be lost.  One that was
     taken away for good would count against the others for ever.
     """
-    least = state.parts.times.voters_least
+    least = state.parts.times.min_voters
     if not least or len(state.membership.voters) <= least:
         return
     silent = _silent_voter(state, term)
     if silent:
-        left = state.membership.drop(silent)
+        left = state.membership.without(silent)
         _write(state, left, f'{silent} is silent and is let go')
 
 
-def _silent_voter(state: replica.Replica, term: reign.Reign) -> str:
+def _silent_voter(state: replica.Replica, term: leader_term.LeaderTerm) -> str:
     """Return a voter that has not answered for long, empty if there is none."""
     for voter in state.membership.voters:
         if voter.node == state.parts.node:
             continue
         held = term.progress.get(voter.node)
-        heard_at = term.began_at
+        heard_at = term.elected_at
         if held is not None:
             heard_at = max(heard_at, held.acked_at)
-        if state.now - heard_at > state.parts.times.gone:
+        if state.now - heard_at > state.parts.times.voter_timeout:
             return voter.node
     return ''
 
@@ -172,9 +180,9 @@
     if row.node == state.parts.node:
         row.match_index = state.log.durable_index
         return
-    if state.reign is None:
+    if state.leader_term is None:
         return
-    held = state.reign.progress.get(row.node)
+    held = state.leader_term.progress.get(row.node)
     if held is None:
         return
     row.match_index = held.match_index
@@ -182,13 +190,15 @@
 
 
 def _next_step(
-    state: replica.Replica, term: reign.Reign, member: membership.Member
+    state: replica.Replica,
+    term: leader_term.LeaderTerm,
+    member: membership.Member,
 ) -> tuple[membership.Membership | None, str]:
     held = term.progress.get(member.node)
     members = state.membership
     if member.voter and member.replaces:
         settled = attrs.evolve(member, replaces='')
-        left = members.put(settled).drop(member.replaces)
+        left = members.with_member(settled).without(member.replaces)
         return left, f'{member.node} has replaced {member.replaces}'
     if held is None or not held.disk_id:
         return None, ''
@@ -196,10 +206,12 @@
         # The host came back with another disk and none of its promises.  It
         # counts again only after it has caught up as a learner.
         learner = attrs.evolve(member, disk_id=held.disk_id, voter=False)
-        return members.put(learner), f'{member.node} has a new disk'
+        return members.with_member(learner), f'{member.node} has a new disk'
     if not member.voter and held.match_index >= state.commit_index:
         voter = attrs.evolve(member, voter=True)
-        return members.put(voter), f'{member.node} has caught up and votes'
+        return members.with_member(
+            voter
+        ), f'{member.node} has caught up and votes'
     return None, ''
 
 
@@ -213,7 +225,7 @@
 
 
 def _is_settled(state: replica.Replica) -> bool:
-    term = state.reign
+    term = state.leader_term
     if term is None:
         return False
     # Without a committed entry of its own term a leader may not know of a
@@ -223,7 +235,7 @@
 
 
 def _require_settled(state: replica.Replica) -> None:
-    if state.reign is None:
+    if state.leader_term is None:
         raise failures.NotLeader(leader=state.leader)
     if not _is_settled(state):
         raise failures.MemberChangeRefused('another change is under way')
--- a/tamarackthread/control/replica.py
+++ b/tamarackthread/control/replica.py
@@ -9,10 +9,10 @@
 from tamarackthread.control import (
     election_timer,
     hard_state,
+    leader_term,
     log,
     member_history,
     membership,
-    reign,
     role,
     segments,
     snapshots,
@@ -37,16 +37,16 @@
         self._log = log.Log(
             segments.Segments(parts.files, parts.times.segment_bytes),
             parts.times,
-            self.lead_commit,
+            self.advance_commit,
         )
         self._snapshots = snapshots.SnapshotStore(parts.files)
         self._members = member_history.MemberHistory(parts)
         self._timer = election_timer.ElectionTimer(parts.times, parts.rng)
         self._role = role.Role()
-        self._reign: reign.Reign | None = None
+        self._leader_term: leader_term.LeaderTerm | None = None
         self._leader = ''
         self._commit_index = 0
-        self._verified_index = 0
+        self._matched_index = 0
         self._committed = asyncio.Event()
 
     @property
@@ -90,9 +90,9 @@
         return self._role
 
     @property
-    def reign(self) -> reign.Reign | None:
+    def leader_term(self) -> leader_term.LeaderTerm | None:
         """Return the term that this member leads, ``None`` if it doesn't."""
-        return self._reign
+        return self._leader_term
 
     @property
     def leader(self) -> str:
@@ -131,14 +131,14 @@
         snapshot = await self._snapshots.load()
         meta = self._snapshots.meta
         held = snapshot.members if snapshot else membership.Membership()
-        self._members.begin(meta.last_index, held, keep_later=False)
+        self._members.reset(meta.last_index, held, keep_later=False)
         self._commit_index = meta.last_index
         await self._log.load(meta.last_index, meta.last_term)
         for index in range(meta.last_index + 1, self._log.last_index + 1):
-            self._members.note(self._log.entry(index))
+            self._members.record(self._log.entry(index))
         if self._log.last_term > self._hard.term:
             self._hard.advance(self._log.last_term)
-        self._timer.restart()
+        self._timer.start()
         return snapshot
 
     def append(
@@ -147,7 +147,7 @@
         """Add entries to the log; members in them are in force at once."""
         ticket = self._log.append(entries)
         for entry in entries:
-            self._members.note(entry)
+            self._members.record(entry)
         return ticket
 
     def append_own(self, kind: segments.Kind, command: bytes) -> int:
@@ -159,8 +159,8 @@
             command=command,
         )
         self.append([entry])
-        if self._reign is not None:
-            self._reign.wake_all()
+        if self._leader_term is not None:
+            self._leader_term.wake_peers()
         return entry.index
 
     def truncate(self, index: int) -> None:
@@ -168,14 +168,14 @@
         if index <= self._commit_index:
             raise RuntimeError(f'entry {index} is committed')
         self._log.truncate(index)
-        self._members.cut(index)
+        self._members.truncate(index)
 
     def adopt_snapshot(self, snapshot: snapshots.Snapshot) -> None:
         """Continue from a snapshot that was received and lasts."""
         index = snapshot.meta.last_index
         self._log.reset(index, snapshot.meta.last_term)
         is_log_kept = self._log.last_index > index
-        self._members.begin(index, snapshot.members, keep_later=is_log_kept)
+        self._members.reset(index, snapshot.members, keep_later=is_log_kept)
         self._commit_index = max(self._commit_index, index)
 
     def adopt_term(self, term: int, vote: str = '') -> None:
@@ -183,14 +183,14 @@
         if term > self._hard.term:
             self.step_down(f'term {term} has begun')
             self._leader = ''
-            self._verified_index = 0
+            self._matched_index = 0
         self._hard.advance(term, vote)
 
-    def begin_reign(self) -> reign.Reign:
+    def become_leader(self) -> leader_term.LeaderTerm:
         """Lead the term that this member was just elected in."""
         self._role.move('win')
         self._leader = self._parts.node
-        self._reign = reign.Reign(
+        self._leader_term = leader_term.LeaderTerm(
             self._parts.node,
             self._hard.term,
             self._parts.times,
@@ -198,11 +198,11 @@
             self.now,
         )
         self.append_own(segments.Kind.NOOP, b'')
-        return self._reign
+        return self._leader_term
 
     def step_down(self, why: str) -> None:
         """Become a follower."""
-        if self._reign is not None:
+        if self._leader_term is not None:
             _log.warning(
                 'consensus: %s no longer leads %s in term %d: %s',
                 self._parts.node,
@@ -211,21 +211,21 @@
                 why,
             )
             self._leader = ''
-            self._reign.end()
-            self._reign = None
+            self._leader_term.end()
+            self._leader_term = None
         self._role.move('follow')
-        self._timer.put_off()
+        self._timer.reset()
 
-    def hear(self, leader: str) -> None:
+    def follow(self, leader: str) -> None:
         """Note that the leader of this term has just spoken."""
         if self._role.state != role.FOLLOWER:
             self.step_down(f'{leader} leads')
         self._leader = leader
-        self._timer.hear()
+        self._timer.record_contact()
 
-    def verify(self, index: int) -> None:
+    def record_match(self, index: int) -> None:
         """Note that the log agrees with this term's leader up to an index."""
-        self._verified_index = max(self._verified_index, index)
+        self._matched_index = max(self._matched_index, index)
 
     def commit(self, index: int) -> None:
         """Commit up to an index, no further than the leader's log is known.
@@ -233,16 +233,16 @@
         A late message may tell a member whose log was lost, or differs, a
         commit index that its own entries have nothing to do with.
         """
-        index = min(index, self._verified_index)
+        index = min(index, self._matched_index)
         if index > self._commit_index:
             self._commit_index = index
             self._committed.set()
 
-    def lead_commit(self) -> None:
+    def advance_commit(self) -> None:
         """As leader, commit what a quorum holds on disk."""
-        if self._reign is None:
+        if self._leader_term is None:
             return
-        index = self._reign.quorum_index(
+        index = self._leader_term.quorum_index(
             self.membership, self._log.durable_index
         )
         # An entry of an older term may be on a quorum and still be replaced;
@@ -253,4 +253,4 @@
             return
         self._commit_index = index
         self._committed.set()
-        self._reign.wake_all()
+        self._leader_term.wake_peers()
--- a/tamarackthread/control/replication.py
+++ b/tamarackthread/control/replication.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from tamarackthread.control import failures, membership, reign, replica
+from tamarackthread.control import failures, leader_term, membership, replica
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors
 
 
-class PeerTasks:
+class PeerReplicator:
     """Run a leader's two tasks for one other member during one term.
 
     Heartbeats have a task of their own: a batch of entries that waits for a
@@ -17,15 +17,15 @@
     """
 
     def __init__(
-        self, state: replica.Replica, term: reign.Reign, node: str
+        self, state: replica.Replica, term: leader_term.LeaderTerm, node: str
     ) -> None:
         """Begin behind the end of the leader's log."""
         self._state = state
-        self._reign = term
+        self._leader_term = term
         self._node = node
         # The entry that opened this term is sent first.  A member that lacks
         # what came before it says so, where a bare heartbeat would not.
-        self._progress = reign.Progress(next_index=term.first_index)
+        self._progress = leader_term.Progress(next_index=term.first_index)
         term.progress[node] = self._progress
         self._round = 0
 
@@ -106,7 +106,7 @@
         self._round += 1
         return messages.AppendRequest(
             group=self._state.parts.group,
-            term=self._reign.term,
+            term=self._leader_term.term,
             leader=self._state.parts.node,
             previous_index=previous,
             previous_term=previous_term,
@@ -121,7 +121,7 @@
         """Send one request and learn from its reply; ``False`` if none."""
         # A heartbeat after the lease was given up would make the voters wait
         # again for a leader that is about to stop.
-        if self._reign.is_released and not request.release_lease:
+        if self._leader_term.is_released and not request.release_lease:
             return False
         sent_at = self._state.now
         try:
@@ -133,26 +133,26 @@
             return False
         except errors.CodedError:
             return False
-        if reply.append is None or self._reign.over.is_set():
+        if reply.append is None or self._leader_term.ended.is_set():
             return False
-        self._learn(request, reply.append, sent_at)
+        self._handle_reply(request, reply.append, sent_at)
         return True
 
-    def _learn(
+    def _handle_reply(
         self,
         request: messages.AppendRequest,
         reply: messages.AppendReply,
         sent_at: float,
     ) -> None:
-        if reply.term > self._reign.term:
+        if reply.term > self._leader_term.term:
             self._state.adopt_term(reply.term)
             return
-        if reply.term != self._reign.term:
+        if reply.term != self._leader_term.term:
             return
         progress = self._progress
-        progress.note_disk(reply.disk_id, reply.last_index)
+        progress.check_disk(reply.disk_id, reply.last_index)
         progress.acked_at = max(progress.acked_at, sent_at)
-        self._reign.answered.set()
+        self._leader_term.responded.set()
         if reply.success:
             self._advance(request, reply.last_index)
             return
@@ -164,7 +164,7 @@
         progress.next_index = max(progress.next_index, matched + 1)
         if request.entries:
             progress.is_full = False
-        self._state.lead_commit()
+        self._state.advance_commit()
 
     def _back_up(
         self, request: messages.AppendRequest, reply: messages.AppendReply
@@ -206,7 +206,7 @@
         members = self._state.members.at(meta.last_index)
         request = messages.SnapshotRequest(
             group=self._state.parts.group,
-            term=self._reign.term,
+            term=self._leader_term.term,
             leader=self._state.parts.node,
             last_index=meta.last_index,
             last_term=meta.last_term,
@@ -228,9 +228,9 @@
         except errors.CodedError:
             return None
         answer = reply.snapshot
-        if answer is None or self._reign.over.is_set():
+        if answer is None or self._leader_term.ended.is_set():
             return None
-        if answer.term > self._reign.term:
+        if answer.term > self._leader_term.term:
             self._state.adopt_term(answer.term)
             return None
         return answer
--- a/tamarackthread/control/segments.py
+++ b/tamarackthread/control/segments.py
@@ -26,7 +26,7 @@
     COMMAND = 0
     NOOP = 1
     MEMBERS = 2
-    CUT = 3  # on disk only: entries from this index on are void
+    TRUNCATE = 3  # on disk only: entries from this index on are void
 
 
 @attrs.define
@@ -80,7 +80,7 @@
             segment.last_index = max(segment.last_index, entry.index)
         await self._sync(segment.name)
 
-    async def forget(self, index: int) -> None:
+    async def compact(self, index: int) -> None:
         """Remove the files that hold nothing after ``index``."""
         while len(self._segments) > 1 and self._segments[0].last_index <= index:
             await self._files.remove(self._segments[0].name)
@@ -126,7 +126,7 @@
 def _replay(
     entry: messages.LogEntry, entries: list[messages.LogEntry], name: str
 ) -> None:
-    if entry.kind == Kind.CUT:
+    if entry.kind == Kind.TRUNCATE:
         while entries and entries[-1].index >= entry.index:
             entries.pop()
         return
--- a/tamarackthread/control/shards.py
+++ b/tamarackthread/control/shards.py
@@ -4,7 +4,7 @@
 
 import json
 
-from tamarackthread.control import configuration, proposer
+from tamarackthread.control import config_proposer, configuration
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents
 
@@ -18,7 +18,7 @@
 
 async def ensure(
     machine: configuration.Configuration,
-    propose: proposer.Proposer,
+    propose: config_proposer.ConfigProposer,
     count: int,
 ) -> None:
     """Write a document for each group unless there are any already.
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -60,7 +60,7 @@
     election_max=1.2,
     drift=0.15,
     append_timeout=1.5,
-    stall=0.6,
+    stall_timeout=0.6,
     segment_bytes=1 << 20,
     # A host that starts knows only of its snapshot that it was committed; the
     # rest of its log waits for a leader.  With each change in a snapshot the
@@ -69,12 +69,12 @@
     snapshot_bytes=2 << 20,
     trailing_entries=50,
     reserve_bytes=4 << 20,
-    handover=1.5,
+    handover_timeout=1.5,
     is_lease_trusted=False,
 )
 # Two candidates that stand within 10 ms of each other share the votes and try
 # again; with this spread one pair in six does.
-HURRY_SECONDS = 0.12
+SHORT_ELECTION_SECONDS = 0.12
 _log = logging.getLogger('tamarackthread.control')
 
 
@@ -138,7 +138,7 @@
         known = site_directory.SiteDirectory(self._machine, reader)
         self._known = known
         self._targets = target_file.TargetFile(
-            disk.FolderDisk(self._folder.of_group(TARGETS))
+            disk.FolderDisk(self._folder.group_path(TARGETS))
         )
         self._follower = following.Follower(
             self._site, self._links, known, self._address
@@ -216,7 +216,7 @@
             group=GROUP,
             node=self._node,
             machine=self._machine,
-            disk=disk.FolderDisk(self._folder.of_group(GROUP)),
+            disk=disk.FolderDisk(self._folder.group_path(GROUP)),
             transport=transport.LinkTransport(self._links),
             members=self._founders(),
             timing=group_timing(self._site),
@@ -297,8 +297,10 @@
     """
     return attrs.evolve(
         TIMES,
-        voters_least=2 * site.lost_hosts + 1,
-        hurry=HURRY_SECONDS if site.engines_check_fences else 0,
+        min_voters=2 * site.lost_hosts + 1,
+        short_election_max=SHORT_ELECTION_SECONDS
+        if site.engines_check_fences
+        else 0,
     )
 
 
--- a/tamarackthread/control/site/machine.py
+++ b/tamarackthread/control/site/machine.py
@@ -5,7 +5,7 @@
 import collections.abc
 import struct
 
-from tamarackthread.control import machine
+from tamarackthread.control import state_machine
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, wire
 from tamarackthread.shared.site import document, zones
@@ -20,7 +20,7 @@
 OnChange = collections.abc.Callable[[], None]
 
 
-class SiteMachine(machine.Machine):
+class SiteMachine(state_machine.StateMachine):
     """Hold one document, replaced only by one with a higher version.
 
     Operators race each other and send again what they had no answer to.  With
@@ -75,7 +75,7 @@
 
     def restore(self, data: bytes) -> None:
         """Take the document and the zones of a snapshot."""
-        with machine.reading_snapshot():
+        with state_machine.reading_snapshot():
             held, rows = _read_snapshot(data)
         self._zones = zones.Zones()
         for row in rows:
--- a/tamarackthread/control/machine.py
+++ b/tamarackthread/control/state_machine.py
@@ -9,7 +9,6 @@
 
 from tamarackthread.shared import errors
 
-
 _NO_STATE = (TypeError, ValueError, OverflowError, struct.error)
 
 
@@ -19,7 +18,7 @@
     code = 'TT3012'
 
 
-class Machine(abc.ABC):
+class StateMachine(abc.ABC):
     """Hold the state that every member of a group derives from its log.
 
     All methods run on the event loop and must not await, read a clock, draw
--- a/tamarackthread/control/targets.py
+++ b/tamarackthread/control/targets.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from tamarackthread.control import configuration, proposer
+from tamarackthread.control import config_proposer, configuration
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents, errors, subtree
@@ -45,7 +45,9 @@
 class DocumentWriter:
     """Write the documents of one kind that processes announce."""
 
-    def __init__(self, kind: str, propose: proposer.Proposer) -> None:
+    def __init__(
+        self, kind: str, propose: config_proposer.ConfigProposer
+    ) -> None:
         """Write through ``propose``."""
         self._kind = kind
         self._propose = propose
--- a/tamarackthread/control/timing.py
+++ b/tamarackthread/control/timing.py
@@ -13,12 +13,12 @@
     share by which two hosts' clocks may differ in rate; the leader's lease is
     shorter than the voters' silence by this share.  ``is_lease_trusted`` says
     whether reads rest on the leader's lease: not where a host may be suspended
-    with its clock.  A voter that is silent for ``gone`` makes room for another
-    that joins, and is let go while more than ``voters_least`` are left; 0
+    with its clock.  A voter that is silent for ``voter_timeout`` makes room for another
+    that joins, and is let go while more than ``min_voters`` are left; 0
     leaves that to operators.
 
     A member that has no leader to wait for, because it has just started or its
-    leader's process is gone, stands within ``hurry``.  0 makes it wait as if it
+    leader's process is gone, stands within ``short_election_max``.  0 makes it wait as if it
     had heard a leader a moment ago, which whoever counts on the lease needs.
     """
 
@@ -27,7 +27,7 @@
     election_max: float = 1.5
     drift: float = 0.1
     append_timeout: float = 3.0
-    stall: float = 0.8
+    stall_timeout: float = 0.8
     batch_entries: int = 512
     batch_bytes: int = 256 << 10
     command_bytes: int = 512 << 10
@@ -38,11 +38,11 @@
     trailing_entries: int = 2_000
     reserve_bytes: int = 16 << 20
     pending_proposals: int = 8_192
-    handover: float = 3.0
+    handover_timeout: float = 3.0
     is_lease_trusted: bool = True
-    gone: float = 1.5
-    voters_least: int = 0
-    hurry: float = 0
+    voter_timeout: float = 1.5
+    min_voters: int = 0
+    short_election_max: float = 0
 
     @property
     def lease(self) -> float:
--- a/tamarackthread/control/transport.py
+++ b/tamarackthread/control/transport.py
@@ -23,7 +23,7 @@
     ) -> messages.Reply:
         """Send one request; raise a coded error unless it was answered."""
 
-    def learn(self, node: str, address: str) -> None:  # noqa: B027
+    def set_address(self, node: str, address: str) -> None:  # noqa: B027
         """Note where a node listens, as the group's members have agreed."""
 
 
@@ -31,7 +31,7 @@
     """Reach members over the process's shared links."""
 
     def __init__(self, links: peers.Peers) -> None:
-        """Start without addresses; groups teach them through ``learn``."""
+        """Start without addresses; groups teach them through ``set_address``."""
         self._links = links
         self._addresses: dict[str, str] = {}
 
@@ -56,6 +56,6 @@
         except (OSError, EOFError) as exc:
             raise errors.LinkLost(f'{node}: {exc}') from exc
 
-    def learn(self, node: str, address: str) -> None:
+    def set_address(self, node: str, address: str) -> None:
         """Use this address for the node from now on."""
         self._addresses[node] = address
--- a/tamarackthread/control/voting.py
+++ b/tamarackthread/control/voting.py
@@ -15,14 +15,14 @@
     # While a leader may hold a lease that this voter supports, a candidate is
     # not even told of a newer term: it would depose a working leader, and two
     # leaders would hold a lease at once.
-    if hears_leader(state):
+    if has_active_leader(state):
         return _reply(state, granted=False)
     if request.term > state.hard.term:
         state.adopt_term(request.term)
     if _may_vote(state, request):
         state.hard.advance(request.term, request.candidate)
-        state.timer.put_off()
-    await state.hard.settle()
+        state.timer.reset()
+    await state.hard.persist()
     granted = (state.hard.term, state.hard.vote) == (
         request.term,
         request.candidate,
@@ -30,11 +30,11 @@
     return _reply(state, granted)
 
 
-def hears_leader(state: replica.Replica) -> bool:
+def has_active_leader(state: replica.Replica) -> bool:
     """Say whether a leader's lease may still rest on this voter."""
-    if state.role.leads and state.reign is not None:
-        return not state.reign.is_handing_over
-    return state.timer.is_leader_heard
+    if state.role.leads and state.leader_term is not None:
+        return not state.leader_term.is_handing_over
+    return state.timer.is_leader_active
 
 
 def is_up_to_date(
@@ -48,7 +48,7 @@
 
 
 def _would_vote(state: replica.Replica, request: messages.VoteRequest) -> bool:
-    if hears_leader(state) or request.term <= state.hard.term:
+    if has_active_leader(state) or request.term <= state.hard.term:
         return False
     return is_up_to_date(state, request.last_term, request.last_index)
 
--- a/tests/consensus_net.py
+++ b/tests/consensus_net.py
@@ -14,14 +14,14 @@
 import async_solipsism
 
 from bench.history import disks, network
-from tamarackthread.control import consensus, machine, timing
+from tamarackthread.control import consensus, state_machine, timing
 
 GROUP = 'config'
 NODES = ('h1', 'h2', 'h3')
 PATIENCE_SECONDS = 30
 
 
-class Rows(machine.Machine):
+class Rows(state_machine.StateMachine):
     """Keep every command; the result is how many there are."""
 
     def __init__(self) -> None:
@@ -47,7 +47,9 @@
 
     def __init__(
         self,
-        machine_of: collections.abc.Callable[[], machine.Machine] = Rows,
+        machine_of: collections.abc.Callable[
+            [], state_machine.StateMachine
+        ] = Rows,
         **times: float,
     ) -> None:
         """Use a timing that differs by ``times``."""
--- a/tests/test_claim_group.py
+++ b/tests/test_claim_group.py
@@ -22,10 +22,10 @@
     election_min=0.05,
     election_max=0.08,
     snapshot_entries=8,
-    handover=0.05,
+    handover_timeout=0.05,
     # These tests write to a real disk, which may take a second for a sync beside
     # other work; a leader would give up on it and leave a claim in doubt.
-    stall=600.0,
+    stall_timeout=600.0,
 )
 KEY = b'k' * 16
 State = messages.ClaimState
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -148,7 +148,7 @@
         digest = xxhash.xxh3_64_intdigest
         self.assertEqual(digest(state), digest(other.machine.snapshot()))
         self.assertEqual(state, self.log.machine.snapshot())
-        history = self.log.machine.history.of('profile', 'p')
+        history = self.log.machine.history.versions_of('profile', 'p')
         self.assertEqual([held.body for held in history], ['{"a":1}'])
 
     def test_nonsense_is_answered(self):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -105,7 +105,7 @@
         carrier = transport.LinkTransport(links)
         with self.assertRaises(errors.AddressUnreachable):
             await carrier.call('h9', messages.Request(), 1)
-        carrier.learn('h9', 'loopback:1')
+        carrier.set_address('h9', 'loopback:1')
         with self.assertRaises(errors.RequestTimeout):
             await carrier.call('h9', messages.Request(), 1)
 
--- a/tests/test_log_files.py
+++ b/tests/test_log_files.py
@@ -164,7 +164,7 @@
         platter, store = await self._store()
         await store.append(entries(1, 10))
         cut = messages.LogEntry(
-            index=4, term=0, kind=segments.Kind.CUT, command=b''
+            index=4, term=0, kind=segments.Kind.TRUNCATE, command=b''
         )
         await store.append([cut, *entries(4, 2)])
         _store, held = await self._again(platter)
--- a/tests/test_lost_leader.py
+++ b/tests/test_lost_leader.py
@@ -7,7 +7,7 @@
 
 from tests import consensus_net
 
-HURRY = 0.12
+SHORT_ELECTION = 0.12
 # What the old wait took: a voter's silence, and the spread of candidates.
 ELECTION = (0.7, 1.2)
 TIMES = types.MappingProxyType(
@@ -62,7 +62,7 @@
 
     async def _killed(self) -> None:
         for _ in range(20):
-            net = await _started(hurry=HURRY)
+            net = await _started(short_election_max=SHORT_ELECTION)
             old = await net.leader()
             # Followers have settled into their wait for a silent leader.
             await asyncio.sleep(3)
@@ -74,7 +74,7 @@
             _stop(net)
 
     async def _alive(self) -> None:
-        net = await _started(hurry=HURRY)
+        net = await _started(short_election_max=SHORT_ELECTION)
         old = await net.leader()
         term = net.processes[old].term
         await _tell_closed(net, old)
@@ -83,18 +83,18 @@
         self.assertEqual(term, net.processes[old].term)
 
     async def _alive_to_one(self) -> None:
-        net = await _started(hurry=HURRY)
+        net = await _started(short_election_max=SHORT_ELECTION)
         old = await net.leader()
         term = net.processes[old].term
         one = next(node for node in net.processes if node != old)
-        net.state(one).timer.hurry()
+        net.state(one).timer.shorten()
         net.network.cut(one, old)
         net.network.cut(old, one)
         await asyncio.sleep(3)
         self.assertEqual(term, net.processes[old].term)
 
     async def _all_killed(self) -> None:
-        net = await _started(hurry=HURRY)
+        net = await _started(short_election_max=SHORT_ELECTION)
         await net.leader()
         for _ in range(20):
             net.kill(*net.processes)
@@ -106,7 +106,7 @@
             self.assertLess(_now() - began, ELECTION[0])
 
     async def _trusted(self) -> None:
-        net = await _started(hurry=0)
+        net = await _started(short_election_max=0)
         old = await net.leader()
         net.kill(old)
         await _tell_closed(net, old)
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -167,7 +167,7 @@
         self.run_paused(self._invalid())
 
     async def _joining(self):
-        net = consensus_net.Net(voters_least=3)
+        net = consensus_net.Net(min_voters=3)
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
         lost = next(node for node in consensus_net.NODES if node != leader)
@@ -179,7 +179,7 @@
         await net.until(lambda: _voters(net, leader) == wanted)
 
     async def _let_go(self):
-        net = consensus_net.Net(voters_least=3)
+        net = consensus_net.Net(min_voters=3)
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
         await net.start('h4', named=False)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -5,8 +5,8 @@
 import unittest
 
 from tamarackthread.control import (
+    config_proposer,
     leadership,
-    proposer,
     source,
     status,
     targets,
@@ -37,7 +37,7 @@
     def __init__(self):
         self.log = test_configuration.Log()
         self.group = Group(self.log)
-        propose = proposer.Proposer(self.group, float)
+        propose = config_proposer.ConfigProposer(self.group, float)
         self.written = targets.DocumentWriter('target', propose)
         self.targets = targets.Targets(self.log.machine, self.written)
         self.below = subtree.Subtree()
