--- a/tamarackthread/control/consensus.py
+++ b/tamarackthread/control/consensus.py
@@ -1,4 +1,4 @@
-"""Run one replicated log on this control host."""
+"""Run this control host's member of a replicated log."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Consensus:
-    """This host's member of one group, a log replicated by a quorum."""
+    """A member of one Raft group: a log replicated to a quorum."""
 
     def __init__(  # noqa: WPS211  one settled interface, all by keyword
         self,
@@ -47,10 +47,10 @@
         timing: timing.Timing,  # noqa: WPS442
         rng: random.Random,
     ) -> None:
-        """Touch nothing until ``start``.
+        """Store the parts; ``start`` reads the disk.
 
-        ``members`` maps nodes to addresses for the first formation of the
-        group; it's empty for a host that is added to a running group.
+        ``members`` maps nodes to addresses to bootstrap a new group; it is
+        empty for a host that joins an existing one.
         """
         self._state = replica.Replica(
             parts.Parts(
@@ -73,7 +73,7 @@
             self._state, self._applier, self._leadership
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._reason: Exception | None = failures.ConsensusStopped(
+        self._stop_reason: Exception | None = failures.ConsensusStopped(
             'not started'
         )
 
@@ -84,12 +84,12 @@
 
     @property
     def leader(self) -> str:
-        """Return the node believed to lead, empty if none is known."""
+        """Return the node of the known leader, empty if none is known."""
         return self._state.leader
 
     @property
     def is_leader(self) -> bool:
-        """Say whether this member leads and has no reason to doubt it."""
+        """Return whether this member leads and a quorum still answers it."""
         term = self._state.leader_term
         if term is None:
             return False
@@ -97,62 +97,59 @@
 
     @property
     def term(self) -> int:
-        """Return the newest term seen."""
+        """Return the current term."""
         return self._state.hard.term
 
     @property
     def commit_index(self) -> int:
-        """Return the index up to which entries are known committed."""
+        """Return the index of the last entry known to be committed."""
         return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """Return the index that the machine's state is at."""
+        """Return the index of the last entry applied to the machine."""
         return self._applier.applied_index
 
     @property
     def disk_id(self) -> bytes:
-        """Return the identity of this member's disk."""
+        """Return the random identity of this member's disk."""
         return self._state.hard.disk_id
 
     @property
     def failure(self) -> Exception | None:
-        """Return why this member doesn't run, or ``None`` while it does."""
-        return self._reason
+        """Return why this member is stopped, ``None`` while it runs."""
+        return self._stop_reason
 
     def has_lease(self) -> bool:
-        """Say whether no other member can lead at this moment."""
-        return self._lease_left() > 0
+        """Return whether this member holds the leader lease."""
+        return self._remaining_lease() > 0
 
     def lease_remaining(self) -> float:
-        """Return for how many seconds no other member can lead, 0 if unsure.
-
-        This is a promise: a handover waits until it has run out.
-        """
-        left = self._lease_left()
+        """Return the seconds left of the lease; a handover waits them out."""
+        remaining = self._remaining_lease()
         term = self._state.leader_term
-        if term is None or left <= 0:
+        if term is None or remaining <= 0:
             return 0
-        term.promise_lease(self._state.now + left)
-        return left
+        term.promise_lease(self._state.now + remaining)
+        return remaining
 
     async def start(self) -> None:
-        """Read the disk and take part; raises ``LogCorrupt`` with the place."""
+        """Load the stored state and join the group; raises ``LogCorrupt``."""
         snapshot = await self._state.load()
         self._applier.restore(snapshot)
-        self._reason = None
-        for work in (
+        self._stop_reason = None
+        for coroutine in (
             self._state.log.write_forever(),
             self._applier.run(),
             election.run(self._state, self._leadership.lead),
         ):
-            task = asyncio.create_task(work)
-            task.add_done_callback(self._on_task_end)
+            task = asyncio.create_task(coroutine)
+            task.add_done_callback(self._on_task_done)
             self._tasks.append(task)
 
     async def stop(self) -> None:
-        """Hand over leadership, if any, and end; doesn't wait for the disk."""
-        if self._reason is None:
+        """Hand over leadership, if held, and stop; no wait for the disk."""
+        if self._stop_reason is None:
             await self._leadership.hand_over()
         self._halt(failures.ConsensusStopped())
         for task in self._tasks:
@@ -161,16 +158,17 @@
         await self._state.parts.files.close()
 
     def abort(self) -> None:
-        """End at once, as a crash would: no handover, nothing awaited."""
+        """Stop at once, as in a crash, without a handover."""
         self._halt(failures.ConsensusStopped('aborted'))
 
     async def propose(
         self, command: bytes, timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
     ) -> proposing.ProposeResult:
-        """Commit and apply a command; only the leader can.
+        """Commit and apply a command as the leader.
 
-        Raises ``NotLeader``, ``DiskFull`` or ``TooManyProposals`` when nothing
-        was proposed, and ``OutcomeUnknown`` when it may yet be committed.
+        Raises ``NotLeader``, ``DiskFull``, ``CommandTooLarge`` or
+        ``TooManyProposals`` if nothing was proposed, and ``OutcomeUnknown``
+        if the command may still be committed.
         """
         self._require_running()
         return await self._proposer.propose(command, timeout_seconds)
@@ -178,39 +176,38 @@
     async def submit(
         self, command: bytes, timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
     ) -> proposing.ProposeResult:
-        """Propose here or at the leader, with the same errors."""
+        """Propose here or at the leader; raises the errors of ``propose``."""
         self._require_running()
         return await self._proposer.submit(command, timeout_seconds)
 
     async def read_barrier(
         self, timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
     ) -> int:
-        """Return an applied index at which a read of the machine is current.
+        """Return an applied index at which reads are linearizable.
 
-        Every change whose acceptance was seen before the call is in it.
-        Raises ``NotLeader`` or ``NoQuorum`` when that can't be known.
+        Raises ``NotLeader`` or ``NoQuorum`` if the leader can't be confirmed.
         """
         self._require_running()
         index = await self._proposer.read_index(timeout_seconds)
-        await self._within(self._applier.wait(index), timeout_seconds)
+        await self._wait(self._applier.wait(index), timeout_seconds)
         return index
 
     async def check_leader(self, node: str) -> None:
-        """Find out whether a member whose connection has closed still leads."""
-        if self._reason is None:
+        """Probe a leader whose connection has closed."""
+        if self._stop_reason is None:
             await election.check(self._state, node)
 
     async def transfer(self) -> None:
-        """Hand leadership to another voter and go on as a follower."""
+        """Hand leadership to another voter and continue as a follower."""
         self._require_running()
         await self._leadership.hand_over()
 
     def members(self) -> list[messages.Member]:
-        """List the members as this one sees them."""
+        """List the members known to this one."""
         return reconfiguration.listing(self._state).members
 
     def add(self, node: str, address: str) -> None:
-        """Add a learner, made a voter by itself once it has caught up."""
+        """Add a learner, promoted to voter once it has caught up."""
         self._require_running()
         reconfiguration.add(self._state, node, address)
 
@@ -220,12 +217,12 @@
         reconfiguration.remove(self._state, node)
 
     def replace(self, old: str, node: str, address: str) -> None:
-        """Have a new member take an old one's place once it has caught up."""
+        """Replace a member by a learner, promoted once it has caught up."""
         self._require_running()
         reconfiguration.replace(self._state, old, node, address)
 
     async def handle(self, request: messages.Request) -> messages.Reply:
-        """Answer another member; a coded error becomes a failure reply."""
+        """Answer a request of another member; coded errors become replies."""
         try:
             return await self._dispatch(request)
         except errors.CodedError as exc:
@@ -234,46 +231,46 @@
     async def _dispatch(self, request: messages.Request) -> messages.Reply:
         self._require_running()
         if request.append is not None:
-            appended = await following.answer(self._state, request.append)
-            return messages.Reply(append=appended)
+            append = await following.answer(self._state, request.append)
+            return messages.Reply(append=append)
         if request.vote is not None:
             vote = await voting.answer(self._state, request.vote)
             return messages.Reply(vote=vote)
         if request.snapshot is not None:
-            part = await self._installer.answer(request.snapshot)
-            return messages.Reply(snapshot=part)
-        return await self._dispatch_asked(request)
+            received = await self._installer.answer(request.snapshot)
+            return messages.Reply(snapshot=received)
+        return await self._dispatch_client(request)
 
-    async def _dispatch_asked(
+    async def _dispatch_client(
         self, request: messages.Request
     ) -> messages.Reply:
-        """Answer what comes on behalf of a caller or an operator."""
+        """Answer forwarded proposals and membership changes."""
         if request.propose is not None:
             return await self._proposer.answer(
                 request.propose, DEFAULT_TIMEOUT_SECONDS
             )
         if request.member is not None:
-            listed = reconfiguration.answer(self._state, request.member)
-            return messages.Reply(member=listed)
+            member = reconfiguration.answer(self._state, request.member)
+            return messages.Reply(member=member)
         raise errors.RequestUnsupported
 
-    def _lease_left(self) -> float:
+    def _remaining_lease(self) -> float:
         term = self._state.leader_term
-        if term is None or self._reason is not None:
+        if term is None or self._stop_reason is not None:
             return 0
-        # Before an entry of its own term is committed, the leader may not
-        # know all that was accepted under the one before.
+        # Until an entry of its own term is committed, a leader may lack
+        # entries committed by its predecessor.
         if self._state.commit_index < term.first_index:
             return 0
         now = self._state.now
         return max(0, term.lease_until(self._state.membership, now) - now)
 
     def _require_running(self) -> None:
-        if self._reason is not None:
-            raise failures.ConsensusStopped(str(self._reason))
+        if self._stop_reason is not None:
+            raise failures.ConsensusStopped(str(self._stop_reason))
 
-    def _on_task_end(self, task: asyncio.Task[None]) -> None:
-        if task.cancelled() or self._reason is not None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        if task.cancelled() or self._stop_reason is not None:
             return
         reason = task.exception()
         _log.critical(
@@ -282,24 +279,28 @@
             self._state.parts.node,
             exc_info=reason,
         )
-        self._halt(failures.ConsensusStopped(f'stopped by: {reason}'))
+        self._halt(
+            failures.ConsensusStopped(f'stopped after an error: {reason}')
+        )
 
     def _halt(self, reason: Exception) -> None:
-        if self._reason is None:
-            self._reason = reason
+        if self._stop_reason is None:
+            self._stop_reason = reason
             self._state.step_down(str(reason))
         for task in self._tasks:
             task.cancel()
         self._state.log.close(reason)
         self._applier.close(reason)
 
-    async def _within(
+    async def _wait(
         self,
-        waiting: collections.abc.Awaitable[None],
+        awaitable: collections.abc.Awaitable[None],
         timeout_seconds: float,
     ) -> None:
         try:
             async with asyncio.timeout(timeout_seconds):
-                await waiting
+                await awaitable
         except TimeoutError as exc:
-            raise failures.NoQuorum('state was not applied in time') from exc
+            raise failures.NoQuorum(
+                'timed out waiting for entries to be applied'
+            ) from exc
--- a/tamarackthread/control/election.py
+++ b/tamarackthread/control/election.py
@@ -1,4 +1,4 @@
-"""Stand for election when no leader is heard."""
+"""Stand for election when the leader is lost."""
 
 from __future__ import annotations
 
@@ -24,16 +24,18 @@
     state: replica.Replica,
     lead: collections.abc.Callable[[], collections.abc.Awaitable[None]],
 ) -> None:
-    """Follow, stand when the leader is silent, and ``lead`` when elected."""
+    """Wait for the election timer, run elections and ``lead`` when elected."""
     while True:
         await state.timer.wait()
         state.timer.back_off()
         try:
-            elected = await _stand(state)
+            elected = await _run_election(state)
         except failures.DiskFull as exc:
-            # The vote can't be made to last, so this member doesn't stand;
-            # it goes on following, and tries again when its turn comes.
-            _log.error('election: %s can not stand: %s', state.parts.node, exc)
+            # A vote that can't be persisted must not count.  The member stays
+            # a follower and retries after its next election timeout.
+            _log.error(
+                'election: %s can not store its vote: %s', state.parts.node, exc
+            )
             state.step_down('own disk is full')
             continue
         if elected:
@@ -41,15 +43,10 @@
 
 
 async def check(state: replica.Replica, leader: str) -> None:
-    """Ask a leader whose connection has closed; stand soon if it is gone.
-
-    A process that was killed closes its connections at once, and its host
-    refuses new ones.  Silence alone would show it only after ``election_min``,
-    for which nobody would own what a leader owns.  A leader that still runs
-    answers, and nothing changes; one that is cut off or suspended closes
-    nothing, so that the usual wait goes on.
-    """
+    """Probe a leader whose connection closed; stand soon if it is gone."""
     times = state.parts.times
+    # A killed process closes its connections; a partitioned or suspended one
+    # doesn't, so that only the full election timeout detects it.
     if not times.short_election_max or leader != state.leader:
         return
     try:
@@ -63,79 +60,79 @@
             state.timer.shorten()
 
 
-async def _stand(state: replica.Replica) -> bool:
+async def _run_election(state: replica.Replica) -> bool:
     if state.is_blank:
         await bootstrap.attempt(state)
-    if not _may_stand(state):
+    if not _can_stand(state):
         return False
-    return await _would_win(state) and await _win(state)
+    return await _win_pre_vote(state) and await _win_vote(state)
 
 
-def _may_stand(state: replica.Replica) -> bool:
+def _can_stand(state: replica.Replica) -> bool:
     if not state.is_voter or state.log.is_full:
         return False
     return not state.log.is_stalled(state.now)
 
 
-async def _would_win(state: replica.Replica) -> bool:
-    """Ask for votes without a new term.
-
-    A member that was cut off would otherwise come back with a higher term
-    and depose a leader that all others hear.
-    """
+async def _win_pre_vote(state: replica.Replica) -> bool:
+    """Run a pre-vote, which leaves the term unchanged."""
+    # Without it, a member back from a partition would depose a working leader
+    # by its higher term.
     term = state.hard.term
-    granted = await _collect(state, _request(state, term + 1, pre_vote=True))
+    granted = await _collect_votes(
+        state, _build_request(state, term + 1, pre_vote=True)
+    )
     return granted and term == state.hard.term
 
 
-async def _win(state: replica.Replica) -> bool:
-    if state.role.state != role.FOLLOWER or not _may_stand(state):
+async def _win_vote(state: replica.Replica) -> bool:
+    if state.role.state != role.FOLLOWER or not _can_stand(state):
         return False
-    # The leader may have been heard again while the others were asked.  Its
-    # lease then rests on this member too, whose own vote would break it.
+    # A heartbeat may have arrived during the pre-vote.  The leader's lease
+    # then depends on this member, and its own vote would break it.
     if voting.has_active_leader(state):
         return False
     term = state.hard.term + 1
     state.adopt_term(term, state.parts.node)
     state.role.move('stand')
-    # The own vote must last like any other: after a crash this member could
-    # vote for somebody else in the same term.
+    # Persist the own vote before counting it: after a crash this member could
+    # otherwise vote twice in the term.
     await state.hard.persist()
     granted = False
     if state.hard.term == term:
-        granted = await _collect(state, _request(state, term))
+        granted = await _collect_votes(state, _build_request(state, term))
     if state.hard.term != term or state.role.state != role.CANDIDATE:
         return False
     if not granted:
-        state.step_down('too few votes')
+        state.step_down('election lost')
     return granted
 
 
-async def _collect(
+async def _collect_votes(
     state: replica.Replica, request: messages.VoteRequest
 ) -> bool:
-    """Ask all other voters at once; return as soon as a quorum agrees."""
+    """Ask all other voters in parallel; return once a quorum has granted."""
     members = state.membership
-    asked = [
-        asyncio.create_task(_ask(state, voter, request))
+    tasks = [
+        asyncio.create_task(_request_vote(state, voter, request))
         for voter in members.voters
         if voter.node != state.parts.node
     ]
     votes = 1
-    waiting = set(asked)
+    pending = set(tasks)
     try:
-        while waiting and votes < members.quorum:
-            done, waiting = await asyncio.wait(
-                waiting, return_when=asyncio.FIRST_COMPLETED
+        while pending and votes < members.quorum:
+            done, pending = await asyncio.wait(
+                pending, return_when=asyncio.FIRST_COMPLETED
             )
             votes += sum(task.result() for task in done)
     finally:
-        for task in asked:
+        for task in tasks:
             task.cancel()
     return votes >= members.quorum
 
 
-async def _ask(
+async def _request_vote(
     state: replica.Replica,
     voter: membership.Member,
     request: messages.VoteRequest,
@@ -152,15 +149,17 @@
         return 0
     if vote.term > state.hard.term:
         state.adopt_term(vote.term)
-    # A host whose disk was wiped has forgotten its votes and its log.  Its
-    # vote as its old self could elect a leader without the last changes.
+    # A wiped disk has lost its votes and its log.  Counting its vote could
+    # elect a leader that lacks committed entries.
     if vote.disk_id != voter.disk_id:
-        _log.warning('election: %s votes from another disk', voter.node)
+        _log.warning(
+            'election: ignored vote of %s from another disk', voter.node
+        )
         return 0
     return int(vote.granted)
 
 
-def _request(
+def _build_request(
     state: replica.Replica, term: int, pre_vote: bool = False
 ) -> messages.VoteRequest:
     return messages.VoteRequest(
--- a/tamarackthread/control/entry_registry.py
+++ b/tamarackthread/control/entry_registry.py
@@ -1,8 +1,6 @@
-"""Keep the entry documents true to what entries announce.
+"""Maintain the replicated documents that list the entries.
 
-Every entry works out its subset of targets from the list of all entries, so
-the list is replicated.  It is written when an entry joins, moves or is gone,
-and costs nothing in between.
+Each entry derives its subset of targets from the whole list.
 """
 
 from __future__ import annotations
@@ -18,43 +16,43 @@
 
 
 class EntryRegistry:
-    """Announce and forget entries as the leader."""
+    """Record announcement entries as the leader."""
 
     def __init__(
         self,
         machine: configuration.Configuration,
-        written: targets.DocumentWriter,
+        writer: targets.DocumentWriter,
     ) -> None:
-        """Write through ``written``; ``machine`` shows what is committed."""
+        """Write through ``writer``; read committed documents of ``machine``."""
         self._machine = machine
-        self._written = written
+        self._writer = writer
 
     async def announce(
         self,
-        announced: messages.Announcement,
+        announcement: messages.Announcement,
         node: str,
     ) -> int:
-        """Record an entry as announced; give the revision that holds it."""
-        wanted = generated.Entry(
-            region=announced.region,
-            zone=announced.zone,
-            address=announced.address,
-            incarnation=announced.incarnation or 0,
+        """Record an entry and return the revision that contains it."""
+        entry = generated.Entry(
+            region=announcement.region,
+            zone=announcement.zone,
+            address=announcement.address,
+            incarnation=announcement.incarnation or 0,
         )
-        body = json.dumps(attrs.asdict(wanted), separators=(',', ':'))
+        body = json.dumps(attrs.asdict(entry), separators=(',', ':'))
         for _ in range(targets.TRIES):
             latest = self._machine.documents.latest(
                 documents.ENTRY,
-                announced.entry,
+                announcement.entry,
             )
             if latest is not None and latest.body == body:
                 return self._machine.documents.revision
             version = 0 if latest is None else latest.version
-            if await self._written.write(
-                announced.entry,
+            if await self._writer.write(
+                announcement.entry,
                 body,
                 version,
                 node,
             ):
                 return self._machine.documents.revision
-        raise targets.TargetBusy(announced.entry)
+        raise targets.TargetBusy(announcement.entry)
--- a/tamarackthread/control/following.py
+++ b/tamarackthread/control/following.py
@@ -1,4 +1,4 @@
-"""Answer a leader's entries and heartbeats."""
+"""Answer a leader's append requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 async def answer(
     state: replica.Replica, request: messages.AppendRequest
 ) -> messages.AppendReply:
-    """Take entries from the leader of the term; acknowledged ones last.
+    """Append a leader's entries and reply once they are durable.
 
     Raises ``DiskFull`` if there is no room for them.
     """
@@ -21,7 +21,7 @@
     if state.hard.term != request.term:
         return _reply(state, request, success=False)
     if request.release_lease:
-        _release(state, request)
+        _release_lease(state, request)
     conflict = _conflict(state, request)
     if conflict:
         return _reply(state, request, success=False, conflict=conflict)
@@ -29,24 +29,26 @@
         await state.log.synced(_append_missing(state, request))
     if state.hard.term != request.term:
         return _reply(state, request, success=False)
-    matched = request.previous_index + len(request.entries)
-    state.record_match(matched)
+    match_index = request.previous_index + len(request.entries)
+    state.record_match(match_index)
     state.commit(request.commit_index)
-    return _reply(state, request, success=True, last_index=matched)
+    return _reply(state, request, success=True, last_index=match_index)
 
 
-def _release(state: replica.Replica, request: messages.AppendRequest) -> None:
-    """Let others be elected at once, because the leader holds no lease."""
+def _release_lease(
+    state: replica.Replica, request: messages.AppendRequest
+) -> None:
+    """Allow an election at once, because the leader released its lease."""
     state.timer.forget_leader()
     if request.campaign and state.is_voter:
         state.timer.expire()
 
 
 def _conflict(state: replica.Replica, request: messages.AppendRequest) -> int:
-    """Return where the leader should look for agreement, 0 if it has it."""
+    """Return the index from which the logs may differ, 0 if they match."""
     previous = request.previous_index
-    # What is committed agrees with every later leader's log, and may be
-    # compacted here so that its term is no longer known.
+    # Committed entries match every later leader's log; their terms may be
+    # unknown here after compaction.
     if previous <= state.commit_index:
         return 0
     if previous > state.log.last_index:
@@ -59,11 +61,9 @@
 def _append_missing(
     state: replica.Replica, request: messages.AppendRequest
 ) -> int:
-    """Add the entries that are missing and return the ticket to wait for.
-
-    Entries already held are passed over: a doubled or late request must not
-    void what came after it.
-    """
+    """Append entries not held yet and return the ticket of their sync."""
+    # A duplicated or delayed request must not truncate later entries, so
+    # that entries already held are skipped.
     if state.log.is_full:
         raise failures.DiskFull
     missing = [
--- a/tamarackthread/control/hard_state.py
+++ b/tamarackthread/control/hard_state.py
@@ -1,4 +1,4 @@
-"""Keep a member's term and vote, which must last before they are answered."""
+"""Persist a member's term and vote before it answers with them."""
 
 from __future__ import annotations
 
@@ -13,26 +13,25 @@
 
 
 class HardState:
-    """Hold the term, the vote in it, and the identity of this disk.
+    """The current term, the vote in it, and the identity of this disk.
 
-    The identity is drawn when the folder is first used.  A member whose disk
-    was wiped therefore comes back as somebody else, and its promises as its
-    old self are not asked of it.
+    The identity is random, so that a member with a wiped disk is not
+    counted as the voter it was before.
     """
 
     def __init__(self, files: disk.Disk) -> None:
-        """Hold nothing until ``load``."""
+        """Start empty until ``load``."""
         self._files = files
         self._term = 0
         self._vote = ''
         self._disk_id = b''
         self._changes = 0
-        self._settled = 0
+        self._persisted = 0
         self._lock = asyncio.Lock()
 
     @property
     def term(self) -> int:
-        """Return the newest term seen."""
+        """Return the current term."""
         return self._term
 
     @property
@@ -42,11 +41,11 @@
 
     @property
     def disk_id(self) -> bytes:
-        """Return the random identity of this disk's folder."""
+        """Return the random identity of this disk."""
         return self._disk_id
 
     async def load(self, fresh_disk_id: bytes) -> None:
-        """Read the state, or begin it on an empty disk with a fresh id."""
+        """Read the state, or create it on an empty disk with a fresh id."""
         try:
             data = await self._files.read(FILE)
         except FileNotFoundError:
@@ -63,13 +62,11 @@
         self._disk_id = stored.disk_id
 
     def advance(self, term: int, vote: str = '') -> None:
-        """Move to a later term, or vote in this one; ``persist`` makes it last.
-
-        The memory moves first, so that nothing of an older term is accepted
-        while the disk is busy; no reply leaves before ``persist`` returns.
-        """
+        """Set a later term, or the vote in this one; ``persist`` stores it."""
+        # Memory changes first: messages of an older term are rejected while
+        # the disk is busy, and no reply is sent before ``persist`` returns.
         if term < self._term:
-            raise ValueError(f'term {term} after {self._term}')
+            raise ValueError(f'term {term} is older than {self._term}')
         if (term, vote) == (self._term, self._vote):
             return
         self._term = term
@@ -77,18 +74,18 @@
         self._changes += 1
 
     async def persist(self) -> None:
-        """Return once the term and vote of this moment will last."""
-        wanted = self._changes
-        while self._settled < wanted:
+        """Return once the present term and vote are durable."""
+        required = self._changes
+        while self._persisted < required:
             async with self._lock:
-                await self._write(wanted)
+                await self._write(required)
 
-    async def _write(self, wanted: int) -> None:
-        if self._settled >= wanted:
+    async def _write(self, required: int) -> None:
+        if self._persisted >= required:
             return
-        covered = self._changes
+        written = self._changes
         stored = messages.VoteRequest(
             term=self._term, candidate=self._vote, disk_id=self._disk_id
         )
         await self._files.replace(FILE, records.encode(wire.encode(stored)))
-        self._settled = covered
+        self._persisted = written
--- a/tamarackthread/control/installing.py
+++ b/tamarackthread/control/installing.py
@@ -1,4 +1,4 @@
-"""Receive a leader's snapshot and continue from it."""
+"""Install a snapshot sent by the leader."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class Installer:
-    """Take the parts of a snapshot, one at a time, and install the whole."""
+    """Collect the chunks of a snapshot and install it."""
 
     def __init__(
         self,
         state: replica.Replica,
         restore: collections.abc.Callable[[snapshots.Snapshot], None],
     ) -> None:
-        """Call ``restore`` with each snapshot installed."""
+        """Call ``restore`` with each installed snapshot."""
         self._state = state
         self._restore = restore
-        # A doubled part would otherwise be added to the file twice.
+        # A duplicated chunk would otherwise be appended twice.
         self._lock = asyncio.Lock()
 
     async def answer(
         self, request: messages.SnapshotRequest
     ) -> messages.SnapshotReply:
-        """Take one part; the answer says which one is wanted next."""
+        """Store one chunk and reply with the next offset."""
         state = self._state
         if request.term < state.hard.term:
             return self._reply(0, installed=False)
@@ -37,19 +37,19 @@
         state.follow(request.leader)
         await state.hard.persist()
         async with self._lock:
-            return await self._take(request)
+            return await self._receive(request)
 
-    async def _take(
+    async def _receive(
         self, request: messages.SnapshotRequest
     ) -> messages.SnapshotReply:
         if request.last_index <= self._state.commit_index:
             return self._reply(request.total, installed=True)
-        wanted = await self._state.snapshots.receive(request)
-        if wanted < request.total:
-            return self._reply(wanted, installed=False)
+        next_offset = await self._state.snapshots.receive(request)
+        if next_offset < request.total:
+            return self._reply(next_offset, installed=False)
         snapshot = await self._state.snapshots.complete(request)
         if snapshot is None:
-            _log.warning('snapshot: arrived damaged, asking for it again')
+            _log.warning('snapshot: checksum mismatch; requesting it again')
             return self._reply(0, installed=False)
         self._install(snapshot)
         return self._reply(request.total, installed=True)
@@ -58,7 +58,7 @@
         self._state.adopt_snapshot(snapshot)
         self._restore(snapshot)
         _log.info(
-            'snapshot: %s of %s installed entry %d',
+            'snapshot: %s of group %s installed a snapshot at entry %d',
             self._state.parts.node,
             self._state.parts.group,
             snapshot.meta.last_index,
