--- a/tamarackthread/control/leading.py
+++ b/tamarackthread/control/leading.py
@@ -1,4 +1,4 @@
-"""Lead a group for one term."""
+"""Run the leader's tasks for one term."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class Leader:
-    """Run what only a leader does, from its election until it steps down."""
+    """Replicate and watch the quorum from election to step-down."""
 
     def __init__(self, state: replica.Replica) -> None:
-        """Begin without a term."""
+        """Share the member's state; leads no term yet."""
         self._state = state
         self._peers: dict[str, replication.PeerReplicator] = {}
         self._tasks: dict[str, list[asyncio.Task[None]]] = {}
 
     @property
     def peers(self) -> dict[str, replication.PeerReplicator]:
-        """Return the tasks for each other member, empty when not leading."""
+        """Return the replicators by node, empty when not leading."""
         return self._peers
 
     async def lead(self) -> None:
@@ -48,14 +48,10 @@
         try:
             await self._watch(term)
         finally:
-            self._end_peers()
+            self._stop_peers()
 
     async def hand_over(self) -> None:
-        """Let the best other voter lead; return when this member doesn't.
-
-        What somebody was promised about the lease is kept: it's given up only
-        after the latest end that was told.
-        """
+        """Hand leadership to the most up-to-date voter and wait for it."""
         term = self._state.leader_term
         if term is None:
             return
@@ -63,12 +59,13 @@
         try:
             await self._hand_over(term)
         finally:
-            # A leader that has begun to hand over takes no proposals.  If its
-            # caller gives up waiting, it must not stay in between for ever.
+            # A leader in handover takes no proposals.  It must step down even
+            # if the caller cancels the wait.
             if self._state.leader_term is term:
-                self._state.step_down('hands over')
+                self._state.step_down('leadership was handed over')
 
     async def _hand_over(self, term: leader_term.LeaderTerm) -> None:
+        # Lease times already reported to callers must run out first.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
                 self._state.parts.times.handover_timeout
@@ -81,11 +78,11 @@
 
     async def _watch(self, term: leader_term.LeaderTerm) -> None:
         while not term.ended.is_set():
-            self._start_peers(term)
-            self._raise_failures()
-            why = self._why_not(term)
-            if why:
-                await self._give_up(term, why)
+            self._update_peers(term)
+            self._raise_task_errors()
+            reason = self._step_down_reason(term)
+            if reason:
+                await self._step_down(term, reason)
                 continue
             reconfiguration.advance(self._state, term)
             with contextlib.suppress(TimeoutError):
@@ -94,16 +91,15 @@
                 ):
                     await term.ended.wait()
 
-    def _why_not(self, term: leader_term.LeaderTerm) -> str:
-        """Return why this member must not go on leading, empty if it may."""
+    def _step_down_reason(self, term: leader_term.LeaderTerm) -> str:
+        """Return reason the leader must step down, empty if it may stay."""
         state = self._state
         if term.has_lost_quorum(state.membership, state.now):
-            return 'no quorum answers'
-        # A leader whose own disk stalls still answers heartbeats and looks
-        # alive, while it can neither vote nor begin a term after a failure.
-        # Callers see slow changes for as long as it leads.
+            return 'lost contact with the quorum'
+        # A leader with a stalled disk still sends heartbeats, so that no
+        # follower would time it out.
         if state.log.is_stalled(state.now):
-            return 'own disk stalls'
+            return 'own disk is stalled'
         if state.log.is_full:
             return 'own disk is full'
         settled = state.members.newest_index <= state.commit_index
@@ -111,49 +107,51 @@
             return 'is no longer a voter'
         return ''
 
-    async def _give_up(self, term: leader_term.LeaderTerm, why: str) -> None:
+    async def _step_down(
+        self, term: leader_term.LeaderTerm, reason: str
+    ) -> None:
         if not term.is_handing_over:
             term.begin_handover()
-            wait = term.lease_promised_until - self._state.now
-            if 0 < wait <= self._state.parts.times.lease:
-                await asyncio.sleep(wait)
+            delay = term.lease_promised_until - self._state.now
+            if 0 < delay <= self._state.parts.times.lease:
+                await asyncio.sleep(delay)
             await self._release(term)
         if self._state.leader_term is term:
-            self._state.step_down(why)
+            self._state.step_down(reason)
 
     async def _release(self, term: leader_term.LeaderTerm) -> None:
-        """Tell all voters that the lease is void, and the best one to stand."""
-        best = await self._best_peer(term)
+        """Release the lease at all voters; the successor stands at once."""
+        successor = await self._choose_successor(term)
         term.release()
         calls = []
         for node, peer in self._peers.items():
-            calls.append(peer.release(campaign=node == best))
+            calls.append(peer.release(campaign=node == successor))
         await asyncio.gather(*calls)
 
-    async def _best_peer(self, term: leader_term.LeaderTerm) -> str:
-        """Return the voter with the longest log, given a moment to catch up."""
+    async def _choose_successor(self, term: leader_term.LeaderTerm) -> str:
+        """Return the voter with the longest log, after a bounded catch-up."""
         times = self._state.parts.times
-        patience = self._state.now + times.heartbeat_timeout
+        deadline = self._state.now + times.heartbeat_timeout
         while True:
-            best, matched = self._longest(term)
+            successor, matched = self._most_advanced(term)
             caught_up = matched >= self._state.log.last_index
-            if caught_up or self._state.now >= patience:
-                return best
+            if caught_up or self._state.now >= deadline:
+                return successor
             await asyncio.sleep(times.heartbeat / 2)
 
-    def _longest(self, term: leader_term.LeaderTerm) -> tuple[str, int]:
-        best, matched = '', -1
+    def _most_advanced(self, term: leader_term.LeaderTerm) -> tuple[str, int]:
+        successor, matched = '', -1
         for voter in self._state.membership.voters:
-            held = term.progress.get(voter.node)
-            if held is None or held.is_full:
+            progress = term.progress.get(voter.node)
+            if progress is None or progress.is_full:
                 continue
-            if held.match_index > matched:
-                best, matched = voter.node, held.match_index
-        return best, matched
+            if progress.match_index > matched:
+                successor, matched = voter.node, progress.match_index
+        return successor, matched
 
-    def _start_peers(self, term: leader_term.LeaderTerm) -> None:
+    def _update_peers(self, term: leader_term.LeaderTerm) -> None:
         state = self._state
-        wanted = {
+        required = {
             member.node
             for members in (
                 state.membership,
@@ -161,33 +159,33 @@
             )
             for member in members.members
         }
-        wanted.discard(state.parts.node)
-        for node in sorted(wanted.difference(self._peers)):
+        required.discard(state.parts.node)
+        for node in sorted(required.difference(self._peers)):
             peer = replication.PeerReplicator(state, term, node)
             self._peers[node] = peer
             self._tasks[node] = [
                 asyncio.create_task(peer.beat()),
                 asyncio.create_task(peer.replicate()),
             ]
-        for gone in sorted(set(self._peers).difference(wanted)):
-            self._peers.pop(gone)
-            term.progress.pop(gone, None)
-            _cancel(self._tasks.pop(gone))
-
-    def _raise_failures(self) -> None:
-        """Halt on a fault in a peer's task, which else nobody would see."""
-        for running in self._tasks.values():
-            for task in running:
+        for removed in sorted(set(self._peers).difference(required)):
+            self._peers.pop(removed)
+            term.progress.pop(removed, None)
+            _cancel(self._tasks.pop(removed))
+
+    def _raise_task_errors(self) -> None:
+        """Raise the error of a failed peer task."""
+        for tasks in self._tasks.values():
+            for task in tasks:
                 if task.done() and not task.cancelled():
                     task.result()
 
-    def _end_peers(self) -> None:
-        for running in self._tasks.values():
-            _cancel(running)
+    def _stop_peers(self) -> None:
+        for tasks in self._tasks.values():
+            _cancel(tasks)
         self._tasks = {}
         self._peers = {}
 
 
-def _cancel(running: list[asyncio.Task[None]]) -> None:
-    for task in running:
+def _cancel(tasks: list[asyncio.Task[None]]) -> None:
+    for task in tasks:
         task.cancel()
