--- a/tamarackthread/control/config_proposer.py
+++ b/tamarackthread/control/config_proposer.py
@@ -1,4 +1,4 @@
-"""Propose commands of the configuration group with the leader's stamps."""
+"""Propose commands of the configuration group with the leader's time stamps."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class ConfigProposer:
-    """Turn requests into commands and the machine's answers into replies.
+    """Encode requests as commands and decode the machine's results.
 
-    The wall clock is for people who read the audit trail.  Promises count
-    the time that passed on the loop's clock between commands.
+    Wall clock time is for the audit trail only; leases count the time that has
+    elapsed on the loop's clock between commands.
     """
 
     def __init__(self, config: group.Group, wall_clock: WallClock) -> None:
-        """Propose to ``config``; ``wall`` gives seconds since 1970."""
+        """Propose to ``config``; ``wall_clock`` returns Unix seconds."""
         self._config = config
         self._wall_clock = wall_clock
         self._stamped_at: float | None = None
@@ -33,13 +33,13 @@
         self,
         change: messages.ChangeRequest,
     ) -> messages.ChangeReply:
-        """Check a change and commit it, or commit that it was refused."""
-        found = documents.check(change.kind, change.name, change.body)
-        kept = change
+        """Validate a change and commit it together with its findings."""
+        findings = documents.check(change.kind, change.name, change.body)
+        stored = change
         if len(change.body.encode()) > documents.MAX_BODY_BYTES:
-            kept = copy.copy(change)
-            kept.body = ''
-        command = messages.ConfigCommand(change=kept, findings=found)
+            stored = copy.copy(change)
+            stored.body = ''
+        command = messages.ConfigCommand(change=stored, findings=findings)
         reply = await self._propose(command)
         return reply.change
 
@@ -47,7 +47,7 @@
         self,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        """Commit the hand-over of a lease."""
+        """Commit a request for a lease."""
         reply = await self._propose(messages.ConfigCommand(lease=request))
         return reply.lease
 
@@ -55,7 +55,7 @@
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Commit a decision unless there is one."""
+        """Commit a decision unless one exists already."""
         reply = await self._propose(messages.ConfigCommand(decision=request))
         return reply.decision
 
@@ -63,7 +63,7 @@
         self,
         machine: configuration.Configuration,
     ) -> leases.LeaseKeeper:
-        """Make the keeper that counts lease times on this host."""
+        """Create the lease keeper that tracks lease times on this host."""
         clock = asyncio.get_running_loop().time
         return leases.LeaseKeeper(lambda: machine.table, self.lease, clock)
 
@@ -73,19 +73,19 @@
     ) -> messages.Reply:
         command.unix_ms = int(self._wall_clock() * MILLISECONDS)
         command.elapsed_ms = self._elapsed_ms()
-        done = await self._config.propose(wire.encode(command))
-        reply = wire.decode(messages.Reply, done.result)
+        committed = await self._config.propose(wire.encode(command))
+        reply = wire.decode(messages.Reply, committed.result)
         if reply.failure is not None:
             replies.raise_failure(reply.failure)
         return reply
 
     def _elapsed_ms(self) -> int:
         now = asyncio.get_running_loop().time()
-        since = self._stamped_at
-        # In a new term others may have counted the same time.
-        if since is None or self._term != self._config.term:
-            since = now
-        elapsed = int((now - since) * MILLISECONDS)
-        self._stamped_at = since + elapsed / MILLISECONDS
+        stamped_at = self._stamped_at
+        # The previous leader may have counted the time before this term.
+        if stamped_at is None or self._term != self._config.term:
+            stamped_at = now
+        elapsed = int((now - stamped_at) * MILLISECONDS)
+        self._stamped_at = stamped_at + elapsed / MILLISECONDS
         self._term = self._config.term
         return elapsed
--- a/tamarackthread/control/log.py
+++ b/tamarackthread/control/log.py
@@ -1,4 +1,4 @@
-"""Hold a group's log in memory and write it to disk behind one task."""
+"""Hold a group's log in memory and sync it to disk in a single writer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,10 @@
 
 
 class Log:
-    """The entries after a snapshot, with what of them has been synced.
+    """The entries after the snapshot, with group commit to disk.
 
-    Changes take effect in memory at once and return a ticket; ``synced``
-    waits until that change lasts.  What is waiting when a sync ends goes into
-    the next one together.
+    Changes take effect in memory at once and return a ticket, on which
+    ``synced`` waits.  Entries pending during a sync share the next one.
     """
 
     def __init__(
@@ -38,16 +37,16 @@
         self._durable_index = 0
         self._pending: list[messages.LogEntry] = []
         self._work = asyncio.Event()
-        self._pushed = 0
-        self._synced = 0
+        self._last_ticket = 0
+        self._synced_ticket = 0
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._writing_since: float | None = None
-        self._full = False
+        self._is_full = False
         self._compact_index = 0
 
     @property
     def base_index(self) -> int:
-        """Return the index before the first entry held."""
+        """Return the index before the first entry in memory."""
         return self._base_index
 
     @property
@@ -62,26 +61,26 @@
 
     @property
     def durable_index(self) -> int:
-        """Return the index up to which entries would outlast a crash."""
+        """Return the index of the last entry synced to disk."""
         return self._durable_index
 
     @property
     def size_bytes(self) -> int:
-        """Return the bytes of the commands held in memory."""
+        """Return the total size of the commands in memory."""
         return self._bytes
 
     @property
     def is_full(self) -> bool:
-        """Say whether the last write found no room on disk."""
-        return self._full
+        """Return whether the last write failed for lack of space."""
+        return self._is_full
 
     def is_stalled(self, now: float) -> bool:
-        """Say whether one write has taken longer than a disk may take."""
+        """Return whether the present write exceeds the stall timeout."""
         since = self._writing_since
         return since is not None and now - since > self._limits.stall_timeout
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term, or ``None`` where nothing is held."""
+        """Return an entry's term, ``None`` if it is not in memory."""
         if index == self._base_index:
             return self._base_term
         if index < self._base_index or index > self.last_index:
@@ -89,33 +88,33 @@
         return self._entries[index - self._base_index - 1].term
 
     def first_of_term(self, index: int) -> int:
-        """Return the first held index of the term that ``index`` is in."""
+        """Return the first index in memory with the term of ``index``."""
         term = self.term_at(index)
         while index > self._base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def batch(self, start: int) -> list[messages.LogEntry]:
-        """Return entries from ``start`` on, bounded by count and bytes."""
-        chosen: list[messages.LogEntry] = []
-        room = self._limits.batch_bytes
-        place = start - self._base_index - 1
-        stop = min(len(self._entries), place + self._limits.batch_entries)
-        while place < stop:
-            entry = self._entries[place]
-            room -= len(entry.command)
-            if chosen and room < 0:
+        """Return entries from ``start`` on, limited by count and bytes."""
+        batch: list[messages.LogEntry] = []
+        remaining_bytes = self._limits.batch_bytes
+        offset = start - self._base_index - 1
+        end = min(len(self._entries), offset + self._limits.batch_entries)
+        while offset < end:
+            entry = self._entries[offset]
+            remaining_bytes -= len(entry.command)
+            if batch and remaining_bytes < 0:
                 break
-            chosen.append(entry)
-            place += 1
-        return chosen
+            batch.append(entry)
+            offset += 1
+        return batch
 
     def entry(self, index: int) -> messages.LogEntry:
-        """Return one held entry."""
+        """Return an entry in memory."""
         return self._entries[index - self._base_index - 1]
 
     async def load(self, snapshot_index: int, snapshot_term: int) -> None:
-        """Read the entries on disk that continue the snapshot."""
+        """Read the stored entries that follow the snapshot."""
         entries = await self._store.load()
         self._base_index = snapshot_index
         self._base_term = snapshot_term
@@ -125,39 +124,36 @@
                 'are missing',
                 segments.PREFIX,
             )
-        continued = _continue(entries, snapshot_index, snapshot_term)
-        self._entries.extend(continued)
-        self._bytes = sum(len(entry.command) for entry in continued)
+        following = _entries_after(entries, snapshot_index, snapshot_term)
+        self._entries.extend(following)
+        self._bytes = sum(len(entry.command) for entry in following)
         self._durable_index = self.last_index
-        if entries and not continued:
-            self._push([_truncation(0)])
+        if entries and not following:
+            self._enqueue([_truncation(0)])
 
     def append(
         self, entries: collections.abc.Sequence[messages.LogEntry]
     ) -> int:
-        """Add entries after the last one and return a ticket."""
+        """Append entries and return a ticket."""
         for entry in entries:
             self._bytes += len(entry.command)
         self._entries.extend(entries)
-        return self._push(entries)
+        return self._enqueue(entries)
 
     def truncate(self, index: int) -> None:
-        """Void the entries from ``index`` on."""
-        place = index - self._base_index - 1
-        if place < 0:
-            raise ValueError(f'entry {index} is in the snapshot')
-        for entry in self._entries[place:]:
+        """Remove the entries from ``index`` on."""
+        offset = index - self._base_index - 1
+        if offset < 0:
+            raise ValueError(f'entry {index} is covered by the snapshot')
+        for entry in self._entries[offset:]:
             self._bytes -= len(entry.command)
-        self._entries = self._entries[:place]
+        self._entries = self._entries[:offset]
         self._durable_index = min(self._durable_index, index - 1)
-        self._push([_truncation(index)])
+        self._enqueue([_truncation(index)])
 
     def reset(self, index: int, term: int) -> None:
-        """Continue after a snapshot that another member has sent.
-
-        Entries that agree with the snapshot's last entry are kept: they may
-        have been acknowledged.
-        """
+        """Continue after an installed snapshot."""
+        # Entries after the snapshot that match it may have been acknowledged.
         if self.term_at(index) == term:
             self.compact(index)
             return
@@ -166,17 +162,17 @@
         self._base_index = index
         self._base_term = term
         self._durable_index = index
-        self._push([_truncation(0)])
+        self._enqueue([_truncation(0)])
 
     def compact(self, index: int) -> None:
-        """Forget entries up to ``index``, which a durable snapshot covers."""
+        """Drop entries up to ``index``, which a durable snapshot covers."""
         term = self.term_at(index)
         if term is None or index <= self._base_index:
             return
-        place = index - self._base_index
-        for entry in self._entries[:place]:
+        offset = index - self._base_index
+        for entry in self._entries[:offset]:
             self._bytes -= len(entry.command)
-        self._entries = self._entries[place:]
+        self._entries = self._entries[offset:]
         self._base_index = index
         self._base_term = term
         self._durable_index = max(self._durable_index, index)
@@ -184,63 +180,63 @@
         self._work.set()
 
     async def synced(self, ticket: int) -> None:
-        """Return once all changes up to the ticket last.
+        """Return once all changes up to the ticket are durable.
 
-        Raises ``DiskFull`` if they can't be written for now; they stay in
-        line and are written when there is room again.
+        Raises ``DiskFull`` if they can't be written for now; they stay queued
+        and are written once there is space.
         """
-        if ticket <= self._synced:
+        if ticket <= self._synced_ticket:
             return
-        if self._full:
+        if self._is_full:
             raise failures.DiskFull
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append((ticket, waiter))
         await waiter
 
     def close(self, reason: Exception) -> None:
-        """Raise the reason in all who wait for a sync."""
+        """Fail all waiters with ``reason``."""
         for _ticket, waiter in self._waiters:
             if not waiter.done():
                 waiter.set_exception(reason)
         self._waiters = []
 
     async def write_forever(self) -> None:
-        """Write what waits, one sync at a time; be the log's only writer."""
+        """Write pending entries, one sync at a time, as the only writer."""
         while True:
             await self._work.wait()
             self._work.clear()
             while self._pending:
-                await self._write_some()
+                await self._write_next()
             await self._store.compact(self._compact_index)
 
-    def _push(
+    def _enqueue(
         self, entries: collections.abc.Sequence[messages.LogEntry]
     ) -> int:
         self._pending.extend(entries)
-        self._pushed += len(entries)
+        self._last_ticket += len(entries)
         self._work.set()
-        return self._pushed
+        return self._last_ticket
 
-    async def _write_some(self) -> None:
+    async def _write_next(self) -> None:
         batch = self._next_batch()
         self._writing_since = asyncio.get_running_loop().time()
         await self._write(batch)
         self._writing_since = None
         self._pending = self._pending[len(batch) :]
-        self._synced += len(batch)
+        self._synced_ticket += len(batch)
         self._durable_index = self.last_index
         if self._pending:
-            floor = max(self._pending[0].index - 1, self._base_index)
-            self._durable_index = min(self.last_index, floor)
-        self._wake()
+            durable = max(self._pending[0].index - 1, self._base_index)
+            self._durable_index = min(self.last_index, durable)
+        self._wake_waiters()
         self._on_synced()
 
     def _next_batch(self) -> list[messages.LogEntry]:
-        room = self._limits.segment_bytes
+        remaining_bytes = self._limits.segment_bytes
         batch: list[messages.LogEntry] = []
         for entry in self._pending:
-            room -= len(entry.command or b'')
-            if batch and room < 0:
+            remaining_bytes -= len(entry.command or b'')
+            if batch and remaining_bytes < 0:
                 break
             batch.append(entry)
         return batch
@@ -250,28 +246,28 @@
             try:
                 await self._store.append(batch)
             except failures.DiskFull as exc:
-                self._refuse(exc)
+                self._report_full(exc)
                 await asyncio.sleep(_FULL_RETRY_SECONDS)
                 continue
-            self._full = False
+            self._is_full = False
             return
 
-    def _refuse(self, exc: failures.DiskFull) -> None:
-        if not self._full:
+    def _report_full(self, exc: failures.DiskFull) -> None:
+        if not self._is_full:
             _log.error('log: disk is full, changes are refused: %s', exc)
-        self._full = True
+        self._is_full = True
         self._writing_since = None
         self.close(failures.DiskFull(str(exc)))
 
-    def _wake(self) -> None:
-        waiting = []
+    def _wake_waiters(self) -> None:
+        remaining = []
         for ticket, waiter in self._waiters:
-            if ticket > self._synced:
-                waiting.append((ticket, waiter))
+            if ticket > self._synced_ticket:
+                remaining.append((ticket, waiter))
                 continue
             if not waiter.done():
                 waiter.set_result(None)
-        self._waiters = waiting
+        self._waiters = remaining
 
 
 def _truncation(index: int) -> messages.LogEntry:
@@ -280,19 +276,17 @@
     )
 
 
-def _continue(
+def _entries_after(
     entries: list[messages.LogEntry], index: int, term: int
 ) -> list[messages.LogEntry]:
-    """Return the entries after a snapshot, none if they contradict it.
-
-    A crash between installing a snapshot and voiding the log leaves entries
-    that end before the snapshot or disagree with it; they are not in force.
-    """
+    """Return the entries after a snapshot, none if they contradict it."""
+    # A crash between installing a snapshot and truncating the log leaves
+    # entries that end before the snapshot or disagree with it.
     if not entries or entries[-1].index <= index:
         return []
     if entries[0].index == index + 1:
         return entries
-    place = index - entries[0].index
-    if entries[place].term != term:
+    offset = index - entries[0].index
+    if entries[offset].term != term:
         return []
-    return entries[place + 1 :]
+    return entries[offset + 1 :]
--- a/tamarackthread/control/membership.py
+++ b/tamarackthread/control/membership.py
@@ -1,4 +1,4 @@
-"""Hold who belongs to a group, and count its quorums."""
+"""Define the members of a group and compute quorums."""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 
 @attrs.frozen
 class Member:
-    """One member of a group as the log has it.
+    """One member of a group, as stored in the log.
 
-    ``disk_id`` is the disk that its votes and acknowledgements count for.  A
-    learner receives the log and counts for nothing; it is made a voter once
-    it has caught up, and ``replaces`` then names the voter that leaves.
+    Votes and acknowledgements count for ``disk_id`` only.  A learner has no
+    vote; once caught up it is promoted and the member it ``replaces`` removed.
     """
 
     node: str
@@ -26,52 +25,52 @@
 
 @attrs.frozen
 class Membership:
-    """The members of a group from one index of the log on."""
+    """The members of a group from one log index on."""
 
     members: tuple[Member, ...] = ()
 
     @property
     def voters(self) -> tuple[Member, ...]:
-        """Return the members that count towards a quorum."""
+        """Return the members with a vote."""
         return tuple(member for member in self.members if member.voter)
 
     @property
     def quorum(self) -> int:
-        """Return how many voters are a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def find(self, node: str) -> Member | None:
-        """Return the node's member, voter or learner."""
+        """Return the member on a node, voter or learner."""
         for member in self.members:
             if member.node == node:
                 return member
         return None
 
     def is_voter(self, node: str, disk_id: bytes) -> bool:
-        """Say whether this node on this very disk has a vote."""
+        """Return whether this node with this disk has a vote."""
         member = self.find(node)
         return member is not None and member.voter and member.disk_id == disk_id
 
     def with_member(self, member: Member) -> Membership:
-        """Return a copy with a member added or in place of its former self."""
+        """Return a copy with a member added or replaced."""
         others = self.without(member.node).members
-        ordered = sorted((*others, member), key=lambda held: held.node)
+        ordered = sorted((*others, member), key=lambda other: other.node)
         return Membership(tuple(ordered))
 
     def without(self, node: str) -> Membership:
         """Return a copy without a node."""
         return Membership(
-            tuple(held for held in self.members if held.node != node)
+            tuple(other for other in self.members if other.node != node)
         )
 
     def quorum_value(
         self, values: collections.abc.Mapping[str, float]
     ) -> float:
-        """Return the value that a quorum of voters has reached or passed."""
-        counted = sorted(
+        """Return the highest value that a quorum of voters has reached."""
+        descending = sorted(
             (values[voter.node] for voter in self.voters), reverse=True
         )
-        return counted[self.quorum - 1]
+        return descending[self.quorum - 1]
 
     def encode(self) -> bytes:
         """Serialise for the log."""
@@ -84,7 +83,7 @@
 
 
 def decode(data: bytes) -> Membership:
-    """Read what ``encode`` wrote."""
+    """Deserialise a membership from the log."""
     members = []
     for row in json.loads(data or b'[]'):
         row['disk_id'] = bytes.fromhex(row['disk_id'])
--- a/tamarackthread/control/reads.py
+++ b/tamarackthread/control/reads.py
@@ -5,23 +5,23 @@
 from tamarackthread.control import configuration
 from tamarackthread.generated.messages import ttypes as messages
 
-PAGE_BYTES = 256 * 1024
+MAX_PAGE_BYTES = 256 * 1024
 DOCUMENT_OVERHEAD_BYTES = 64
-AUDIT_LIMIT = 1000
+DEFAULT_AUDIT_LIMIT = 1000
 
 
 def read(
     machine: configuration.Configuration,
     request: messages.ReadRequest,
 ) -> messages.ReadReply:
-    """List one document, its history, or one page of a kind by name."""
+    """Return one document, its history, or a page of a kind by name."""
     if request.name:
-        found = _named(machine, request)
+        selected = _read_one(machine, request)
         more = False
     else:
-        found, more = _page(machine, request)
+        selected, more = _read_page(machine, request)
     return messages.ReadReply(
-        documents=found,
+        documents=selected,
         revision=machine.documents.revision,
         more=more,
     )
@@ -31,13 +31,13 @@
     machine: configuration.Configuration,
     request: messages.AuditRequest,
 ) -> messages.AuditReply:
-    """List audit records after a revision."""
-    limit = request.limit or AUDIT_LIMIT
+    """Return audit records after a revision."""
+    limit = request.limit or DEFAULT_AUDIT_LIMIT
     records = machine.trail.after(request.after or 0, limit)
     return messages.AuditReply(records=records)
 
 
-def _named(
+def _read_one(
     machine: configuration.Configuration,
     request: messages.ReadRequest,
 ) -> list[messages.Document]:
@@ -46,27 +46,27 @@
         return []
     if not request.history:
         return [latest] if latest.body else []
-    earlier = machine.history.versions_of(request.kind, request.name)
-    return _newest_within_page([*earlier, latest])
+    versions = machine.history.versions_of(request.kind, request.name)
+    return _newest_page([*versions, latest])
 
 
-def _newest_within_page(
+def _newest_page(
     versions: list[messages.Document],
 ) -> list[messages.Document]:
-    taken = 0
+    size = 0
     for position, document in enumerate(reversed(versions)):
-        taken += len(document.body) + DOCUMENT_OVERHEAD_BYTES
-        if position and taken > PAGE_BYTES:
+        size += len(document.body) + DOCUMENT_OVERHEAD_BYTES
+        if position and size > MAX_PAGE_BYTES:
             return versions[len(versions) - position :]
     return versions
 
 
-def _page(
+def _read_page(
     machine: configuration.Configuration,
     request: messages.ReadRequest,
 ) -> tuple[list[messages.Document], bool]:
     after = request.after or ''
-    following = sorted(
+    remaining = sorted(
         (
             document
             for document in machine.documents.each(request.kind)
@@ -74,9 +74,9 @@
         ),
         key=lambda document: document.name,
     )
-    taken = 0
-    for position, document in enumerate(following):
-        taken += len(document.body) + DOCUMENT_OVERHEAD_BYTES
-        if position and taken > PAGE_BYTES:
-            return following[:position], True
-    return following, False
+    size = 0
+    for position, document in enumerate(remaining):
+        size += len(document.body) + DOCUMENT_OVERHEAD_BYTES
+        if position and size > MAX_PAGE_BYTES:
+            return remaining[:position], True
+    return remaining, False
--- a/tamarackthread/control/state_machine.py
+++ b/tamarackthread/control/state_machine.py
@@ -1,4 +1,4 @@
-"""Define what a replicated log drives: a deterministic state machine."""
+"""Define the deterministic state machine that a replicated log drives."""
 
 from __future__ import annotations
 
@@ -9,50 +9,44 @@
 
 from tamarackthread.shared import errors
 
-_NO_STATE = (TypeError, ValueError, OverflowError, struct.error)
+_READ_ERRORS = (TypeError, ValueError, OverflowError, struct.error)
 
 
 class SnapshotUnreadable(errors.CodedError):
-    """Snapshot is whole by its checksum, yet makes no state."""
+    """Snapshot has a valid checksum but can not be restored."""
 
     code = 'TT3012'
 
 
 class StateMachine(abc.ABC):
-    """Hold the state that every member of a group derives from its log.
+    """State that every member of a group derives from its log.
 
-    All methods run on the event loop and must not await, read a clock, draw
-    random numbers or depend on the order of a set: two members that apply the
-    same commands must hold the same bytes.  A command that needs the time
-    carries it, stamped by its proposer.
+    Methods run on the event loop and must be deterministic: no await, clock,
+    randomness or set order.  A command carries its own time stamp.
     """
 
     @abc.abstractmethod
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command and return the proposer's result.
 
-        ``index`` is the command's place in the log, each greater than the
-        last, with gaps.  A command that is wrong is answered, not raised: an
-        exception here halts the group on every member.
+        ``index`` increases, with gaps.  Invalid commands are answered: an
+        exception halts the group on every member.
         """
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
-        """Return the whole state, from which ``restore`` can go on."""
+        """Return the whole state for ``restore``."""
 
     @abc.abstractmethod
     def restore(self, data: bytes) -> None:
-        """Replace the state; empty ``data`` means the state at index 0."""
+        """Replace the state; empty ``data`` is the state at index 0."""
 
 
 @contextlib.contextmanager
 def reading_snapshot() -> collections.abc.Iterator[None]:
-    """Name what goes wrong while a snapshot's parts are taken in.
-
-    A snapshot of another version may lack a part that this one needs.  Its
-    failure then carries a code and not the name of whatever step met it.
-    """
+    """Turn any error while reading a snapshot into ``SnapshotUnreadable``."""
+    # A snapshot of another version may lack a part that this one needs.
     try:
         yield
-    except _NO_STATE as exc:
+    except _READ_ERRORS as exc:
         raise SnapshotUnreadable(str(exc)) from exc
