--- a/bench/history/breaks.py
+++ b/bench/history/breaks.py
@@ -262,7 +262,7 @@
         'change-two-at-once',
         'members change while another change is not committed',
         reconfiguration,
-        '_is_settled',
+        '_is_change_committed',
         lambda _state: True,
         seed=2,
     ),
--- a/tamarackthread/control/leader_term.py
+++ b/tamarackthread/control/leader_term.py
@@ -1,4 +1,4 @@
-"""Hold what a leader knows during one term: progress, lease, proposals."""
+"""Track replication, lease and proposals during one term as leader."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @attrs.define(eq=False)
 class Progress:
-    """How far one other member has got, as the leader has heard.
+    """Replication progress of one peer, valid for its disk ``disk_id``.
 
-    ``acked_at`` is when the newest answered message was sent, by the leader's
-    own clock; ``disk_id`` is the disk that all this is true of.
+    ``acked_at`` is the send time of the latest answered message, on the
+    leader's clock.
     """
 
     next_index: int
@@ -26,7 +26,7 @@
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def check_disk(self, disk_id: bytes, last_index: int) -> None:
-        """Begin again if the member answers from another disk."""
+        """Reset the progress if the peer answers from another disk."""
         if disk_id == self.disk_id:
             return
         if self.disk_id:
@@ -38,7 +38,7 @@
 
 
 class LeaderTerm:
-    """A leader's term, from its election until it steps down."""
+    """One term of a leader, from election to step-down."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         first_index: int,
         now: float,
     ) -> None:
-        """Begin without a lease; there is time for a first answered round."""
+        """Start without a lease; peers have ``election_min`` to answer."""
         self._node = node
         self._term = term
         self._times = times
@@ -64,7 +64,7 @@
 
     @property
     def term(self) -> int:
-        """Return the term that is led."""
+        """Return the term's number."""
         return self._term
 
     @property
@@ -74,54 +74,54 @@
 
     @property
     def elected_at(self) -> float:
-        """Return when this member was elected, in loop time."""
+        """Return the loop time of the election."""
         return self._elected_at
 
     @property
     def ended(self) -> asyncio.Event:
-        """Return an event set when this member leads the term no longer."""
+        """Return an event that is set once the term has ended here."""
         return self._ended
 
     @property
     def responded(self) -> asyncio.Event:
-        """Return an event set whenever a member has answered."""
+        """Return an event that is set on each reply of a peer."""
         return self._responded
 
     @property
     def progress(self) -> dict[str, Progress]:
-        """Return how far each other member has got."""
+        """Return the replication progress by node."""
         return self._progress
 
     @property
     def is_handing_over(self) -> bool:
-        """Say whether the term is about to end; there is no lease then."""
+        """Return whether a handover has begun; the lease is not used then."""
         return self._is_handing_over
 
     @property
     def is_released(self) -> bool:
-        """Say whether voters were told that they need not wait."""
+        """Return whether the voters were released from the lease."""
         return self._is_released
 
     @property
     def lease_promised_until(self) -> float:
-        """Return the latest lease end that somebody was told, loop time."""
+        """Return the latest lease expiry reported to a caller, in loop time."""
         return self._lease_promised_until
 
     @property
     def pending_proposals(self) -> int:
-        """Return how many proposals wait for their commit."""
+        """Return the number of uncommitted proposals."""
         return len(self._proposals)
 
     def begin_handover(self) -> None:
-        """Use no lease and take no proposals from now on."""
+        """Stop using the lease and accepting proposals."""
         self._is_handing_over = True
 
     def release(self) -> None:
-        """Send no heartbeat from now on, which voters would wait after."""
+        """Stop heartbeats, which would renew the lease at the voters."""
         self._is_released = True
 
     def end(self) -> None:
-        """End the term; what was proposed and not seen committed is open."""
+        """End the term; pending proposals fail with ``OutcomeUnknown``."""
         self._ended.set()
         for waiter in self._proposals.values():
             if not waiter.done():
@@ -135,46 +135,42 @@
         return waiter
 
     def complete_proposal(self, index: int, result: bytes) -> None:
-        """Give a proposer the machine's result."""
+        """Resolve a proposal with the machine's result."""
         waiter = self._proposals.pop(index, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(result)
 
     def promise_lease(self, until: float) -> None:
-        """Remember that somebody counts on no other leader until then."""
+        """Record a lease expiry that was reported to a caller."""
         self._lease_promised_until = max(self._lease_promised_until, until)
 
     def wake_peers(self) -> None:
-        """Have every peer's task look for something to send."""
+        """Wake the replication task of every peer."""
         for progress in self._progress.values():
             progress.wake.set()
 
     def quorum_index(
-        self, members: membership.Membership, own_durable: int
+        self, members: membership.Membership, durable_index: int
     ) -> int:
-        """Return the index up to which a quorum has synced the log."""
-        reached: dict[str, float] = {}
+        """Return the highest index that a quorum has synced."""
+        matched: dict[str, float] = {}
         for voter in members.voters:
-            reached[voter.node] = self._matched_index(voter, own_durable)
-        return int(members.quorum_value(reached)) if reached else 0
+            matched[voter.node] = self._matched_index(voter, durable_index)
+        return int(members.quorum_value(matched)) if matched else 0
 
     def quorum_acked_at(
         self, members: membership.Membership, now: float
     ) -> float:
-        """Return a time since which a quorum has answered a message."""
-        heard: dict[str, float] = {}
+        """Return the send time of the newest messages a quorum answered."""
+        acked: dict[str, float] = {}
         for voter in members.voters:
-            heard[voter.node] = self._acked_at(voter, now)
-        return members.quorum_value(heard) if heard else -math.inf
+            acked[voter.node] = self._voter_acked_at(voter, now)
+        return members.quorum_value(acked) if acked else -math.inf
 
     def lease_until(self, members: membership.Membership, now: float) -> float:
-        """Return when the lease ends, in loop time.
-
-        A quorum answered messages sent since the returned time less the
-        lease, and voters refuse to vote for ``election_min`` after hearing a
-        leader.  Any later election needs one of them, so none can end before.
-        The lease is shorter by the clocks' possible drift.
-        """
+        """Return the expiry of the leader lease, in loop time."""
+        # Voters reject candidates for ``election_min`` after a heartbeat.  The
+        # lease is counted from sending and is shorter by the clock drift.
         if self._is_handing_over:
             return -math.inf
         return self.quorum_acked_at(members, now) + self._times.lease
@@ -182,38 +178,38 @@
     def has_lost_quorum(
         self, members: membership.Membership, now: float
     ) -> bool:
-        """Say whether the leader must step down for want of a quorum.
-
-        It does so when its lease ends: an isolated leader must know that it
-        leads no longer before another can be elected.
-        """
+        """Return whether the leader must step down as its lease has expired."""
+        # Stepping down at the expiry precedes any election of a new leader.
         if now < self._elected_at + self._times.election_min:
             return False
         return self.quorum_acked_at(members, now) + self._times.lease <= now
 
     def has_room(self, members: membership.Membership) -> bool:
-        """Say whether a quorum of disks takes entries, by their answers."""
-        room: dict[str, float] = {}
+        """Return whether a quorum of disks has free space, by their replies."""
+        has_space: dict[str, float] = {}
         for voter in members.voters:
-            held = self._progress.get(voter.node)
-            room[voter.node] = 0 if held is not None and held.is_full else 1
-        return members.quorum_value(room) > 0
-
-    def _matched_index(self, voter: membership.Member, own_durable: int) -> int:
+            progress = self._progress.get(voter.node)
+            has_space[voter.node] = (
+                0 if progress is not None and progress.is_full else 1
+            )
+        return members.quorum_value(has_space) > 0
+
+    def _matched_index(
+        self, voter: membership.Member, durable_index: int
+    ) -> int:
         if voter.node == self._node:
-            return own_durable
-        held = self._progress.get(voter.node)
-        # A wiped disk's acknowledgements are not the voter's.  Counting them
-        # would commit entries on fewer disks than the quorum was meant to
-        # have, and the next loss would lose an accepted change.
-        if held is None or held.disk_id != voter.disk_id:
+            return durable_index
+        progress = self._progress.get(voter.node)
+        # Acknowledgements of a wiped disk don't count for the voter: entries
+        # would be committed on less than a quorum.
+        if progress is None or progress.disk_id != voter.disk_id:
             return 0
-        return held.match_index
+        return progress.match_index
 
-    def _acked_at(self, voter: membership.Member, now: float) -> float:
+    def _voter_acked_at(self, voter: membership.Member, now: float) -> float:
         if voter.node == self._node:
             return now
-        held = self._progress.get(voter.node)
-        if held is None or held.disk_id != voter.disk_id:
+        progress = self._progress.get(voter.node)
+        if progress is None or progress.disk_id != voter.disk_id:
             return -math.inf
-        return held.acked_at
+        return progress.acked_at
--- a/tamarackthread/control/leading.py
+++ b/tamarackthread/control/leading.py
@@ -164,7 +164,7 @@
             peer = replication.PeerReplicator(state, term, node)
             self._peers[node] = peer
             self._tasks[node] = [
-                asyncio.create_task(peer.beat()),
+                asyncio.create_task(peer.send_heartbeats()),
                 asyncio.create_task(peer.replicate()),
             ]
         for removed in sorted(set(self._peers).difference(required)):
--- a/tamarackthread/control/reconfiguration.py
+++ b/tamarackthread/control/reconfiguration.py
@@ -22,10 +22,7 @@
 def answer(
     state: replica.Replica, request: messages.MemberRequest
 ) -> messages.MemberReply:
-    """Do what an operator asks and list the members.
-
-    Only the leader changes members; others raise ``NotLeader``.
-    """
+    """Apply an operator's membership request and list the members."""
     match request.action:
         case 'members':
             return listing(state)
@@ -38,95 +35,97 @@
         case 'replace':
             replace(state, request.replaces, request.node, request.address)
         case unknown:
-            raise errors.RequestUnsupported(f'members: {unknown}')
+            raise errors.RequestUnsupported(
+                f'unknown membership action: {unknown}'
+            )
     return listing(state)
 
 
 def add(state: replica.Replica, node: str, address: str) -> None:
-    """Add a learner, to be made a voter once it has caught up."""
-    _require_settled(state)
+    """Add a learner, promoted to voter once it has caught up."""
+    _require_no_change(state)
     if state.membership.find(node) is not None:
-        raise failures.MemberChangeRefused(f'{node} is a member already')
-    fresh = membership.Member(node=node, address=address)
-    _write(
+        raise failures.MemberChangeRefused(f'{node} is already a member')
+    learner = membership.Member(node=node, address=address)
+    _propose(
         state,
-        state.membership.with_member(fresh),
-        f'{node} is added as a learner',
+        state.membership.with_member(learner),
+        f'added {node} as a learner',
     )
 
 
 def join(state: replica.Replica, node: str, address: str) -> None:
-    """Add a host that asks for it; it takes a silent voter's place if any.
-
-    A host that was replaced for good never says so.  Its successor would make
-    one voter more, of which one is always lost, and the next loss would stop
-    the group.  A voter that was only silent asks to join when it is back.
-    """
+    """Add a host at its request, replacing an unresponsive voter if any."""
+    # A host replaced for good stays a voter.  Adding its successor beside it
+    # would leave a quorum that tolerates one failure less.
     if state.leader_term is None:
         raise failures.NotLeader(leader=state.leader)
     if state.membership.find(node) is not None:
         return
-    silent = _silent_voter(state, state.leader_term)
-    if silent:
-        replace(state, silent, node, address)
+    unresponsive = _unresponsive_voter(state, state.leader_term)
+    if unresponsive:
+        replace(state, unresponsive, node, address)
         return
     add(state, node, address)
 
 
 def remove(state: replica.Replica, node: str) -> None:
-    """Remove a member, voter or learner."""
-    _require_settled(state)
+    """Remove a voter or learner."""
+    _require_no_change(state)
     if state.membership.find(node) is None:
         raise failures.MemberChangeRefused(f'{node} is not a member')
-    left = state.membership.without(node)
-    if not left.voters:
-        raise failures.MemberChangeRefused('the last voter stays')
-    _write(state, left, f'{node} is removed')
+    remaining = state.membership.without(node)
+    if not remaining.voters:
+        raise failures.MemberChangeRefused('can not remove the last voter')
+    _propose(state, remaining, f'removed {node}')
 
 
 def replace(state: replica.Replica, old: str, node: str, address: str) -> None:
-    """Add a learner that takes an old member's place once it has caught up.
+    """Add a learner that replaces a member once it has caught up.
 
-    With the same node on both sides the member gives up its vote and earns it
-    again: that is how a host returns after its disk was put right.
+    With ``old`` equal to ``node``, the member is demoted to a learner and
+    promoted again, for instance after a repair of its disk.
     """
-    _require_settled(state)
+    _require_no_change(state)
     former = state.membership.find(old)
     if former is None:
         raise failures.MemberChangeRefused(f'{old} is not a member')
     if old == node:
         _require_other_voter(state, former)
-        fresh = membership.Member(node=node, address=address or former.address)
+        learner = membership.Member(
+            node=node, address=address or former.address
+        )
     else:
         if state.membership.find(node) is not None:
-            raise failures.MemberChangeRefused(f'{node} is a member already')
-        fresh = membership.Member(node=node, address=address, replaces=old)
-    _write(
+            raise failures.MemberChangeRefused(f'{node} is already a member')
+        learner = membership.Member(node=node, address=address, replaces=old)
+    _propose(
         state,
-        state.membership.with_member(fresh),
-        f'{node} is to replace {old}',
+        state.membership.with_member(learner),
+        f'{node} will replace {old}',
     )
 
 
 def advance(state: replica.Replica, term: leader_term.LeaderTerm) -> None:
-    """Take the next step towards the members that were asked for.
-
-    The wish is in the log, so that the next leader goes on with it.  A step
-    waits until the one before is committed: two changes of voters at once
-    could leave two quorums that share no member.
-    """
-    if not _is_settled(state) or term.is_handing_over or state.log.is_full:
+    """Take the next step of a pending membership change, if any."""
+    # One step at a time: two uncommitted changes of voters could allow two
+    # disjoint quorums.
+    if (
+        not _is_change_committed(state)
+        or term.is_handing_over
+        or state.log.is_full
+    ):
         return
     for member in state.membership.members:
-        wanted, why = _next_step(state, term, member)
-        if wanted is not None:
-            _write(state, wanted, why)
+        changed, reason = _next_step(state, term, member)
+        if changed is not None:
+            _propose(state, changed, reason)
             return
-    _let_go(state, term)
+    _remove_unresponsive(state, term)
 
 
 def listing(state: replica.Replica) -> messages.MemberReply:
-    """Describe the members as this one sees them."""
+    """List the members with their progress as this member knows it."""
     rows = []
     for member in state.membership.members:
         row = messages.Member(
@@ -147,31 +146,31 @@
     )
 
 
-def _let_go(state: replica.Replica, term: leader_term.LeaderTerm) -> None:
-    """Remove a voter that is silent, while enough others are left.
-
-    A voter more than the group needs is one that may be lost.  One that was
-    taken away for good would count against the others for ever.
-    """
-    least = state.parts.times.min_voters
-    if not least or len(state.membership.voters) <= least:
+def _remove_unresponsive(
+    state: replica.Replica, term: leader_term.LeaderTerm
+) -> None:
+    """Remove an unresponsive voter while more than ``min_voters`` remain."""
+    min_voters = state.parts.times.min_voters
+    if not min_voters or len(state.membership.voters) <= min_voters:
         return
-    silent = _silent_voter(state, term)
-    if silent:
-        left = state.membership.without(silent)
-        _write(state, left, f'{silent} is silent and is let go')
+    unresponsive = _unresponsive_voter(state, term)
+    if unresponsive:
+        remaining = state.membership.without(unresponsive)
+        _propose(state, remaining, f'removed unresponsive voter {unresponsive}')
 
 
-def _silent_voter(state: replica.Replica, term: leader_term.LeaderTerm) -> str:
-    """Return a voter that has not answered for long, empty if there is none."""
+def _unresponsive_voter(
+    state: replica.Replica, term: leader_term.LeaderTerm
+) -> str:
+    """Return a voter that exceeds the voter timeout, empty if none does."""
     for voter in state.membership.voters:
         if voter.node == state.parts.node:
             continue
-        held = term.progress.get(voter.node)
-        heard_at = term.elected_at
-        if held is not None:
-            heard_at = max(heard_at, held.acked_at)
-        if state.now - heard_at > state.parts.times.voter_timeout:
+        progress = term.progress.get(voter.node)
+        last_contact = term.elected_at
+        if progress is not None:
+            last_contact = max(last_contact, progress.acked_at)
+        if state.now - last_contact > state.parts.times.voter_timeout:
             return voter.node
     return ''
 
@@ -182,11 +181,11 @@
         return
     if state.leader_term is None:
         return
-    held = state.leader_term.progress.get(row.node)
-    if held is None:
+    progress = state.leader_term.progress.get(row.node)
+    if progress is None:
         return
-    row.match_index = held.match_index
-    row.reachable = held.acked_at + state.parts.times.lease > state.now
+    row.match_index = progress.match_index
+    row.reachable = progress.acked_at + state.parts.times.lease > state.now
 
 
 def _next_step(
@@ -194,24 +193,24 @@
     term: leader_term.LeaderTerm,
     member: membership.Member,
 ) -> tuple[membership.Membership | None, str]:
-    held = term.progress.get(member.node)
+    progress = term.progress.get(member.node)
     members = state.membership
     if member.voter and member.replaces:
-        settled = attrs.evolve(member, replaces='')
-        left = members.with_member(settled).without(member.replaces)
-        return left, f'{member.node} has replaced {member.replaces}'
-    if held is None or not held.disk_id:
+        replaced = attrs.evolve(member, replaces='')
+        remaining = members.with_member(replaced).without(member.replaces)
+        return remaining, f'{member.node} replaced {member.replaces}'
+    if progress is None or not progress.disk_id:
         return None, ''
-    if held.disk_id != member.disk_id:
-        # The host came back with another disk and none of its promises.  It
-        # counts again only after it has caught up as a learner.
-        learner = attrs.evolve(member, disk_id=held.disk_id, voter=False)
-        return members.with_member(learner), f'{member.node} has a new disk'
-    if not member.voter and held.match_index >= state.commit_index:
-        voter = attrs.evolve(member, voter=True)
+    if progress.disk_id != member.disk_id:
+        # Votes and entries on the previous disk are lost: the host must catch
+        # up as a learner before it counts again.
+        learner = attrs.evolve(member, disk_id=progress.disk_id, voter=False)
         return members.with_member(
-            voter
-        ), f'{member.node} has caught up and votes'
+            learner
+        ), f'demoted {member.node} to learner, its disk is new'
+    if not member.voter and progress.match_index >= state.commit_index:
+        voter = attrs.evolve(member, voter=True)
+        return members.with_member(voter), f'promoted {member.node} to voter'
     return None, ''
 
 
@@ -219,30 +218,32 @@
     state: replica.Replica, former: membership.Member
 ) -> None:
     if former.node == state.parts.node:
-        raise failures.MemberChangeRefused('the leader can not rejoin itself')
+        raise failures.MemberChangeRefused('the leader can not replace itself')
     if former.voter and len(state.membership.voters) == 1:
-        raise failures.MemberChangeRefused('the last voter stays')
+        raise failures.MemberChangeRefused('can not remove the last voter')
 
 
-def _is_settled(state: replica.Replica) -> bool:
+def _is_change_committed(state: replica.Replica) -> bool:
     term = state.leader_term
     if term is None:
         return False
-    # Without a committed entry of its own term a leader may not know of a
-    # change of members that an older leader has begun.
-    oldest = max(state.members.newest_index, term.first_index)
-    return oldest <= state.commit_index
+    # Until an entry of its own term is committed, a leader may not know of a
+    # change started by its predecessor.
+    newest = max(state.members.newest_index, term.first_index)
+    return newest <= state.commit_index
 
 
-def _require_settled(state: replica.Replica) -> None:
+def _require_no_change(state: replica.Replica) -> None:
     if state.leader_term is None:
         raise failures.NotLeader(leader=state.leader)
-    if not _is_settled(state):
-        raise failures.MemberChangeRefused('another change is under way')
+    if not _is_change_committed(state):
+        raise failures.MemberChangeRefused(
+            'another membership change is in progress'
+        )
 
 
-def _write(
-    state: replica.Replica, members: membership.Membership, why: str
+def _propose(
+    state: replica.Replica, members: membership.Membership, reason: str
 ) -> None:
     state.append_own(segments.Kind.MEMBERS, members.encode())
     log_events.tell(
@@ -250,7 +251,7 @@
         log_events.Event.MEMBERS,
         'members: %s: %s',
         state.parts.group,
-        why,
+        reason,
         group=state.parts.group,
         voters=[voter.node for voter in members.voters],
     )
--- a/tamarackthread/control/records.py
+++ b/tamarackthread/control/records.py
@@ -1,9 +1,7 @@
-"""Frame what is written to disk, and tell a torn write from corruption.
+"""Frame data on disk and distinguish torn writes from corruption.
 
-A frame is a header and a payload, each under its own checksum.  One group
-commit is one frame, and the next is written only after the last was synced.
-So a crash can tear only the last frame; anything else that fails its checksum
-was once synced and has rotted.
+Header and payload have a checksum each.  A frame is written only after the
+previous one was synced, so that a crash can tear only the last.
 """
 
 from __future__ import annotations
@@ -19,23 +17,23 @@
 _PREFIX = struct.Struct('>4sI')
 _CHECKS = struct.Struct('>IQ')
 HEADER_BYTES = _PREFIX.size + _CHECKS.size
-_SECTOR = 512
-_ZERO_RUN = 16
-_LONGEST = (1 << 32) - 1
+_SECTOR_BYTES = 512
+_MIN_ZERO_BYTES = 16
+_MAX_PAYLOAD_BYTES = (1 << 32) - 1
 
 
 @attrs.frozen
 class Scan:
-    """What a file held: whole payloads and the size that they cover."""
+    """The complete payloads of a file and the bytes that they cover."""
 
     payloads: tuple[bytes, ...]
     good_bytes: int
 
 
 def encode(payload: bytes) -> bytes:
-    """Build one frame."""
-    if len(payload) > _LONGEST:
-        raise ValueError(f'frame of {len(payload)} bytes')
+    """Encode one frame."""
+    if len(payload) > _MAX_PAYLOAD_BYTES:
+        raise ValueError(f'frame payload of {len(payload)} bytes is too large')
     prefix = _PREFIX.pack(_MAGIC, len(payload))
     return b''.join(
         (
@@ -50,10 +48,9 @@
 
 
 def scan(name: str, data: bytes, may_be_torn: bool) -> Scan:
-    """Read a file's frames; raise ``LogCorrupt`` with the place of a bad one.
+    """Decode a file's frames; raises ``LogCorrupt`` with a bad one's offset.
 
-    With ``may_be_torn`` a last frame that looks half written is left out of
-    ``good_bytes``, for the caller to cut off.
+    With ``may_be_torn``, a torn last frame is excluded from ``good_bytes``.
     """
     payloads = []
     offset = 0
@@ -65,12 +62,12 @@
             continue
         if may_be_torn and _looks_torn(data, offset):
             break
-        raise failures.LogCorrupt('frame fails its checksum', name, offset)
+        raise failures.LogCorrupt('frame has an invalid checksum', name, offset)
     return Scan(payloads=tuple(payloads), good_bytes=offset)
 
 
 def checksum(data: bytes) -> int:
-    """Hash a whole file into 63 bits, which fit a signed field."""
+    """Hash data to 63 bits, which fit a signed field."""
     return xxhash.xxh3_64_intdigest(data) >> 1
 
 
@@ -98,14 +95,10 @@
 
 
 def _looks_torn(data: bytes, offset: int) -> bool:
-    """Tell a write that a crash broke off from bytes that changed later.
-
-    Bit rot in the last synced frame would, if cut off as torn, silently lose
-    an acknowledged change.  A torn write leaves a short file or sectors never
-    written, which read as zeros; rot leaves the length and no such sector.
-    A good frame further on means that this one was synced, so it rotted.
-    """
-    if _good_frame_after(data, offset):
+    """Return whether a bad frame is a torn write rather than corruption."""
+    # A torn write leaves a short file or zeroed sectors; bit rot doesn't, and
+    # truncating a rotten frame would lose acknowledged entries.
+    if _has_valid_frame_after(data, offset):
         return False
     size = _size_at(data, offset)
     if size is not None and offset + HEADER_BYTES + size > len(data):
@@ -115,21 +108,21 @@
     return _has_unwritten_sector(data, offset)
 
 
-def _good_frame_after(data: bytes, offset: int) -> bool:
-    place = data.find(_MAGIC, offset + 1)
-    while place >= 0:
-        if _payload_at(data, place) is not None:
+def _has_valid_frame_after(data: bytes, offset: int) -> bool:
+    position = data.find(_MAGIC, offset + 1)
+    while position >= 0:
+        if _payload_at(data, position) is not None:
             return True
-        place = data.find(_MAGIC, place + 1)
+        position = data.find(_MAGIC, position + 1)
     return False
 
 
 def _has_unwritten_sector(data: bytes, offset: int) -> bool:
     start = offset
     while start < len(data):
-        end = min(len(data), start - start % _SECTOR + _SECTOR)
-        piece = data[start:end]
-        if len(piece) >= _ZERO_RUN and not any(piece):
+        end = min(len(data), start - start % _SECTOR_BYTES + _SECTOR_BYTES)
+        sector = data[start:end]
+        if len(sector) >= _MIN_ZERO_BYTES and not any(sector):
             return True
         start = end
     return False
--- a/tamarackthread/control/replica.py
+++ b/tamarackthread/control/replica.py
@@ -1,4 +1,4 @@
-"""Hold the state of one member that the parts of the log's protocol share."""
+"""Hold the Raft state of one member, shared by the parts of the protocol."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class Replica:
-    """One member's view of its group.
+    """The state of one member of a group.
 
-    Everything here changes on the event loop between two awaits.  Whoever
-    awaits must look again at the term before acting on what it saw before.
+    It changes on the event loop between awaits: after an await, callers must
+    check the term again before acting on earlier reads.
     """
 
     def __init__(self, parts: building.Parts) -> None:
-        """Hold nothing until ``load``."""
+        """Start empty until ``load``."""
         self._parts = parts
         self._hard = hard_state.HardState(parts.files)
         self._log = log.Log(
@@ -51,42 +51,42 @@
 
     @property
     def parts(self) -> building.Parts:
-        """Return what this member is built on."""
+        """Return the parts that this member is built on."""
         return self._parts
 
     @property
     def hard(self) -> hard_state.HardState:
-        """Return the term and the vote."""
+        """Return the persistent term and vote."""
         return self._hard
 
     @property
     def log(self) -> log.Log:
-        """Return the entries after the snapshot."""
+        """Return the log after the snapshot."""
         return self._log
 
     @property
     def snapshots(self) -> snapshots.SnapshotStore:
-        """Return the stored snapshot."""
+        """Return the snapshot store."""
         return self._snapshots
 
     @property
     def members(self) -> member_history.MemberHistory:
-        """Return the members, now and at earlier indexes."""
+        """Return the membership by log index."""
         return self._members
 
     @property
     def membership(self) -> membership.Membership:
-        """Return the members in force."""
+        """Return the newest membership."""
         return self._members.newest
 
     @property
     def timer(self) -> election_timer.ElectionTimer:
-        """Return the time since a leader was heard."""
+        """Return the election timer."""
         return self._timer
 
     @property
     def role(self) -> role.Role:
-        """Return whether this member follows, stands or leads."""
+        """Return the role: follower, candidate or leader."""
         return self._role
 
     @property
@@ -96,42 +96,42 @@
 
     @property
     def leader(self) -> str:
-        """Return the node believed to lead, empty if none is known."""
+        """Return the node of the known leader, empty if none is known."""
         return self._leader
 
     @property
     def commit_index(self) -> int:
-        """Return the index up to which entries are known committed."""
+        """Return the index of the last entry known to be committed."""
         return self._commit_index
 
     @property
     def committed(self) -> asyncio.Event:
-        """Return an event set when ``commit_index`` has grown."""
+        """Return an event that is set when ``commit_index`` advances."""
         return self._committed
 
     @property
     def now(self) -> float:
-        """Read the event loop's clock, in seconds."""
+        """Return the event loop's time, in seconds."""
         return asyncio.get_running_loop().time()
 
     @property
     def is_voter(self) -> bool:
-        """Say whether this node on this disk has a vote, as it knows."""
+        """Return whether this node with this disk is known to have a vote."""
         return self.membership.is_voter(self._parts.node, self._hard.disk_id)
 
     @property
     def is_blank(self) -> bool:
-        """Say whether this member has never held anything of the group."""
+        """Return whether this member has neither a term nor entries."""
         return self._hard.term == 0 and self._log.last_index == 0
 
     async def load(self) -> snapshots.Snapshot | None:
-        """Read the disk; raise ``LogCorrupt`` with the place of bad bytes."""
+        """Load the state and return the snapshot; raises ``LogCorrupt``."""
         fresh_id = self._parts.rng.randbytes(hard_state.DISK_ID_BYTES)
         await self._hard.load(fresh_id)
         snapshot = await self._snapshots.load()
         meta = self._snapshots.meta
-        held = snapshot.members if snapshot else membership.Membership()
-        self._members.reset(meta.last_index, held, keep_later=False)
+        members = snapshot.members if snapshot else membership.Membership()
+        self._members.reset(meta.last_index, members, keep_later=False)
         self._commit_index = meta.last_index
         await self._log.load(meta.last_index, meta.last_term)
         for index in range(meta.last_index + 1, self._log.last_index + 1):
@@ -144,14 +144,14 @@
     def append(
         self, entries: collections.abc.Sequence[messages.LogEntry]
     ) -> int:
-        """Add entries to the log; members in them are in force at once."""
+        """Append entries; membership entries take effect at once."""
         ticket = self._log.append(entries)
         for entry in entries:
             self._members.record(entry)
         return ticket
 
     def append_own(self, kind: segments.Kind, command: bytes) -> int:
-        """As leader, add an entry of this term and return its index."""
+        """Append an entry of this term as the leader and return its index."""
         entry = messages.LogEntry(
             index=self._log.last_index + 1,
             term=self._hard.term,
@@ -164,30 +164,30 @@
         return entry.index
 
     def truncate(self, index: int) -> None:
-        """Void entries that another leader's log doesn't have."""
+        """Remove entries that conflict with the leader's log."""
         if index <= self._commit_index:
             raise RuntimeError(f'entry {index} is committed')
         self._log.truncate(index)
         self._members.truncate(index)
 
     def adopt_snapshot(self, snapshot: snapshots.Snapshot) -> None:
-        """Continue from a snapshot that was received and lasts."""
+        """Continue from an installed snapshot."""
         index = snapshot.meta.last_index
         self._log.reset(index, snapshot.meta.last_term)
-        is_log_kept = self._log.last_index > index
-        self._members.reset(index, snapshot.members, keep_later=is_log_kept)
+        keep_later = self._log.last_index > index
+        self._members.reset(index, snapshot.members, keep_later=keep_later)
         self._commit_index = max(self._commit_index, index)
 
     def adopt_term(self, term: int, vote: str = '') -> None:
-        """Move to a newer term, giving up what was held in the older one."""
+        """Move to a newer term, stepping down from the older one."""
         if term > self._hard.term:
-            self.step_down(f'term {term} has begun')
+            self.step_down(f'term {term} is newer')
             self._leader = ''
             self._matched_index = 0
         self._hard.advance(term, vote)
 
     def become_leader(self) -> leader_term.LeaderTerm:
-        """Lead the term that this member was just elected in."""
+        """Lead the term of the election just won."""
         self._role.move('win')
         self._leader = self._parts.node
         self._leader_term = leader_term.LeaderTerm(
@@ -200,7 +200,7 @@
         self.append_own(segments.Kind.NOOP, b'')
         return self._leader_term
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Become a follower."""
         if self._leader_term is not None:
             _log.warning(
@@ -208,7 +208,7 @@
                 self._parts.node,
                 self._parts.group,
                 self._hard.term,
-                why,
+                reason,
             )
             self._leader = ''
             self._leader_term.end()
@@ -217,36 +217,33 @@
         self._timer.reset()
 
     def follow(self, leader: str) -> None:
-        """Note that the leader of this term has just spoken."""
+        """Follow the leader of this term and reset the election timer."""
         if self._role.state != role.FOLLOWER:
-            self.step_down(f'{leader} leads')
+            self.step_down(f'{leader} was elected')
         self._leader = leader
         self._timer.record_contact()
 
     def record_match(self, index: int) -> None:
-        """Note that the log agrees with this term's leader up to an index."""
+        """Record that the log matches this term's leader up to an index."""
         self._matched_index = max(self._matched_index, index)
 
     def commit(self, index: int) -> None:
-        """Commit up to an index, no further than the leader's log is known.
-
-        A late message may tell a member whose log was lost, or differs, a
-        commit index that its own entries have nothing to do with.
-        """
+        """Advance the commit index, at most to the verified match."""
+        # Entries after the match may differ from the leader's.
         index = min(index, self._matched_index)
         if index > self._commit_index:
             self._commit_index = index
             self._committed.set()
 
     def advance_commit(self) -> None:
-        """As leader, commit what a quorum holds on disk."""
+        """Commit, as the leader, what a quorum has synced."""
         if self._leader_term is None:
             return
         index = self._leader_term.quorum_index(
             self.membership, self._log.durable_index
         )
-        # An entry of an older term may be on a quorum and still be replaced;
-        # only an entry of the leader's own term commits those before it.
+        # An entry of an older term can be overwritten even on a quorum; it is
+        # committed only along with an entry of the leader's own term.
         if index <= self._commit_index:
             return
         if self._log.term_at(index) != self._hard.term:
--- a/tamarackthread/control/replication.py
+++ b/tamarackthread/control/replication.py
@@ -1,4 +1,4 @@
-"""Bring one other member up to the leader's log, and keep its heartbeat."""
+"""Replicate the leader's log to one peer and send its heartbeats."""
 
 from __future__ import annotations
 
@@ -10,62 +10,63 @@
 
 
 class PeerReplicator:
-    """Run a leader's two tasks for one other member during one term.
+    """Run the leader's two tasks for one peer during one term.
 
-    Heartbeats have a task of their own: a batch of entries that waits for a
-    slow disk must not make the member believe that its leader is gone.
+    Heartbeats have their own task, so that a batch delayed by a slow disk
+    doesn't trigger an election.
     """
 
     def __init__(
         self, state: replica.Replica, term: leader_term.LeaderTerm, node: str
     ) -> None:
-        """Begin behind the end of the leader's log."""
+        """Start at the first entry of the leader's term."""
         self._state = state
         self._leader_term = term
         self._node = node
-        # The entry that opened this term is sent first.  A member that lacks
-        # what came before it says so, where a bare heartbeat would not.
+        # A peer that lacks earlier entries reports the conflict on an append,
+        # but not on a heartbeat.
         self._progress = leader_term.Progress(next_index=term.first_index)
         term.progress[node] = self._progress
         self._round = 0
 
-    async def beat(self) -> None:
-        """Send a heartbeat in each interval until cancelled."""
+    async def send_heartbeats(self) -> None:
+        """Send a heartbeat at each interval until cancelled."""
         times = self._state.parts.times
         while True:
-            began = self._state.now
-            await self._exchange(self._heartbeat(), times.heartbeat_timeout)
-            spent = self._state.now - began
-            await asyncio.sleep(max(0, times.heartbeat - spent))
+            started = self._state.now
+            await self._send(self._build_heartbeat(), times.heartbeat_timeout)
+            elapsed = self._state.now - started
+            await asyncio.sleep(max(0, times.heartbeat - elapsed))
 
     async def replicate(self) -> None:
-        """Send entries or a snapshot whenever the member lacks some."""
-        told = 0
+        """Send missing entries, snapshots and commit indexes."""
+        sent_commit = 0
         while True:
             if self._is_behind():
                 await self._send_missing()
                 continue
             commit = self._state.commit_index
-            if told < commit:
-                told = commit
-                await self._exchange(
-                    self._heartbeat(), self._state.parts.times.heartbeat_timeout
+            if sent_commit < commit:
+                sent_commit = commit
+                await self._send(
+                    self._build_heartbeat(),
+                    self._state.parts.times.heartbeat_timeout,
                 )
                 continue
             self._progress.wake.clear()
             await self._progress.wake.wait()
 
     async def release(self, campaign: bool) -> None:
-        """Tell the member that the leader gives up its lease."""
-        request = self._heartbeat()
+        """Release the peer from the leader lease."""
+        request = self._build_heartbeat()
         request.release_lease = True
         request.campaign = campaign
-        await self._exchange(request, self._state.parts.times.heartbeat_timeout)
+        await self._send(request, self._state.parts.times.heartbeat_timeout)
 
     async def confirm(self) -> None:
-        """Send one heartbeat now, for a read that must be current."""
-        await self._exchange(
-            self._heartbeat(), self._state.parts.times.heartbeat_timeout
+        """Send one heartbeat now, to confirm a linearizable read."""
+        await self._send(
+            self._build_heartbeat(), self._state.parts.times.heartbeat_timeout
         )
 
     def _is_behind(self) -> bool:
@@ -76,28 +77,28 @@
         if self._progress.next_index <= self._state.log.base_index:
             sent = await self._send_snapshot()
         else:
-            sent = await self._exchange(
-                self._entries(), self._state.parts.times.append_timeout
+            sent = await self._send(
+                self._build_append(), self._state.parts.times.append_timeout
             )
         if not sent:
             await asyncio.sleep(self._state.parts.times.heartbeat)
 
-    def _heartbeat(self) -> messages.AppendRequest:
-        matched = self._progress.match_index
-        term_at = self._state.log.term_at(matched)
+    def _build_heartbeat(self) -> messages.AppendRequest:
+        match_index = self._progress.match_index
+        term_at = self._state.log.term_at(match_index)
         if term_at is None:
-            matched = 0
-        return self._request(matched, term_at or 0, [])
+            match_index = 0
+        return self._build_request(match_index, term_at or 0, [])
 
-    def _entries(self) -> messages.AppendRequest:
+    def _build_append(self) -> messages.AppendRequest:
         previous = self._progress.next_index - 1
-        return self._request(
+        return self._build_request(
             previous,
             self._state.log.term_at(previous) or 0,
             self._state.log.batch(self._progress.next_index),
         )
 
-    def _request(
+    def _build_request(
         self,
         previous: int,
         previous_term: int,
@@ -115,12 +116,11 @@
             round=self._round,
         )
 
-    async def _exchange(
+    async def _send(
         self, request: messages.AppendRequest, timeout: float
     ) -> bool:
-        """Send one request and learn from its reply; ``False`` if none."""
-        # A heartbeat after the lease was given up would make the voters wait
-        # again for a leader that is about to stop.
+        """Send one request and process the reply; return whether it came."""
+        # A heartbeat after the release would renew the lease at the voters.
         if self._leader_term.is_released and not request.release_lease:
             return False
         sent_at = self._state.now
@@ -154,22 +154,24 @@
         progress.acked_at = max(progress.acked_at, sent_at)
         self._leader_term.responded.set()
         if reply.success:
-            self._advance(request, reply.last_index)
+            self._record_success(request, reply.last_index)
             return
-        self._back_up(request, reply)
+        self._backtrack(request, reply)
 
-    def _advance(self, request: messages.AppendRequest, matched: int) -> None:
+    def _record_success(
+        self, request: messages.AppendRequest, match_index: int
+    ) -> None:
         progress = self._progress
-        progress.match_index = max(progress.match_index, matched)
-        progress.next_index = max(progress.next_index, matched + 1)
+        progress.match_index = max(progress.match_index, match_index)
+        progress.next_index = max(progress.next_index, match_index + 1)
         if request.entries:
             progress.is_full = False
         self._state.advance_commit()
 
-    def _back_up(
+    def _backtrack(
         self, request: messages.AppendRequest, reply: messages.AppendReply
     ) -> None:
-        """Look further back for the place where the two logs agree."""
+        """Move the next index back to where the logs may match."""
         progress = self._progress
         if not reply.conflict_index:
             return
@@ -181,7 +183,7 @@
         progress.wake.set()
 
     async def _send_snapshot(self) -> bool:
-        """Send the newest snapshot in parts, beginning where it broke off."""
+        """Send the newest snapshot in chunks, resuming a partial transfer."""
         meta = self._state.snapshots.meta
         offset = 0
         while self._state.snapshots.meta == meta:
@@ -216,7 +218,7 @@
             checksum=meta.checksum,
             voters=_nodes(members.voters),
             learners=_nodes(
-                tuple(held for held in members.members if not held.voter)
+                tuple(member for member in members.members if not member.voter)
             ),
         )
         try:
@@ -227,13 +229,13 @@
             )
         except errors.CodedError:
             return None
-        answer = reply.snapshot
-        if answer is None or self._leader_term.ended.is_set():
+        snapshot = reply.snapshot
+        if snapshot is None or self._leader_term.ended.is_set():
             return None
-        if answer.term > self._leader_term.term:
-            self._state.adopt_term(answer.term)
+        if snapshot.term > self._leader_term.term:
+            self._state.adopt_term(snapshot.term)
             return None
-        return answer
+        return snapshot
 
 
 def _nodes(members: tuple[membership.Member, ...]) -> list[str]:
