--- a/bench/history/breaks.py
+++ b/bench/history/breaks.py
@@ -222,7 +222,7 @@
         'vote-twice',
         'each candidate of a term gets the vote',
         voting,
-        '_may_vote',
+        '_can_vote',
         _vote_again,
         seed=165,
     ),
--- a/tamarackthread/control/bootstrap.py
+++ b/tamarackthread/control/bootstrap.py
@@ -1,9 +1,7 @@
-"""Form a new group out of blank disks, exactly once.
+"""Bootstrap a new group on blank disks, exactly once.
 
-A wiped host has a blank disk too, and settings that name the same members.
-Were it to begin a group on its own word, the accepted state would be replaced
-by nothing.  So a group is formed only by the first of the members named in
-the settings, and only when every one of them answers and is blank.
+A wiped host must not start an empty group: only the first configured member
+bootstraps, and only if all configured members answer and are blank.
 """
 
 from __future__ import annotations
@@ -20,22 +18,24 @@
 
 
 async def attempt(state: replica.Replica) -> None:
-    """Write the first members if this node is to form the group."""
-    named = state.parts.bootstrap
-    if not named or state.parts.node != min(named):
+    """Write the first membership if this node is to bootstrap the group."""
+    configured = state.parts.bootstrap
+    if not configured or state.parts.node != min(configured):
         return
-    others = [node for node in sorted(named) if node != state.parts.node]
-    answers = await asyncio.gather(*(_probe(state, node) for node in others))
-    if None in answers or not state.is_blank:
+    others = [node for node in sorted(configured) if node != state.parts.node]
+    disk_ids = await asyncio.gather(*(_probe(state, node) for node in others))
+    if None in disk_ids or not state.is_blank:
         return
-    disks = dict(zip(others, answers, strict=True))
-    disks[state.parts.node] = state.hard.disk_id
-    await _found(state, disks)
+    disk_ids_by_node = dict(zip(others, disk_ids, strict=True))
+    disk_ids_by_node[state.parts.node] = state.hard.disk_id
+    await _write_membership(state, disk_ids_by_node)
 
 
-async def _found(state: replica.Replica, disks: dict[str, bytes]) -> None:
+async def _write_membership(
+    state: replica.Replica, disk_ids_by_node: dict[str, bytes]
+) -> None:
     members = membership.Membership()
-    for node, disk_id in disks.items():
+    for node, disk_id in disk_ids_by_node.items():
         members = members.with_member(
             membership.Member(
                 node=node,
@@ -54,11 +54,13 @@
     ticket = state.append([entry])
     await state.hard.persist()
     await state.log.synced(ticket)
-    _log.info('consensus: formed %s of %s', state.parts.group, list(disks))
+    _log.info(
+        'consensus: formed %s of %s', state.parts.group, list(disk_ids_by_node)
+    )
 
 
 def probe(state: replica.Replica) -> messages.Request:
-    """Build a request that any member answers and that changes nothing."""
+    """Build a request that any member disk_ids without a change of state."""
     return messages.Request(
         append=messages.AppendRequest(
             group=state.parts.group,
@@ -74,7 +76,7 @@
 
 
 async def _probe(state: replica.Replica, node: str) -> bytes | None:
-    """Return a node's disk id if it answers and is blank."""
+    """Return a node's disk id if it disk_ids and is blank."""
     try:
         reply = await state.parts.transport.call(
             node,
--- a/tamarackthread/control/disk.py
+++ b/tamarackthread/control/disk.py
@@ -1,4 +1,4 @@
-"""Keep a group's files: the interface, and the folder on a real disk."""
+"""Define a group's file storage and implement it in a local folder."""
 
 from __future__ import annotations
 
@@ -14,75 +14,75 @@
 
 from tamarackthread.control import failures
 
-_FULL = frozenset((errno.ENOSPC, errno.EDQUOT))
-_WORKERS = 2
-_SUFFIX = '.new'
+_FULL_ERRNOS = frozenset((errno.ENOSPC, errno.EDQUOT))
+_MAX_THREADS = 2
+_TEMPORARY_SUFFIX = '.new'
 
 _Result = typing.TypeVar('_Result')
 
 
 class Disk(abc.ABC):
-    """Hold the files of one group in one flat folder.
+    """Files of one group in one flat folder.
 
-    What was appended lasts only once ``sync`` has returned; ``replace``,
-    ``truncate`` and ``remove`` return when they last.  Writes raise
-    ``DiskFull`` or ``DiskFailed``, and leave the file as it was.
+    Appended data is durable once ``sync`` returns; ``replace``, ``truncate``
+    and ``remove`` are durable on return.  A write that raises ``DiskFull`` or
+    ``DiskFailed`` leaves the file unchanged.
     """
 
     @abc.abstractmethod
     async def append(self, name: str, data: bytes) -> None:
-        """Add bytes to the end of a file, creating it if needed."""
+        """Append to a file, creating it if needed."""
 
     @abc.abstractmethod
     async def sync(self, name: str) -> None:
-        """Return once all that was appended to the file will last."""
+        """Return once all data appended to the file is durable."""
 
     @abc.abstractmethod
     async def read(self, name: str, offset: int = 0, size: int = -1) -> bytes:
-        """Read bytes; raise ``FileNotFoundError`` if there is no file."""
+        """Read bytes; raises ``FileNotFoundError``."""
 
     @abc.abstractmethod
     async def replace(self, name: str, data: bytes) -> None:
-        """Put a whole file in place of the old one, or leave the old one."""
+        """Replace a whole file atomically."""
 
     @abc.abstractmethod
     async def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
 
     @abc.abstractmethod
     async def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
 
     @abc.abstractmethod
     async def names(self) -> list[str]:
-        """List the files in order of their names."""
+        """List the file names in sorted order."""
 
     @abc.abstractmethod
     def free_bytes(self) -> int:
-        """Return the room left for ordinary processes, without waiting."""
+        """Return the free space for unprivileged processes; never blocks."""
 
     async def close(self) -> None:  # noqa: B027
-        """Give up what the disk holds open."""
+        """Release the disk's resources."""
 
 
 class FolderDisk(Disk):
-    """Keep files in a folder; every wait for the disk is in a thread.
+    """Store files in a folder, with all blocking calls in threads.
 
-    A disk that stalls holds these threads and never the event loop, so that
-    heartbeats go on and the stall is noticed.
+    A stalled disk blocks these threads but not the event loop, so that
+    heartbeats continue and the stall is detected.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Create the folder if it isn't there."""
+        """Create the folder if needed."""
         folder.mkdir(parents=True, exist_ok=True)
         self._folder = folder
         self._threads = concurrent.futures.ThreadPoolExecutor(
-            max_workers=_WORKERS, thread_name_prefix=f'disk-{folder.name}'
+            max_workers=_MAX_THREADS, thread_name_prefix=f'disk-{folder.name}'
         )
-        self._unlisted: set[str] = set()
+        self._unsynced_names: set[str] = set()
 
     async def append(self, name: str, data: bytes) -> None:
-        """Add bytes, and cut them off again if the disk took only some."""
+        """Append to the file; a partial write is truncated again."""
         await self._run(lambda: self._append(name, data))
 
     async def sync(self, name: str) -> None:
@@ -94,11 +94,11 @@
         return await self._run(lambda: self._read(name, offset, size))
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a second file, sync it and rename it over the first."""
+        """Write and sync a temporary file, then rename it."""
         await self._run(lambda: self._replace(name, data))
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file and sync it."""
+        """Truncate and sync the file."""
         await self._run(lambda: self._truncate(name, size))
 
     async def remove(self, name: str) -> None:
@@ -106,16 +106,16 @@
         await self._run(lambda: self._remove(name))
 
     async def names(self) -> list[str]:
-        """List whole files; one whose replacement broke off is left out."""
+        """List the file names without temporary files."""
         return await self._run(self._names)
 
     def free_bytes(self) -> int:
-        """Ask the file system, which knows it without a disk access."""
-        room = os.statvfs(self._folder)
-        return room.f_bavail * room.f_frsize
+        """Query the file system, which needs no disk access."""
+        stats = os.statvfs(self._folder)
+        return stats.f_bavail * stats.f_frsize
 
     async def close(self) -> None:
-        """Let the threads end, without waiting for a stalled disk."""
+        """Stop the threads without waiting for a stalled disk."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     async def _run(
@@ -127,14 +127,14 @@
         except FileNotFoundError:
             raise
         except OSError as exc:
-            if exc.errno in _FULL:
+            if exc.errno in _FULL_ERRNOS:
                 raise failures.DiskFull(str(exc)) from exc
             raise failures.DiskFailed(str(exc)) from exc
 
     def _append(self, name: str, data: bytes) -> None:
         path = self._folder / name
         if not path.exists():
-            self._unlisted.add(name)
+            self._unsynced_names.add(name)
         with path.open('ab', buffering=0) as opened:
             size = opened.tell()
             try:
@@ -146,9 +146,9 @@
     def _sync(self, name: str) -> None:
         with (self._folder / name).open('rb') as opened:
             os.fsync(opened.fileno())
-        if name in self._unlisted:
+        if name in self._unsynced_names:
             self._sync_folder()
-            self._unlisted.discard(name)
+            self._unsynced_names.discard(name)
 
     def _read(self, name: str, offset: int, size: int) -> bytes:
         with (self._folder / name).open('rb') as opened:
@@ -156,16 +156,16 @@
             return opened.read(size)
 
     def _replace(self, name: str, data: bytes) -> None:
-        fresh = self._folder / (name + _SUFFIX)
+        temporary = self._folder / (name + _TEMPORARY_SUFFIX)
         try:
-            with fresh.open('wb', buffering=0) as opened:
+            with temporary.open('wb', buffering=0) as opened:
                 _write_all(opened.fileno(), data)
                 os.fsync(opened.fileno())
         except OSError:
             with contextlib.suppress(OSError):
-                fresh.unlink()
+                temporary.unlink()
             raise
-        fresh.replace(self._folder / name)
+        temporary.replace(self._folder / name)
         self._sync_folder()
 
     def _truncate(self, name: str, size: int) -> None:
@@ -179,7 +179,9 @@
 
     def _names(self) -> list[str]:
         found = (path.name for path in self._folder.iterdir())
-        return sorted(name for name in found if not name.endswith(_SUFFIX))
+        return sorted(
+            name for name in found if not name.endswith(_TEMPORARY_SUFFIX)
+        )
 
     def _sync_folder(self) -> None:
         descriptor = os.open(self._folder, os.O_RDONLY)
@@ -190,7 +192,7 @@
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    left = memoryview(data)
-    while left:
-        written = os.write(descriptor, left)
-        left = left[written:]
+    remaining = memoryview(data)
+    while remaining:
+        written = os.write(descriptor, remaining)
+        remaining = remaining[written:]
--- a/tamarackthread/control/folder.py
+++ b/tamarackthread/control/folder.py
@@ -1,4 +1,4 @@
-"""Hold the data folder for this process alone."""
+"""Lock the data folder for this process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tamarackthread.shared import errors
 
-LOCK_NAME = 'lock'
+LOCK_FILE = 'lock'
 
 
 class DataFolderBusy(errors.CodedError):
@@ -18,17 +18,16 @@
 
 
 class DataFolder:
-    """Lock a folder until ``close``; the kernel frees it at a crash.
+    """Hold an exclusive lock on a folder until ``close`` or process exit.
 
-    Two processes on one folder would both append to the same log, and what
-    each had synced would no longer be what it reads back.
+    Two processes on one folder would corrupt each other's log.
     """
 
     def __init__(self, path: str) -> None:
-        """Create the folder if needed; raise ``DataFolderBusy`` if held."""
+        """Create and lock the folder; raises ``DataFolderBusy``."""
         self._path = pathlib.Path(path)
         self._path.mkdir(parents=True, exist_ok=True)
-        self._lock = os.open(self._path / LOCK_NAME, os.O_CREAT | os.O_RDWR)
+        self._lock = os.open(self._path / LOCK_FILE, os.O_CREAT | os.O_RDWR)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as exc:
@@ -36,9 +35,9 @@
             raise DataFolderBusy(path) from exc
 
     def group_path(self, name: str) -> pathlib.Path:
-        """Give the folder of a replicated group."""
+        """Return the folder of a replicated group."""
         return self._path / name
 
     def close(self) -> None:
-        """Let another process use the folder."""
+        """Release the lock."""
         os.close(self._lock)
--- a/tamarackthread/control/forwarding.py
+++ b/tamarackthread/control/forwarding.py
@@ -1,7 +1,6 @@
-"""Pass a request on to the leader of the configuration group.
+"""Forward requests to the leader of the configuration group.
 
-An operator or an agent may ask any control host.  What it asks is safe to be
-asked twice, so the request is tried again while an election is on.
+Forwarded requests are idempotent and are retried during an election.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 
 
 class Forwarder:
-    """Know where the leader is and ask it."""
+    """Locate the leader and send it requests."""
 
     def __init__(
         self,
@@ -35,14 +34,14 @@
         links: peers.Peers,
         own_node: str,
     ) -> None:
-        """Find the leader's address by its node with ``address_of``."""
+        """Resolve the leader's node to an address by ``address_of``."""
         self._config = config
         self._address_of = address_of
         self._links = links
         self._own_node = own_node
 
     def leader_address(self) -> str:
-        """Give the leader's address, empty if it is unknown or this host."""
+        """Return the leader's address, empty if unknown or this host."""
         leader = self._config.leader
         if not leader or leader == self._own_node:
             return ''
@@ -53,11 +52,11 @@
         request: messages.Request,
         leads: collections.abc.Callable[[], bool],
     ) -> messages.Reply | None:
-        """Ask the leader; ``None`` once this host leads itself."""
+        """Forward a request; return ``None`` once this host leads itself."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + RETRY_TIMEOUT_SECONDS
+        deadline = loop.time() + RETRY_TIMEOUT_SECONDS
         failure: errors.CodedError = failures.NotLeader('no leader is known')
-        while loop.time() < until:
+        while loop.time() < deadline:
             if leads():
                 return None
             try:
@@ -71,16 +70,16 @@
         address = self.leader_address()
         if not address:
             raise failures.NotLeader('no leader is known')
-        asking = asyncio.ensure_future(
+        pending = asyncio.ensure_future(
             self._links.request(address, request, ATTEMPT_TIMEOUT_SECONDS),
         )
         try:
-            # An isolated leader answers nothing; the wait for it ends as
-            # soon as another one is known.
-            while not asking.done():
-                await asyncio.wait((asking,), timeout=RETRY_INTERVAL_SECONDS)
-                if not asking.done() and self.leader_address() != address:
+            # An isolated leader doesn't answer; stop waiting as soon as another
+            # leader is known.
+            while not pending.done():
+                await asyncio.wait((pending,), timeout=RETRY_INTERVAL_SECONDS)
+                if not pending.done() and self.leader_address() != address:
                     raise failures.NotLeader('leader changed')
-            return asking.result()
+            return pending.result()
         finally:
-            asking.cancel()
+            pending.cancel()
--- a/tamarackthread/control/segments.py
+++ b/tamarackthread/control/segments.py
@@ -1,7 +1,7 @@
-"""Keep a log's entries in files that are only ever added to.
+"""Store a log's entries in append-only files.
 
-Cutting the log back is itself an entry, a mark.  So a crash at any moment
-leaves either the old log or the new one, and never a hole.
+Truncation is an entry as well, so that a crash leaves either the old or the
+new log.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Kind(enum.IntEnum):
-    """Name what a log entry carries."""
+    """The kinds of log entries."""
 
     COMMAND = 0
     NOOP = 1
     MEMBERS = 2
-    TRUNCATE = 3  # on disk only: entries from this index on are void
+    TRUNCATE = 3  # on disk only: removes the entries from this index on
 
 
 @attrs.define
@@ -37,17 +37,17 @@
 
 
 class Segments:
-    """Write frames of entries to a row of files of bounded size."""
+    """A sequence of segment files of limited size."""
 
     def __init__(self, files: disk.Disk, segment_bytes: int) -> None:
-        """Know no files until ``load``."""
+        """Start without files until ``load``."""
         self._files = files
         self._segment_bytes = segment_bytes
         self._segments: list[_Segment] = []
         self._next_number = 1
 
     async def load(self) -> list[messages.LogEntry]:
-        """Read all entries in force; cut a torn tail, refuse corruption."""
+        """Read the entries in force; truncates a torn tail."""
         names = [
             name
             for name in await self._files.names()
@@ -57,7 +57,9 @@
         for name in names:
             segment = _Segment(name)
             self._segments.append(segment)
-            await self._load_one(segment, entries, is_last=name == names[-1])
+            await self._load_segment(
+                segment, entries, is_last=name == names[-1]
+            )
         if names:
             self._next_number = int(names[-1].removeprefix(PREFIX)) + 1
         return entries
@@ -67,13 +69,12 @@
     ) -> None:
         """Write entries as one frame and sync it.
 
-        After ``DiskFull`` nothing was written and the call may be repeated.
-        A failed sync raises ``DiskFailed`` and may not: the system has then
-        dropped the pages, and a second sync would succeed without them.
+        After ``DiskFull`` nothing was written and the call may be repeated;
+        not after ``DiskFailed``, as the kernel may have dropped dirty pages.
         """
         payload = wire.encode(messages.AppendRequest(entries=list(entries)))
         frame = records.encode(payload)
-        segment = self._current()
+        segment = self._active_segment()
         await self._files.append(segment.name, frame)
         segment.size += len(frame)
         for entry in entries:
@@ -81,12 +82,12 @@
         await self._sync(segment.name)
 
     async def compact(self, index: int) -> None:
-        """Remove the files that hold nothing after ``index``."""
+        """Remove the files without entries after ``index``."""
         while len(self._segments) > 1 and self._segments[0].last_index <= index:
             await self._files.remove(self._segments[0].name)
             self._segments.pop(0)
 
-    async def _load_one(
+    async def _load_segment(
         self,
         segment: _Segment,
         entries: list[messages.LogEntry],
@@ -98,7 +99,7 @@
         for payload in scan.payloads:
             for entry in wire.decode(messages.AppendRequest, payload).entries:
                 segment.last_index = max(segment.last_index, entry.index)
-                _replay(entry, entries, segment.name)
+                _apply(entry, entries, segment.name)
         if scan.good_bytes < len(data):
             _log.warning(
                 'log: cut torn tail of %s: %d bytes after byte %d',
@@ -108,13 +109,13 @@
             )
             await self._files.truncate(segment.name, scan.good_bytes)
 
-    def _current(self) -> _Segment:
+    def _active_segment(self) -> _Segment:
         if self._segments and self._segments[-1].size < self._segment_bytes:
             return self._segments[-1]
-        fresh = _Segment(f'{PREFIX}{self._next_number:016d}')
+        segment = _Segment(f'{PREFIX}{self._next_number:016d}')
         self._next_number += 1
-        self._segments.append(fresh)
-        return fresh
+        self._segments.append(segment)
+        return segment
 
     async def _sync(self, name: str) -> None:
         try:
@@ -123,7 +124,7 @@
             raise failures.DiskFailed(str(exc)) from exc
 
 
-def _replay(
+def _apply(
     entry: messages.LogEntry, entries: list[messages.LogEntry], name: str
 ) -> None:
     if entry.kind == Kind.TRUNCATE:
@@ -132,6 +133,8 @@
         return
     if entries and entry.index != entries[-1].index + 1:
         raise failures.LogCorrupt(
-            f'entry {entry.index} follows {entries[-1].index}', name, 0
+            f'entry {entry.index} does not follow entry {entries[-1].index}',
+            name,
+            0,
         )
     entries.append(entry)
--- a/tamarackthread/control/snapshots.py
+++ b/tamarackthread/control/snapshots.py
@@ -1,4 +1,4 @@
-"""Store snapshots of the machine, and parts of one that is arriving."""
+"""Store snapshots of the machine and the chunks of an incoming one."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tamarackthread.shared import wire
 
 FILE = 'snapshot'
-_INCOMING = 'incoming-'
+_INCOMING_PREFIX = 'incoming-'
 
 
 @attrs.frozen
 class Meta:
-    """Describe one snapshot file; size in bytes."""
+    """The metadata of a snapshot file; ``size`` is in bytes."""
 
     last_index: int = 0
     last_term: int = 0
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """A snapshot with the machine's state at its last entry."""
+    """A snapshot of the machine's state and the membership."""
 
     meta: Meta
     members: membership.Membership
@@ -34,24 +34,24 @@
 
 
 class SnapshotStore:
-    """Keep the newest snapshot in one file."""
+    """Store the newest snapshot in one file."""
 
     def __init__(self, files: disk.Disk) -> None:
-        """Know nothing until ``load``."""
+        """Start empty until ``load``."""
         self._files = files
         self._meta = Meta()
         self._incoming = ('', 0)
-        # An own snapshot that is slow to write must not replace a newer one
-        # that has arrived meanwhile: the log before it is gone.
+        # A slow local snapshot must not replace a newer one from the leader,
+        # up to which the log is already compacted.
         self._lock = asyncio.Lock()
 
     @property
     def meta(self) -> Meta:
-        """Describe the newest durable snapshot; index 0 is none."""
+        """Return the metadata of the newest durable snapshot, or zeros."""
         return self._meta
 
     async def load(self) -> Snapshot | None:
-        """Read the newest snapshot; raise ``LogCorrupt`` on a bad one."""
+        """Read the newest snapshot; raises ``LogCorrupt``."""
         try:
             data = await self._files.read(FILE)
         except FileNotFoundError:
@@ -67,42 +67,39 @@
         members: membership.Membership,
         state: bytes,
     ) -> None:
-        """Put a new snapshot in place of the old one; it lasts on return."""
-        opening = messages.LogEntry(
+        """Store a new snapshot; durable on return."""
+        header = messages.LogEntry(
             index=last_index,
             term=last_term,
             kind=segments.Kind.MEMBERS,
             command=members.encode(),
         )
-        data = records.encode(wire.encode(opening)) + records.encode(state)
+        data = records.encode(wire.encode(header)) + records.encode(state)
         async with self._lock:
             if last_index > self._meta.last_index:
                 await self._files.replace(FILE, data)
-                self._meta = _describe(last_index, last_term, data)
+                self._meta = _build_meta(last_index, last_term, data)
 
     async def chunk(self, offset: int, size: int) -> bytes:
-        """Read a part of the newest snapshot's file."""
+        """Read a chunk of the newest snapshot's file."""
         return await self._files.read(FILE, offset, size)
 
     async def receive(self, request: messages.SnapshotRequest) -> int:
-        """Keep one arriving part and return the offset wanted next.
-
-        Parts survive a restart, so that a large snapshot over a bad network
-        goes on where it broke off.
-        """
+        """Append an incoming chunk and return the next offset."""
+        # Chunks survive a restart, so that a large transfer is resumed.
         name = _incoming_name(request)
-        held = await self._held(name)
-        if request.offset != held:
-            return held
+        received = await self._received_bytes(name)
+        if request.offset != received:
+            return received
         self._incoming = ('', 0)
         await self._files.append(name, request.chunk)
-        self._incoming = (name, held + len(request.chunk))
-        return held + len(request.chunk)
+        self._incoming = (name, received + len(request.chunk))
+        return received + len(request.chunk)
 
     async def complete(
         self, request: messages.SnapshotRequest
     ) -> Snapshot | None:
-        """Put the snapshot that has arrived in place; ``None`` if damaged."""
+        """Store the received snapshot, or return ``None`` if it is damaged."""
         name = _incoming_name(request)
         data = await self._files.read(name)
         await self._drop_incoming()
@@ -114,9 +111,9 @@
             self._meta = snapshot.meta
         return snapshot
 
-    async def _held(self, name: str) -> int:
-        known, size = self._incoming
-        if known == name:
+    async def _received_bytes(self, name: str) -> int:
+        current, size = self._incoming
+        if current == name:
             return size
         if name in await self._files.names():
             return len(await self._files.read(name))
@@ -126,24 +123,24 @@
     async def _drop_incoming(self) -> None:
         self._incoming = ('', 0)
         for name in await self._files.names():
-            if name.startswith(_INCOMING):
+            if name.startswith(_INCOMING_PREFIX):
                 await self._files.remove(name)
 
 
 def parse(data: bytes) -> Snapshot:
-    """Read a snapshot's file; raise ``LogCorrupt`` unless it is whole."""
+    """Parse a snapshot file; raises ``LogCorrupt``."""
     scan = records.scan(FILE, data, may_be_torn=False)
     if len(scan.payloads) != 2:
-        raise failures.LogCorrupt('snapshot is not whole', FILE, 0)
-    opening = wire.decode(messages.LogEntry, scan.payloads[0])
+        raise failures.LogCorrupt('snapshot is incomplete', FILE, 0)
+    header = wire.decode(messages.LogEntry, scan.payloads[0])
     return Snapshot(
-        meta=_describe(opening.index, opening.term, data),
-        members=membership.decode(opening.command),
+        meta=_build_meta(header.index, header.term, data),
+        members=membership.decode(header.command),
         state=scan.payloads[1],
     )
 
 
-def _describe(last_index: int, last_term: int, data: bytes) -> Meta:
+def _build_meta(last_index: int, last_term: int, data: bytes) -> Meta:
     return Meta(
         last_index=last_index,
         last_term=last_term,
@@ -154,5 +151,8 @@
 
 def _incoming_name(request: messages.SnapshotRequest) -> str:
     return '{}{}-{}-{}'.format(
-        _INCOMING, request.last_index, request.last_term, request.checksum
+        _INCOMING_PREFIX,
+        request.last_index,
+        request.last_term,
+        request.checksum,
     )
--- a/tamarackthread/control/transport.py
+++ b/tamarackthread/control/transport.py
@@ -1,4 +1,4 @@
-"""Carry requests between the members of a group."""
+"""Send requests between the members of a group."""
 
 from __future__ import annotations
 
@@ -10,42 +10,39 @@
 
 
 class Transport(abc.ABC):
-    """Reach the other control hosts by the names of their nodes.
+    """Send requests to other control hosts by node name.
 
-    Requests may be lost, late and reordered.  All but forwarded proposals may
-    also be doubled; a second copy of a proposal could be made after the first
-    was refused, and the caller was told that it had not been run.
+    Requests may be lost, delayed, reordered or duplicated; forwarded
+    proposals never duplicated, as a copy could run after a refusal.
     """
 
     @abc.abstractmethod
     async def call(
         self, node: str, request: messages.Request, timeout_seconds: float
     ) -> messages.Reply:
-        """Send one request; raise a coded error unless it was answered."""
+        """Send one request; raises a coded error if it isn't answered."""
 
     def set_address(self, node: str, address: str) -> None:  # noqa: B027
-        """Note where a node listens, as the group's members have agreed."""
+        """Set a node's address, as agreed by the group."""
 
 
 class LinkTransport(Transport):
-    """Reach members over the process's shared links."""
+    """Send requests over the process's shared links."""
 
     def __init__(self, links: peers.Peers) -> None:
-        """Start without addresses; groups teach them through ``set_address``."""
+        """Start without addresses; groups add them by ``set_address``."""
         self._links = links
         self._addresses: dict[str, str] = {}
 
     async def call(
         self, node: str, request: messages.Request, timeout_seconds: float
     ) -> messages.Reply:
-        """Send one request over the link to the node's address.
-
-        The time to dial counts: a host behind a network that swallows packets
-        must not hold up an election for as long as a connection may take.
-        """
+        """Send one request over the link to the node's address."""
+        # The timeout includes connecting: a black-holed host must not delay an
+        # election.
         address = self._addresses.get(node)
         if not address:
-            raise errors.AddressUnreachable(f'no address known for {node}')
+            raise errors.AddressUnreachable(f'address of {node} is unknown')
         try:
             async with asyncio.timeout(timeout_seconds):
                 return await self._links.request(
--- a/tamarackthread/control/voting.py
+++ b/tamarackthread/control/voting.py
@@ -1,4 +1,4 @@
-"""Answer requests for a vote."""
+"""Answer vote requests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,16 @@
 async def answer(
     state: replica.Replica, request: messages.VoteRequest
 ) -> messages.VoteReply:
-    """Grant or refuse a vote; a granted one lasts before it is answered."""
+    """Grant or reject a vote; a granted vote is persisted before the reply."""
     if request.pre_vote:
-        return _reply(state, _would_vote(state, request))
-    # While a leader may hold a lease that this voter supports, a candidate is
-    # not even told of a newer term: it would depose a working leader, and two
-    # leaders would hold a lease at once.
+        return _reply(state, _can_pre_vote(state, request))
+    # While a leader may hold a lease through this voter, a higher term is not
+    # adopted: two leaders could hold a lease at once.
     if has_active_leader(state):
         return _reply(state, granted=False)
     if request.term > state.hard.term:
         state.adopt_term(request.term)
-    if _may_vote(state, request):
+    if _can_vote(state, request):
         state.hard.advance(request.term, request.candidate)
         state.timer.reset()
     await state.hard.persist()
@@ -31,7 +30,7 @@
 
 
 def has_active_leader(state: replica.Replica) -> bool:
-    """Say whether a leader's lease may still rest on this voter."""
+    """Return whether a leader's lease may depend on this voter."""
     if state.role.leads and state.leader_term is not None:
         return not state.leader_term.is_handing_over
     return state.timer.is_leader_active
@@ -40,20 +39,22 @@
 def is_up_to_date(
     state: replica.Replica, last_term: int, last_index: int
 ) -> bool:
-    """Say whether a candidate's log has all that this one may have."""
+    """Return whether a candidate's log is at least as new as this one."""
     return (last_term, last_index) >= (
         state.log.last_term,
         state.log.last_index,
     )
 
 
-def _would_vote(state: replica.Replica, request: messages.VoteRequest) -> bool:
+def _can_pre_vote(
+    state: replica.Replica, request: messages.VoteRequest
+) -> bool:
     if has_active_leader(state) or request.term <= state.hard.term:
         return False
     return is_up_to_date(state, request.last_term, request.last_index)
 
 
-def _may_vote(state: replica.Replica, request: messages.VoteRequest) -> bool:
+def _can_vote(state: replica.Replica, request: messages.VoteRequest) -> bool:
     if request.term < state.hard.term:
         return False
     if state.hard.vote not in {'', request.candidate}:
