--- a/tests/consensus_net.py
+++ b/tests/consensus_net.py
@@ -1,4 +1,4 @@
-"""Run a small group of the replicated log on paused time, for tests."""
+"""Run a small group of the replicated log on simulated time, for tests."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 GROUP = 'config'
 NODES = ('h1', 'h2', 'h3')
-PATIENCE_SECONDS = 30
+WAIT_TIMEOUT_SECONDS = 30
 
 
 class Rows(state_machine.StateMachine):
-    """Keep every command; the result is how many there are."""
+    """Store every command; the result is the number of commands."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start empty."""
         self.rows: list[str] = []
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Add one row."""
+        """Append one row."""
         self.rows.append(command.decode())
         return str(len(self.rows)).encode()
 
@@ -38,12 +38,12 @@
         return json.dumps(self.rows).encode()
 
     def restore(self, data: bytes) -> None:
-        """Take all rows."""
+        """Replace all rows."""
         self.rows = json.loads(data) if data else []
 
 
 class Net:
-    """Be some hosts of one group."""
+    """Simulate the hosts of one group."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         ] = Rows,
         **times: float,
     ) -> None:
-        """Use a timing that differs by ``times``."""
+        """Override fields of the timing by ``times``."""
         self._machine_of = machine_of
         self.rng = random.Random(7)
         self.network = network.Network(self.rng)
@@ -62,7 +62,7 @@
         self._times = timing.Timing(**times)
 
     async def start(self, *nodes: str, named: bool = True) -> None:
-        """Start hosts, known to each other by their settings or not."""
+        """Start hosts, with or without each other in their settings."""
         for node in nodes:
             platter = self.platters.setdefault(node, disks.Platter(self.rng))
             self.machines[node] = self._machine_of()
@@ -81,36 +81,36 @@
             self.network.handlers[node] = process.handle
 
     def kill(self, *nodes: str) -> None:
-        """Crash hosts, losing what their disks had not synced."""
+        """Crash hosts; data that was not synced is lost."""
         for node in nodes:
             self.network.handlers.pop(node, None)
             self.processes.pop(node).abort()
             self.platters[node].crash()
 
     def isolate(self, node: str) -> None:
-        """Cut a host off in both directions."""
+        """Partition a host from all others, in both directions."""
         for other in self.processes:
             if other != node:
                 self.network.cut(node, other)
                 self.network.cut(other, node)
 
     def state(self, node: str):
-        """Return a host's inner state."""
+        """Return a host's internal state."""
         return self.processes[node]._state
 
-    async def until(self, holds: collections.abc.Callable[[], object]):
-        """Wait until something holds and return it."""
-        async with asyncio.timeout(PATIENCE_SECONDS):
-            while not holds():
+    async def until(self, condition: collections.abc.Callable[[], object]):
+        """Wait until a condition condition and return its value."""
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
+            while not condition():
                 await asyncio.sleep(0.02)
-        return holds()
+        return condition()
 
-    async def leader(self, *but: str) -> str:
-        """Wait for a leader with a lease, other than some, and return it."""
-        return await self.until(lambda: self._sure(but))
+    async def leader(self, *excluded: str) -> str:
+        """Wait for a leader with a lease, not among ``excluded``."""
+        return await self.until(lambda: self._lease_holder(excluded))
 
     async def fill(self, node: str, count: int, text: str = 'row') -> None:
-        """Propose rows, some at a time."""
+        """Propose rows, in batches."""
         for start in range(0, count, 200):
             await asyncio.gather(
                 *(
@@ -119,37 +119,37 @@
                 )
             )
 
-    def _sure(self, but: tuple[str, ...]) -> str:
+    def _lease_holder(self, excluded: tuple[str, ...]) -> str:
         for node, process in self.processes.items():
-            if node not in but and process.has_lease():
+            if node not in excluded and process.has_lease():
                 return node
         return ''
 
 
 class PausedCase(unittest.TestCase):
-    """Run each test's coroutine on a loop whose time is paused."""
+    """Run each test's coroutine on a loop with simulated time."""
 
     def setUp(self) -> None:
-        """Keep expected warnings out of the output."""
+        """Suppress expected log lines."""
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def run_paused(self, work: collections.abc.Awaitable[None]) -> None:
-        """Run until done, then cancel what is left."""
+    def run_paused(self, coroutine: collections.abc.Awaitable[None]) -> None:
+        """Run a coroutine to its end, then cancel remaining tasks."""
         loop = async_solipsism.EventLoop()
         self.addCleanup(loop.close)
         with warnings.catch_warnings():
             warnings.simplefilter('ignore')
             try:
-                loop.run_until_complete(work)
+                loop.run_until_complete(coroutine)
             finally:
-                _end_tasks(loop)
+                _cancel_tasks(loop)
 
 
-def _end_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    left = asyncio.all_tasks(loop)
-    for task in left:
+def _cancel_tasks(loop: asyncio.AbstractEventLoop) -> None:
+    remaining = asyncio.all_tasks(loop)
+    for task in remaining:
         task.cancel()
-    if left:
-        ending = asyncio.gather(*left, return_exceptions=True)
+    if remaining:
+        ending = asyncio.gather(*remaining, return_exceptions=True)
         loop.run_until_complete(ending)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Test the replicated log under the failures it is made for."""
+"""Test the replicated log under partitions, crashes and disk faults."""
 
 from __future__ import annotations
 
@@ -12,83 +12,46 @@
 
 
 class LeadingTest(consensus_net.PausedCase):
-    """Test who leads, and what a leader knows."""
+    """Test leadership, leases and reads."""
 
     def test_isolated_leader_steps_down_first(self) -> None:
-        """An isolated leader knows that it leads no longer.
-
-        The leader is cut off with its lease running; its callers get a
-        refusal once the lease ends.  Only then do the others elect another,
-        because voters stay silent for longer than a lease lasts.
-        """
+        """Guards against an old leader that still leads beside a new one."""
         self.run_paused(self._isolated())
 
     def test_lease_is_never_shared(self) -> None:
-        """Two hosts never hold the lease at once while leaders change.
-
-        The leader is cut off again and again; at each moment at most one host
-        may count on its lease, or a reader would see an older state.
-        """
+        """Guards against two hosts with a lease at once, and so stale reads."""
         self.run_paused(self._shared())
 
     def test_stalled_disk(self) -> None:
-        """A leader whose disk hangs gives its place to another.
-
-        Its connections and heartbeats are in order, only its sync never ends.
-        Callers would find each change slow for as long as it led.
-        """
+        """Guards against a leader with a stalled disk that keeps its place."""
         self.run_paused(self._stalled())
 
     def test_stop_hands_over(self) -> None:
-        """A planned stop loses no change and costs no election timeout.
-
-        The leader stops while changes arrive; another leads before any voter
-        would have missed a heartbeat.
-        """
+        """Guards against a planned stop that waits for an election timeout."""
         self.run_paused(self._handover())
 
     def test_handover_keeps_promise(self) -> None:
-        """A lease that somebody was told of outlasts a planned stop.
-
-        A caller reads how long no other host can lead, then the leader stops.
-        The others are released only when that time is over.
-        """
+        """Guards against a handover before a reported lease has expired."""
         self.run_paused(self._promise())
 
     def test_cancelled_handover(self) -> None:
-        """A stop that its caller gives up leaves no dead leader behind.
-
-        The leader begins to hand over, nobody hears it, and the caller stops
-        waiting.  Were it still leader, it would refuse all proposals for ever.
-        """
+        """Guards against a leader stuck in a handover that was cancelled."""
         self.run_paused(self._cancelled())
 
     def test_read_without_lease(self) -> None:
-        """A cut-off host refuses a read rather than showing an old state.
-
-        The leader is isolated and another accepts a change.  A read at the
-        old leader and at a lone follower ends with a coded error.
-        """
+        """Guards against a stale read on a partitioned host."""
         self.run_paused(self._reads())
 
     def test_unknown_outcome(self) -> None:
-        """A change that no quorum confirmed in time is not called refused.
-
-        The leader is isolated after it wrote the change; it may yet be
-        committed, so its caller is told that the outcome is unknown.
-        """
+        """Guards against calling a change refused that may yet be committed."""
         self.run_paused(self._unknown())
 
     def test_too_large(self) -> None:
-        """A command that no message can carry never enters the log."""
+        """Guards against log entries that exceed the size of a message."""
         self.run_paused(self._too_large())
 
     def test_dialling_counts(self) -> None:
-        """A request ends in its time though the dial of its host hangs.
-
-        The network swallows packets to the host.  An election that waited for
-        the connection to fail would keep the group without a leader.
-        """
+        """Guards against a request timeout that leaves out connecting."""
         self.run_paused(self._dialling())
 
     async def _too_large(self) -> None:
@@ -102,12 +65,12 @@
     async def _dialling(self) -> None:
         hanging = asyncio.get_running_loop().create_future()
         links = mock.Mock(request=mock.Mock(return_value=hanging))
-        carrier = transport.LinkTransport(links)
+        link_transport = transport.LinkTransport(links)
         with self.assertRaises(errors.AddressUnreachable):
-            await carrier.call('h9', messages.Request(), 1)
-        carrier.set_address('h9', 'loopback:1')
+            await link_transport.call('h9', messages.Request(), 1)
+        link_transport.set_address('h9', 'loopback:1')
         with self.assertRaises(errors.RequestTimeout):
-            await carrier.call('h9', messages.Request(), 1)
+            await link_transport.call('h9', messages.Request(), 1)
 
     async def _isolated(self) -> None:
         net = consensus_net.Net()
@@ -132,8 +95,8 @@
 
     async def _watch_leases(self, net: consensus_net.Net) -> None:
         for _ in range(100):
-            held = [row.has_lease() for row in net.processes.values()]
-            self.assertLessEqual(sum(held), 1)
+            leases = [process.has_lease() for process in net.processes.values()]
+            self.assertLessEqual(sum(leases), 1)
             await asyncio.sleep(0.02)
 
     async def _stalled(self) -> None:
@@ -216,71 +179,38 @@
 
 
 class DiskTest(consensus_net.PausedCase):
-    """Test full, wiped and forgetful disks."""
+    """Test failing, full and wiped disks."""
 
     def test_failed_sync(self) -> None:
-        """A host whose sync failed stops, and the others go on.
-
-        The system may have dropped the pages that it could not write.  A
-        second sync would then succeed without them, and what was acknowledged
-        would be gone after a crash.
-        """
+        """Guards against a host that runs on with data its disk has lost."""
         self.run_paused(self._failed_sync())
 
     def test_full_disk(self) -> None:
-        """A full disk refuses changes by a code and goes on serving reads.
-
-        All disks fill up.  The change is refused before anything is written,
-        so it's certain that it will not take effect; reads stay current.
-        """
+        """Guards against a full disk that blocks reads or logs a refusal."""
         self.run_paused(self._full())
 
     def test_full_followers(self) -> None:
-        """A leader with room refuses changes that no quorum can store.
-
-        Both followers' disks are full, so the first change's outcome stays
-        unknown; from then on the leader knows and refuses at once.
-        """
+        """Guards against proposals while no quorum has free disk space."""
         self.run_paused(self._full_followers())
 
     def test_full_disk_stands(self) -> None:
-        """A host with a full disk goes on running when it can't be elected.
-
-        The leader is lost and a follower can't make its vote last; it must
-        neither lead nor end its process, which still serves others.
-        """
+        """Guards against a host that stops when it can't store its vote."""
         self.run_paused(self._full_stands())
 
     def test_wiped_disk_has_no_vote(self) -> None:
-        """A wiped host can't help to elect a leader without the last change.
-
-        A change is on the leader and one follower while the third host is cut
-        off.  The follower's disk is wiped and the leader is lost.  The wiped
-        host and the one that lagged must not go on without the change.
-        """
+        """Guards against a wiped voter that elects a leader with a stale log."""
         self.run_paused(self._wiped_vote())
 
     def test_second_host_lost_after_repair(self) -> None:
-        """Losing a second host right after a repair loses nothing.
-
-        One disk is wiped and its host rejoins as a learner; the moment that
-        it votes again, the leader is lost.  The others have every change.
-        """
+        """Guards against data loss when a host is lost right after a repair."""
         self.run_paused(self._second_loss())
 
     def test_wiped_first_host_forms_nothing(self) -> None:
-        """A wiped host doesn't begin the group anew.
-
-        Its settings name it first among the members, and its disk is blank.
-        The others are not, so it waits to be taken in and gets their state.
-        """
+        """Guards against a wiped host that bootstraps the group again."""
         self.run_paused(self._wiped_first())
 
     def test_power_loss(self) -> None:
-        """Accepted changes outlast a crash of all hosts at once.
-
-        Unsynced bytes are lost on every disk, torn at a random place.
-        """
+        """Guards against loss of committed changes in a crash of all hosts."""
         self.run_paused(self._power_loss())
 
     async def _failed_sync(self) -> None:
@@ -339,23 +269,23 @@
         net = consensus_net.Net()
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
-        keeper, lagging = (
+        wiped, lagging = (
             node for node in consensus_net.NODES if node != leader
         )
         net.isolate(lagging)
         await net.processes[leader].propose(b'accepted')
-        net.kill(keeper, leader)
-        net.platters[keeper].wipe()
+        net.kill(wiped, leader)
+        net.platters[wiped].wipe()
         net.network.heal()
-        await net.start(keeper)
+        await net.start(wiped)
         await asyncio.sleep(10)
         self.assertFalse(
             any(process.is_leader for process in net.processes.values())
         )
         await net.start(leader)
         self.assertEqual(leader, await net.leader())
-        await net.until(lambda: net.machines[keeper].rows)
-        self.assertEqual(['accepted'], net.machines[keeper].rows)
+        await net.until(lambda: net.machines[wiped].rows)
+        self.assertEqual(['accepted'], net.machines[wiped].rows)
 
     async def _second_loss(self) -> None:
         net = consensus_net.Net(snapshot_entries=100, trailing_entries=10)
@@ -411,53 +341,30 @@
 
 
 class CatchUpTest(consensus_net.PausedCase):
-    """Test members that come back far behind, and changes of members."""
+    """Test lagging members and membership changes."""
 
     def test_catch_up_by_log(self) -> None:
-        """A host 20,000 changes behind catches up without an election.
-
-        It gets them in bounded batches while heartbeats go on, so that the
-        leader keeps its lease all the time.
-        """
+        """Guards against an election while a host catches up on the log."""
         self.run_paused(self._catch_up({'snapshot_entries': 100_000}))
 
     def test_catch_up_by_snapshot(self) -> None:
-        """A host behind the compacted log gets a snapshot in parts.
-
-        Its process is killed in the middle; the parts that it has are kept,
-        and the snapshot goes on where it broke off.
-        """
+        """Guards against a restart of a snapshot transfer after a crash."""
         self.run_paused(self._snapshot())
 
     def test_damaged_snapshot(self) -> None:
-        """A snapshot that arrived damaged is asked for again.
-
-        A crash tore the part received last, and the whole fails its checksum.
-        """
+        """Guards against installing a snapshot with a wrong checksum."""
         self.run_paused(self._damaged())
 
     def test_replace_lost_host(self) -> None:
-        """A lost host is replaced by a new one, one voter at a time.
-
-        The new host learns first, then votes, and only then the lost one
-        leaves; the wish is in the log, so a new leader goes on with it.
-        """
+        """Guards against a replacement that stops when the leader changes."""
         self.run_paused(self._replace())
 
     def test_one_change_at_a_time(self) -> None:
-        """A second change of members is refused while one is under way.
-
-        On an isolated leader neither can be committed; two at once could give
-        it a quorum of its own, and two groups would accept changes.
-        """
+        """Guards against disjoint quorums by concurrent membership changes."""
         self.run_paused(self._one_change())
 
     def test_removed_host_disturbs_nobody(self) -> None:
-        """A removed host that still runs doesn't depose the leader.
-
-        It hears no heartbeats any more and asks for votes; those who hear the
-        leader refuse, and their term stays.
-        """
+        """Guards against a removed host that deposes the leader."""
         self.run_paused(self._removed())
 
     async def _catch_up(self, times: dict[str, float]) -> None:
@@ -487,7 +394,7 @@
         net.kill(behind)
         await net.fill(leader, 2_000)
         await net.start(behind)
-        held = await net.until(lambda: self._incoming(net, behind, 3_000))
+        received = await net.until(lambda: self._incoming(net, behind, 3_000))
         for name, data in net.platters[behind].seen.items():
             net.platters[behind].lasting[name] = data
         net.kill(behind)
@@ -502,7 +409,7 @@
 
         net.network.handlers[behind] = note
         await net.until(lambda: len(net.machines[behind].rows) == 2_000)
-        self.assertGreaterEqual(min(offsets[1:]), held)
+        self.assertGreaterEqual(min(offsets[1:]), received)
 
     async def _damaged(self) -> None:
         net = consensus_net.Net(
@@ -555,9 +462,9 @@
         net = consensus_net.Net()
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
-        gone = next(node for node in consensus_net.NODES if node != leader)
-        net.isolate(gone)
-        net.processes[leader].remove(gone)
+        removed = next(node for node in consensus_net.NODES if node != leader)
+        net.isolate(removed)
+        net.processes[leader].remove(removed)
         await asyncio.sleep(1)
         net.network.heal()
         term = net.processes[leader].term
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -176,7 +176,7 @@
             return
 
     async def _check(self, name):
-        async with asyncio.timeout(consensus_net.PATIENCE_SECONDS):
+        async with asyncio.timeout(consensus_net.WAIT_TIMEOUT_SECONDS):
             while True:
                 node = self.random.choice(sorted(self.net.processes))
                 try:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Prove that a request finds the leader, and a folder one process."""
+"""Test forwarding to the leader and the lock of the data folder."""
 
 import asyncio
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class Links:
-    """Answer for all hosts but one, which stays silent."""
+    """Answer for all addresses but ``silent``."""
 
     def __init__(self, silent):
         self.silent = silent
@@ -31,21 +31,16 @@
 
 class ForwardingCase(unittest.TestCase):
     def test_isolated_leader_is_left_as_soon_as_another_is_known(self):
-        """An operator waits for the election and no longer.
-
-        The leader was isolated and still holds the request.  A new one is
-        elected after a second; waiting for the old one's timeout would add
-        another second to every change that was on its way.
-        """
+        """Guards against waiting for an isolated leader's request timeout."""
 
         async def scenario():
             group = types.SimpleNamespace(leader='old')
-            asking = asyncio.ensure_future(
+            pending = asyncio.ensure_future(
                 forwarder(group, 'old').ask(REQUEST, bool),
             )
             await asyncio.sleep(1)
             group.leader = 'new'
-            self.assertEqual(await asking, 'new')
+            self.assertEqual(await pending, 'new')
             self.assertLess(feed_net.now(), 1.2)
 
         feed_net.run_paused(scenario)
@@ -62,19 +57,15 @@
         async def scenario():
             group = types.SimpleNamespace(leader='own')
             leads = iter((False, False, True))
-            asked = forwarder(group).ask(REQUEST, lambda: next(leads))
-            self.assertIsNone(await asked)
+            request = forwarder(group).ask(REQUEST, lambda: next(leads))
+            self.assertIsNone(await request)
 
         feed_net.run_paused(scenario)
 
 
 class LeadershipCase(unittest.TestCase):
     def test_leader_waits_for_its_machine(self):
-        """A new leader grants no lease on a state that lacks a change.
-
-        An entry of its own term is committed, but the machine has not yet
-        applied all before it, such as a change accepted by the leader before.
-        """
+        """Guards against a new leader that serves outdated state."""
 
         async def scenario():
             group = types.SimpleNamespace(
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Test that seeded histories hold, and that broken code is noticed."""
+"""Test simulated histories by seed, and that faults in the code are found."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 def change(**changed) -> events.Operation:
     """Build an accepted change that differs by ``changed``."""
-    known = {
+    fields = {
         'caller': 1,
         'outcome': events.ACCEPTED,
         'name': 'meadow',
@@ -29,14 +29,14 @@
         'version': 1,
         'body': 'one',
     }
-    return events.Operation(**(known | changed))
+    return events.Operation(**(fields | changed))
 
 
 class HistoryTest(unittest.TestCase):
-    """Test whole runs."""
+    """Test whole simulations."""
 
     def test_sound_seeds(self) -> None:
-        """Fixed seeds of every fault there is show no violation."""
+        """Guards against violations under any kind of fault."""
         for seed in SOUND_SEEDS:
             with self.subTest(seed=seed):
                 verdict = runner.run_seed(seed)
@@ -46,12 +46,12 @@
                 self.assertEqual([], verdict.violations, shown)
 
     def test_same_seed_same_history(self) -> None:
-        """A seed gives the same history each time, so a failure can be kept."""
+        """Guards against simulations that a seed doesn't reproduce."""
         first, second = runner.run_seed(5), runner.run_seed(5)
         self.assertEqual(first.history.render(), second.history.render())
 
     def test_breaks_are_found(self) -> None:
-        """Taking a safeguard out is noticed; the bench tries all of them."""
+        """Guards against a checker that misses a removed safeguard."""
         for broken in breaks.ALL:
             seed = BROKEN.get(broken.name)
             if seed is None:
@@ -61,42 +61,42 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """Test the checker on histories written by hand."""
+    """Test the checker on handwritten histories."""
 
     def test_stale_read(self) -> None:
-        """A read that began after a change ended must show it."""
+        """Guards against missing a read that lacks an earlier change."""
         read = change(
             outcome=events.READ, began=3, ended=4, version=0, change_id=''
         )
         self._assert_found('order', change(), read)
 
     def test_two_winners(self) -> None:
-        """Two changes can't both have made one version."""
+        """Guards against missing two changes that made one version."""
         other = change(change_id='c2', body='two')
         self._assert_found('order', change(), other)
 
     def test_wrong_base(self) -> None:
-        """A change makes the version after the one it was based on."""
+        """Guards against missing a change that skipped a version."""
         late = change(change_id='c2', body='two', version=3, based_on=1)
         self._assert_found('based on', late)
 
     def test_lost_change(self) -> None:
-        """An accepted change must be on every host in the end."""
+        """Guards against missing the loss of an accepted change."""
         self._assert_found('lost', change())
 
     def test_effective_refusal(self) -> None:
-        """What was refused, or told as a conflict, must not be applied."""
+        """Guards against missing a refused change that was applied."""
         applied = events.Applied(
             node='h1', index=3, digest=1, change_id='c1', is_fresh_accept=True
         )
         for outcome in (events.REFUSED, events.CONFLICT):
-            told = change(outcome=outcome)
-            history = events.History(seed=0, operations=[told])
+            refused = change(outcome=outcome)
+            history = events.History(seed=0, operations=[refused])
             history.applied.append(applied)
             self._assert_names('refusal', history)
 
     def test_two_leaders(self) -> None:
-        """One term has one leader."""
+        """Guards against missing two leaders in one term."""
         history = events.History(seed=0, accepted_by={2: {'h1', 'h2'}})
         self._assert_names('leader', history)
 
--- a/tests/test_log_files.py
+++ b/tests/test_log_files.py
@@ -1,4 +1,4 @@
-"""Test what a log's files survive, and what they refuse."""
+"""Test log files against torn writes, corruption and disk errors."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def entries(first: int, count: int) -> list[messages.LogEntry]:
-    """Build entries that differ from each other."""
+    """Build distinct entries."""
     return [
         messages.LogEntry(
             index=index, term=1, kind=0, command=f'change {index}'.encode() * 9
@@ -32,7 +32,7 @@
 
 
 class FramesTest(unittest.TestCase):
-    """Test the frames on their own."""
+    """Test frames in memory."""
 
     @hypothesis.settings(
         derandomize=True, max_examples=300, deadline=None, database=None
@@ -42,14 +42,10 @@
         data=strategies.data(),
     )
     def test_no_flipped_bit_is_taken(self, payloads, data) -> None:
-        """A flipped bit never leads to another content than was written.
-
-        Either the file is refused, or what is read is the beginning of what
-        was written.  Anything else would apply a change that nobody made.
-        """
+        """Guards against decoding data that was never written."""
         written = bytearray(b''.join(map(records.encode, payloads)))
-        place = data.draw(strategies.integers(0, len(written) - 1))
-        written[place] ^= 1 << data.draw(strategies.integers(0, 7))
+        offset = data.draw(strategies.integers(0, len(written) - 1))
+        written[offset] ^= 1 << data.draw(strategies.integers(0, 7))
         try:
             scan = records.scan(FILE, bytes(written), may_be_torn=True)
         except failures.LogCorrupt:
@@ -66,7 +62,7 @@
         data=strategies.data(),
     )
     def test_short_file_is_cut(self, payloads, data) -> None:
-        """A file cut short at any byte gives every frame before the cut."""
+        """Guards against losing whole frames before a torn one."""
         frames = list(map(records.encode, payloads))
         written = b''.join(frames)
         size = data.draw(strategies.integers(0, len(written)))
@@ -79,21 +75,17 @@
         self.assertEqual(tuple(payloads[:whole]), scan.payloads)
 
     def test_rotten_last_frame_is_refused(self) -> None:
-        """A synced last frame that rotted isn't dropped as torn.
-
-        Its length is right and no sector is blank, so it was once whole.
-        Cutting it off would silently lose an accepted change.
-        """
+        """Guards against truncating a corrupt last frame as if it were torn."""
         written = bytearray(records.encode(b'first') + records.encode(b'last'))
         written[-1] ^= 1
         with self.assertRaises(failures.LogCorrupt) as caught:
             records.scan(FILE, bytes(written), may_be_torn=True)
-        refusal = caught.exception  # noqa: WPS441
-        self.assertEqual(FILE, refusal.name)
-        self.assertEqual(len(records.encode(b'first')), refusal.offset)
+        error = caught.exception  # noqa: WPS441
+        self.assertEqual(FILE, error.name)
+        self.assertEqual(len(records.encode(b'first')), error.offset)
 
     def test_blank_sectors_are_torn(self) -> None:
-        """A last frame with sectors that were never written is cut off."""
+        """Guards against refusing a last frame with unwritten sectors."""
         first, last = records.encode(b'first'), records.encode(b'x' * 2000)
         torn = first + last[:600] + bytes(len(last) - 600)
         scan = records.scan(FILE, torn, may_be_torn=True)
@@ -102,22 +94,18 @@
 
 
 class SegmentsTest(consensus_net.PausedCase):
-    """Test whole logs on the fake disk."""
+    """Test whole logs on the simulated disk."""
 
     def test_torn_tail(self) -> None:
-        """A frame that a crash broke off is cut, and the log goes on."""
+        """Guards against a log that can't continue after a torn tail."""
         self.run_paused(self._torn())
 
     def test_corruption_in_the_middle(self) -> None:
-        """A host doesn't start on a log with a bad frame in the middle.
-
-        What followed may have been acknowledged.  The operator is told the
-        file and the byte, wipes the host and lets it rejoin.
-        """
+        """Guards against starting on a log with a corrupt frame inside."""
         self.run_paused(self._corrupt())
 
-    def test_cut_is_replayed(self) -> None:
-        """Entries voided by another leader stay void after a restart."""
+    def test_truncation_is_replayed(self) -> None:
+        """Guards against truncated entries that return after a restart."""
         self.run_paused(self._cut())
 
     async def _store(self) -> tuple[disks.Platter, segments.Segments]:
@@ -126,22 +114,22 @@
         await store.load()
         return platter, store
 
-    async def _again(
+    async def _reopen(
         self, platter: disks.Platter
     ) -> tuple[segments.Segments, list[int]]:
         store = segments.Segments(platter.mount(), 400)
-        held = await store.load()
-        return store, [entry.index for entry in held]
+        stored = await store.load()
+        return store, [entry.index for entry in stored]
 
     async def _torn(self) -> None:
         platter, store = await self._store()
         await store.append(entries(1, 2))
         await store.append(entries(3, 2))
         platter.seen[FILE] = platter.seen[FILE][:-5]
-        store, held = await self._again(platter)
-        self.assertEqual([1, 2], held)
+        store, indexes = await self._reopen(platter)
+        self.assertEqual([1, 2], indexes)
         await store.append(entries(3, 1))
-        self.assertEqual([1, 2, 3], (await self._again(platter))[1])
+        self.assertEqual([1, 2, 3], (await self._reopen(platter))[1])
 
     async def _corrupt(self) -> None:
         net = consensus_net.Net(segment_bytes=400)
@@ -154,8 +142,8 @@
         seen[name] = seen[name].replace(b'TTf1', b'TTf0', 1)
         with self.assertRaises(failures.LogCorrupt) as caught:
             await net.start(leader)
-        refusal = caught.exception  # noqa: WPS441
-        self.assertEqual((name, 0), (refusal.name, refusal.offset))
+        error = caught.exception  # noqa: WPS441
+        self.assertEqual((name, 0), (error.name, error.offset))
         net.platters[leader].wipe()
         await net.start(leader)
         await net.until(lambda: len(net.machines[leader].rows) == 20)
@@ -163,19 +151,19 @@
     async def _cut(self) -> None:
         platter, store = await self._store()
         await store.append(entries(1, 10))
-        cut = messages.LogEntry(
+        truncation = messages.LogEntry(
             index=4, term=0, kind=segments.Kind.TRUNCATE, command=b''
         )
-        await store.append([cut, *entries(4, 2)])
-        _store, held = await self._again(platter)
-        self.assertEqual([1, 2, 3, 4, 5], held)
+        await store.append([truncation, *entries(4, 2)])
+        _store, indexes = await self._reopen(platter)
+        self.assertEqual([1, 2, 3, 4, 5], indexes)
 
 
 class FolderDiskTest(unittest.IsolatedAsyncioTestCase):
-    """Test the disk in a real folder."""
+    """Test storage in a real folder."""
 
     async def asyncSetUp(self) -> None:
-        """Use a folder of this test's own."""
+        """Create a temporary folder."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self._folder = pathlib.Path(folder.name)
@@ -183,7 +171,7 @@
         self.addAsyncCleanup(self._disk.close)
 
     async def test_files(self) -> None:
-        """What is written is read back, and a broken replacement isn't."""
+        """Guards against reading a replacement that was not completed."""
         await self._disk.append('one', b'abc')
         await self._disk.append('one', b'def')
         await self._disk.sync('one')
@@ -198,11 +186,7 @@
             await self._disk.read('one')
 
     async def test_full_disk_leaves_file_as_it_was(self) -> None:
-        """A write that found no room in the middle is taken back.
-
-        The disk takes some bytes and then says that it's full.  Were they
-        left, the next frame would follow a broken one and be refused.
-        """
+        """Guards against a partial write left by a full disk."""
         await self._disk.append('one', b'abc')
         full = OSError(errno.ENOSPC, 'full')
         with mock.patch.object(disk.os, 'write', side_effect=[2, full]):
@@ -211,7 +195,7 @@
         self.assertEqual(b'abc', await self._disk.read('one'))
 
     async def test_stalled_sync_holds_nobody(self) -> None:
-        """The loop goes on while a sync hangs in its thread."""
+        """Guards against a stalled sync that blocks the event loop."""
         await self._disk.append('one', b'abc')
         loop = asyncio.get_running_loop()
         hanging = loop.create_future()
