--- a/tamarackthread/control/bootstrap.py
+++ b/tamarackthread/control/bootstrap.py
@@ -60,7 +60,7 @@
 
 
 def probe(state: replica.Replica) -> messages.Request:
-    """Build a request that any member disk_ids without a change of state."""
+    """Build a request that any member answers without a change of state."""
     return messages.Request(
         append=messages.AppendRequest(
             group=state.parts.group,
@@ -76,7 +76,7 @@
 
 
 async def _probe(state: replica.Replica, node: str) -> bytes | None:
-    """Return a node's disk id if it disk_ids and is blank."""
+    """Return a node's disk id if the node answers and is blank."""
     try:
         reply = await state.parts.transport.call(
             node,
--- a/tamarackthread/control/disk.py
+++ b/tamarackthread/control/disk.py
@@ -86,7 +86,7 @@
         await self._run(lambda: self._append(name, data))
 
     async def sync(self, name: str) -> None:
-        """Sync the file, and its folder the first time."""
+        """Sync the file, and after its creation also the folder."""
         await self._run(lambda: self._sync(name))
 
     async def read(self, name: str, offset: int = 0, size: int = -1) -> bytes:
--- a/tamarackthread/control/election.py
+++ b/tamarackthread/control/election.py
@@ -76,8 +76,8 @@
 
 async def _win_pre_vote(state: replica.Replica) -> bool:
     """Run a pre-vote, which leaves the term unchanged."""
-    # Without it, a member back from a partition would depose a working leader
-    # by its higher term.
+    # Otherwise a member back from a partition would depose a working leader by
+    # its higher term.
     term = state.hard.term
     granted = await _collect_votes(
         state, _build_request(state, term + 1, pre_vote=True)
--- a/tamarackthread/control/entry_registry.py
+++ b/tamarackthread/control/entry_registry.py
@@ -16,7 +16,7 @@
 
 
 class EntryRegistry:
-    """Record announcement entries as the leader."""
+    """Record announced entries as the leader."""
 
     def __init__(
         self,
--- a/tamarackthread/control/leader_term.py
+++ b/tamarackthread/control/leader_term.py
@@ -179,7 +179,7 @@
         self, members: membership.Membership, now: float
     ) -> bool:
         """Return whether the leader must step down as its lease has expired."""
-        # Stepping down at the expiry precedes any election of a new leader.
+        # The lease expires before any other member can be elected.
         if now < self._elected_at + self._times.election_min:
             return False
         return self.quorum_acked_at(members, now) + self._times.lease <= now
--- a/tamarackthread/control/leading.py
+++ b/tamarackthread/control/leading.py
@@ -92,7 +92,7 @@
                     await term.ended.wait()
 
     def _step_down_reason(self, term: leader_term.LeaderTerm) -> str:
-        """Return reason the leader must step down, empty if it may stay."""
+        """Return why the leader must step down, empty if it may stay."""
         state = self._state
         if term.has_lost_quorum(state.membership, state.now):
             return 'lost contact with the quorum'
@@ -102,8 +102,8 @@
             return 'own disk is stalled'
         if state.log.is_full:
             return 'own disk is full'
-        settled = state.members.newest_index <= state.commit_index
-        if settled and not state.is_voter:
+        is_committed = state.members.newest_index <= state.commit_index
+        if is_committed and not state.is_voter:
             return 'is no longer a voter'
         return ''
 
--- a/tamarackthread/control/reconfiguration.py
+++ b/tamarackthread/control/reconfiguration.py
@@ -22,7 +22,7 @@
 def answer(
     state: replica.Replica, request: messages.MemberRequest
 ) -> messages.MemberReply:
-    """Apply an operator's membership request and list the members."""
+    """Apply a membership request as the leader and list the members."""
     match request.action:
         case 'members':
             return listing(state)
--- a/tamarackthread/control/replica.py
+++ b/tamarackthread/control/replica.py
@@ -228,7 +228,7 @@
         self._matched_index = max(self._matched_index, index)
 
     def commit(self, index: int) -> None:
-        """Advance the commit index, at most to the verified match."""
+        """Advance the commit index, at most to the matched index."""
         # Entries after the match may differ from the leader's.
         index = min(index, self._matched_index)
         if index > self._commit_index:
--- a/tamarackthread/control/segments.py
+++ b/tamarackthread/control/segments.py
@@ -47,7 +47,10 @@
         self._next_number = 1
 
     async def load(self) -> list[messages.LogEntry]:
-        """Read the entries in force; truncates a torn tail."""
+        """Read the stored entries and truncate a torn tail.
+
+        Raises ``LogCorrupt`` for any other damage.
+        """
         names = [
             name
             for name in await self._files.names()
--- a/tests/consensus_net.py
+++ b/tests/consensus_net.py
@@ -99,7 +99,7 @@
         return self.processes[node]._state
 
     async def until(self, condition: collections.abc.Callable[[], object]):
-        """Wait until a condition condition and return its value."""
+        """Wait until a condition holds and return its value."""
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0.02)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -50,9 +50,9 @@
         """Guards against log entries that exceed the size of a message."""
         self.run_paused(self._too_large())
 
-    def test_dialling_counts(self) -> None:
+    def test_timeout_includes_connecting(self) -> None:
         """Guards against a request timeout that leaves out connecting."""
-        self.run_paused(self._dialling())
+        self.run_paused(self._connecting())
 
     async def _too_large(self) -> None:
         net = consensus_net.Net()
@@ -62,7 +62,7 @@
             await net.processes[leader].propose(bytes(600 << 10))
         await net.processes[leader].propose(bytes(500 << 10))
 
-    async def _dialling(self) -> None:
+    async def _connecting(self) -> None:
         hanging = asyncio.get_running_loop().create_future()
         links = mock.Mock(request=mock.Mock(return_value=hanging))
         link_transport = transport.LinkTransport(links)
@@ -193,9 +193,9 @@
         """Guards against proposals while no quorum has free disk space."""
         self.run_paused(self._full_followers())
 
-    def test_full_disk_stands(self) -> None:
+    def test_full_disk_at_election(self) -> None:
         """Guards against a host that stops when it can't store its vote."""
-        self.run_paused(self._full_stands())
+        self.run_paused(self._full_at_election())
 
     def test_wiped_disk_has_no_vote(self) -> None:
         """Guards against a wiped voter that elects a leader with a stale log."""
@@ -253,7 +253,7 @@
             await net.processes[leader].propose(b'two', 2)
         self.assertTrue(net.processes[leader].has_lease())
 
-    async def _full_stands(self) -> None:
+    async def _full_at_election(self) -> None:
         net = consensus_net.Net()
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
--- a/tests/test_log_files.py
+++ b/tests/test_log_files.py
@@ -41,7 +41,7 @@
         payloads=strategies.lists(strategies.binary(max_size=700), min_size=1),
         data=strategies.data(),
     )
-    def test_no_flipped_bit_is_taken(self, payloads, data) -> None:
+    def test_flipped_bit_is_detected(self, payloads, data) -> None:
         """Guards against decoding data that was never written."""
         written = bytearray(b''.join(map(records.encode, payloads)))
         offset = data.draw(strategies.integers(0, len(written) - 1))
@@ -194,7 +194,7 @@
                 await self._disk.append('one', b'defgh')
         self.assertEqual(b'abc', await self._disk.read('one'))
 
-    async def test_stalled_sync_holds_nobody(self) -> None:
+    async def test_stalled_sync_does_not_block(self) -> None:
         """Guards against a stalled sync that blocks the event loop."""
         await self._disk.append('one', b'abc')
         loop = asyncio.get_running_loop()
--- a/tests/test_lost_leader.py
+++ b/tests/test_lost_leader.py
@@ -27,21 +27,21 @@
         """Guards against waiting the election timeout for a killed leader."""
         self.run_paused(self._killed())
 
-    def test_alive(self) -> None:
+    def test_reset_connections(self) -> None:
         """Guards against deposing a working leader on reset connections."""
-        self.run_paused(self._alive())
+        self.run_paused(self._reset_connections())
 
-    def test_alive_to_one(self) -> None:
+    def test_one_partitioned_follower(self) -> None:
         """Guards against one partitioned follower that deposes the leader."""
-        self.run_paused(self._alive_to_one())
+        self.run_paused(self._one_partitioned())
 
     def test_all_killed(self) -> None:
         """Guards against waiting the election timeout after a full restart."""
         self.run_paused(self._all_killed())
 
-    def test_trusted_lease(self) -> None:
+    def test_no_short_timeout_with_lease(self) -> None:
         """Guards against the short timeout where reads rely on leases."""
-        self.run_paused(self._trusted())
+        self.run_paused(self._no_short_timeout())
 
     async def _killed(self) -> None:
         for _ in range(20):
@@ -56,7 +56,7 @@
             self.assertLess(_now() - started, ELECTION_TIMEOUT[0] / 1.5)
             _stop(net)
 
-    async def _alive(self) -> None:
+    async def _reset_connections(self) -> None:
         net = await _started(short_election_max=SHORT_ELECTION)
         old = await net.leader()
         term = net.processes[old].term
@@ -65,7 +65,7 @@
         self.assertEqual(old, await net.leader())
         self.assertEqual(term, net.processes[old].term)
 
-    async def _alive_to_one(self) -> None:
+    async def _one_partitioned(self) -> None:
         net = await _started(short_election_max=SHORT_ELECTION)
         old = await net.leader()
         term = net.processes[old].term
@@ -88,7 +88,7 @@
             await net.leader()
             self.assertLess(_now() - started, ELECTION_TIMEOUT[0])
 
-    async def _trusted(self) -> None:
+    async def _no_short_timeout(self) -> None:
         net = await _started(short_election_max=0)
         old = await net.leader()
         net.kill(old)
