--- a/bench/engines/call_bounds.py
+++ b/bench/engines/call_bounds.py
@@ -17,7 +17,7 @@
 class Unbounded(concurrency.ConcurrencyLimit):
     """Let the ranks have all calls."""
 
-    def most(self, crowd: concurrency.GroupLoad, now: float) -> float:
+    def max_calls(self, crowd: concurrency.GroupLoad, now: float) -> float:
         """Return infinity."""
         return math.inf
 
@@ -31,13 +31,13 @@
         self._most = math.inf
         self._tried_at = -math.inf
 
-    def most(self, crowd: concurrency.GroupLoad, now: float) -> float:
+    def max_calls(self, crowd: concurrency.GroupLoad, now: float) -> float:
         """Return the bound as it is found by now."""
-        usual = self._passes.usual(now)
+        usual = self._passes.median(now)
         if usual and now - self._tried_at >= TRY_SECONDS:
             self._tried_at = now
             self._try(usual, crowd)
-        return min(self._most, super().most(crowd, now))
+        return min(self._most, super().max_calls(crowd, now))
 
     def _try(self, usual: float, crowd: concurrency.GroupLoad) -> None:
         if usual > self._limit:
--- a/bench/slopes/leasing.py
+++ b/bench/slopes/leasing.py
@@ -4,12 +4,11 @@
 
 import time
 
+from bench.slopes import fit, process, stand
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import portions
 from tamarackthread.shared import peers
 
-from bench.slopes import fit, process, stand
-
 MICRO = 1e6
 LEASE_MS = 30_000
 LEASE_SECONDS = 3.0
@@ -67,4 +66,4 @@
 
 def _ask(table: portions.PortionTable, entries: int, now: float) -> None:
     for number in range(entries):
-        table.ask('organisation', f'entry-{number}', CAP, 1, 1, now)
+        table.lease('organisation', f'entry-{number}', CAP, 1, 1, now)
--- a/tamarackthread/control/portioning.py
+++ b/tamarackthread/control/portioning.py
@@ -44,7 +44,7 @@
             cap = self._cap(asked.organisation)
             if not cap:
                 continue
-            rate = self._table.ask(
+            rate = self._table.lease(
                 asked.organisation,
                 request.node,
                 cap,
--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -104,7 +104,7 @@
         """Join what all entries but one know of calls that crash targets."""
         now = asyncio.get_running_loop().time()
         rows = (
-            poison_calls.of_message(row).older(now - share.suspects_at)
+            poison_calls.from_message(row).aged(now - share.suspects_at)
             for other, share in self._shares.items()
             if other != entry
             for row in share.suspects
--- a/tamarackthread/entry/caps.py
+++ b/tamarackthread/entry/caps.py
@@ -51,7 +51,7 @@
             cap = details.requests_per_second
             if cap:
                 rates[name] = portions.safe_share(cap, self._entries)
-        self._held.follow(rates, now)
+        self._held.set_caps(rates, now)
 
     async def run(self) -> None:
         """Ask for ever, for the organisations that callers came from."""
--- a/tamarackthread/entry/direct/admitting.py
+++ b/tamarackthread/entry/direct/admitting.py
@@ -112,19 +112,19 @@
     @property
     def is_closed(self) -> bool:
         """Tell whether targets have only refused calls of late."""
-        return self._opening.is_closed(asyncio.get_running_loop().time())
+        return self._opening.is_down(asyncio.get_running_loop().time())
 
     def heard(self) -> None:
         """Note that a target has sent a piece of an answer."""
-        self._opening.heard(asyncio.get_running_loop().time())
+        self._opening.record_output(asyncio.get_running_loop().time())
 
     def refused(self, target: str) -> None:
         """Note that a target has refused a call unrun."""
-        self._opening.refused(target, asyncio.get_running_loop().time())
+        self._opening.record_refusal(target, asyncio.get_running_loop().time())
 
     def note_pause(self, seconds: float) -> None:
         """Take the time between two pieces of an answer."""
-        self._bound.note(seconds, asyncio.get_running_loop().time())
+        self._bound.record_pass(seconds, asyncio.get_running_loop().time())
 
     def share(self) -> None:
         """Take this entry's part of what is free, after an exchange.
@@ -152,7 +152,7 @@
 
     def _free_of(self, crowd: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
-        return self._bound.most(crowd, now) - crowd.calls
+        return self._bound.max_calls(crowd, now) - crowd.calls
 
     def _takes_place(self) -> bool:
         if math.isinf(self._free()):
@@ -165,7 +165,7 @@
     def _grant(self) -> None:
         """Let calls go as long as there is room, those in time first."""
         now = asyncio.get_running_loop().time()
-        lead = PASSES_TO_FIRST * self._bound.usual(now)
+        lead = PASSES_TO_FIRST * self._bound.median_pass(now)
         rows = [row for row in self._waiting if not row.granted.done()]
         rows.sort(key=lambda row: _urgency(row.call, now + lead))
         for row in rows:
--- a/tamarackthread/entry/direct/crashing.py
+++ b/tamarackthread/entry/direct/crashing.py
@@ -43,7 +43,7 @@
 
     def may_repeat(self, call: calls.Call) -> bool:
         """Tell whether this entry may try a call once more by itself."""
-        return self._verdict(call) is poison_calls.Verdict.FREE
+        return self._verdict(call) is poison_calls.Verdict.ALLOWED
 
     def failed(
         self,
@@ -60,7 +60,7 @@
             return
         now = asyncio.get_running_loop().time()
         start = f'{target.name}/{target.said.born}'
-        self._known.lost(mark_of(call), start, now)
+        self._known.record_crash(mark_of(call), start, now)
         figures.CALLS_SUSPECTED.labels('lost').inc()
         self._tell(call, 'lost')
 
@@ -68,7 +68,7 @@
         """Note that a target has answered a call."""
         if self._known:
             now = asyncio.get_running_loop().time()
-            self._known.answered(mark_of(call), now)
+            self._known.record_answer(mark_of(call), now)
 
     @property
     def serial(self) -> int:
@@ -78,7 +78,9 @@
     def own(self) -> list[messages.SiteSuspect]:
         """List what other entries have to know."""
         now = asyncio.get_running_loop().time()
-        return [poison_calls.to_message(row) for row in self._known.own(now)]
+        return [
+            poison_calls.to_message(row) for row in self._known.histories(now)
+        ]
 
     def share(
         self,
@@ -86,18 +88,18 @@
     ) -> None:
         """Take what all other entries know."""
         now = asyncio.get_running_loop().time()
-        self._known.share([poison_calls.of_message(row) for row in rows], now)
+        self._known.merge([poison_calls.from_message(row) for row in rows], now)
 
     def _verdict(self, call: calls.Call) -> poison_calls.Verdict:
         if not self._known:
-            return poison_calls.Verdict.FREE
+            return poison_calls.Verdict.ALLOWED
         now = asyncio.get_running_loop().time()
         return self._known.verdict(mark_of(call), now)
 
     def _tell(self, call: calls.Call, verdict: str) -> None:
         mark = mark_of(call)
         now = asyncio.get_running_loop().time()
-        losses = self._known.losses(mark, now)
+        losses = self._known.crash_count(mark, now)
         log_events.tell(
             _log,
             log_events.Event.SUSPECT,
--- a/tamarackthread/entry/direct/learned.py
+++ b/tamarackthread/entry/direct/learned.py
@@ -76,7 +76,9 @@
             return
         self._tables.put(table.Table(read))
         self._admission.learn(read)
-        self._shares.learn({one.name: one.cold_rate for one in read.services})
+        self._shares.set_rates(
+            {one.name: one.cold_rate for one in read.services}
+        )
         figures.VERSION.set(held.version)
         log_events.tell(
             _log,
--- a/tamarackthread/entry/direct/standing.py
+++ b/tamarackthread/entry/direct/standing.py
@@ -79,14 +79,14 @@
 
     def may_take(self, target: starts.Start, now: float) -> bool:
         """Tell whether a target may get a call now."""
-        if not self.is_in_service(target) or not target.rest.may_take(now):
+        if not self.is_in_service(target) or not target.rest.allows_call(now):
             return False
         if not self._is_within_limit(target, now):
             return False
         if self._shares is None or not target.is_cold(now):
             return True
-        most = self._shares.calls(target.said.service, target.name)
-        lately = target.sent.lately(now, cold_start.SPAN_SECONDS)
+        most = self._shares.max_calls(target.said.service, target.name)
+        lately = target.sent.count_within(now, cold_start.WINDOW_SECONDS)
         return most is None or lately < most
 
     def demand(self, service: str, found: rate_limit.Demand | None) -> None:
@@ -103,7 +103,7 @@
 
     def has_room(self, target: starts.Start, now: float) -> bool:
         """Tell whether a target's places count as room for calls."""
-        if not self.is_in_service(target) or target.rest.left(now):
+        if not self.is_in_service(target) or target.rest.remaining(now):
             return False
         return self.is_open(target) and self._is_within_limit(target, now)
 
@@ -114,7 +114,7 @@
         if self._is_evacuated(target):
             return False
         is_late = now - target.leaving_at >= LAST_SECONDS
-        if is_late or not target.rest.may_take(now):
+        if is_late or not target.rest.allows_call(now):
             return False
         return self._is_within_limit(target, now)
 
@@ -129,7 +129,7 @@
                 self._fleet.count(),
                 self._fleet.place(target.name),
             )
-        return target.limit.may_take(target.sent, part, now)
+        return target.limit.allows(target.sent, part, now)
 
     def _is_evacuated(self, target: starts.Start) -> bool:
         return self._zones.is_evacuated(target.said.zone)
--- a/tamarackthread/entry/direct/starts.py
+++ b/tamarackthread/entry/direct/starts.py
@@ -96,8 +96,8 @@
     def begin(self, now: float) -> None:
         """Count a call that goes there."""
         self.own += 1
-        self.sent.note(now)
-        self.rest.sent(now)
+        self.sent.record(now)
+        self.rest.record_sent(now)
 
     def hear(
         self,
@@ -108,18 +108,18 @@
     ) -> None:
         """Take what an answer asks for; ``is_taken`` unless it is a refusal."""
         self.asked = asked
-        self.limit.hear(asked.rate, now)
+        self.limit.update(asked.rate, now)
         if asked.is_leaving:
             self.leaving_at = self.leaving_at or now
         if asked.rest:
-            self.rest.ask(asked.rest, now)
+            self.rest.start(asked.rest, now)
         elif is_taken:
-            self.rest.taken(now)
+            self.rest.record_accepted(now)
 
     def asking(self, now: float) -> list[str]:
         """Name what the target's answers ask for now, for people."""
         found = {
-            'rest': self.rest.left(now) > 0,
+            'rest': self.rest.remaining(now) > 0,
             'limit': self.limit.rate is not None,
             'no calls': self.leaving_at > 0,
         }
--- a/tamarackthread/entry/direct/target_lines.py
+++ b/tamarackthread/entry/direct/target_lines.py
@@ -65,7 +65,7 @@
         target=target.name,
         service=target.said.service,
         state='asking',
-        rest_ms=round(target.rest.left(now) * 1000),
+        rest_ms=round(target.rest.remaining(now) * 1000),
         rate=target.limit.rate,
     )
 
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -239,7 +239,7 @@
         for target in self.of_service(service):
             if not self._standing.is_in_service(target):
                 continue
-            left = target.rest.left(now)
+            left = target.rest.remaining(now)
             if not left:
                 return 0
             shortest = min(shortest or left, left)
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -113,8 +113,8 @@
         rest = headers.get(wire.REST, '') if status == wire.REFUSED else ''
         return backpressure.Backpressure(
             is_leaving=headers.get(wire.LEAVING) == _YES,
-            rest=backpressure.seconds(rest),
-            rate=backpressure.rate(headers.get(wire.LIMIT, '')),
+            rest=backpressure.parse_retry_after(rest),
+            rate=backpressure.parse_rate(headers.get(wire.LIMIT, '')),
         )
 
     def answer(
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -88,15 +88,15 @@
         Every refusal says 'not run'.  Cancelling leaves the queue.
         """
         now = _now()
-        self._outlook.asked(call, now)
-        budget = self._limits.budget(call, now)
+        self._outlook.record_request(call, now)
+        budget = self._limits.wait_budget(call, now)
         self._limits.check(call, budget, now)
         self._charge(call, now)
         granted = asyncio.get_running_loop().create_future()
         entry = self._line.push(
             call_queue.QueuedCall(call, granted, now + budget, now),
         )
-        self._outlook.arrived(call, now)
+        self._outlook.record_enqueued(call, now)
         self.wake()
         return await self._wait(entry)
 
@@ -170,33 +170,33 @@
             return head
         entries = self._line.first(self._settings.lookahead)
         best = entries[
-            self._room.pick([entry.item.call for entry in entries], now)
+            self._room.best_match([entry.item.call for entry in entries], now)
         ]
         if best is not head:
-            head.item.passed_over += 1
+            head.item.times_skipped += 1
         return best
 
     def _must_go(self, head: call_queue.QueueEntry, now: float) -> bool:
         item = head.item
         if item.call.is_ahead:
             return True
-        if item.passed_over >= self._settings.most_passes:
+        if item.times_skipped >= self._settings.most_passes:
             return True
         return item.latest_start - now < _LAST_SECONDS
 
     def _place(self, entry: call_queue.QueueEntry, now: float) -> bool:
         call = entry.item.call
         try:
-            placement = self._room.take(call, now)
+            placement = self._room.allocate(call, now)
         except errors.CodedError as exc:
             self._answer(entry, exc)
             return True
         if placement is None:
             return False
         ticket = Ticket(call, placement, self._forget)
-        self._line.take(entry)
-        has_waited = entry.item.entered_at < now
-        self._outlook.left(call, is_served=has_waited, now=now)
+        self._line.dequeue(entry)
+        has_waited = entry.item.enqueued_at < now
+        self._outlook.record_dequeued(call, is_served=has_waited, now=now)
         self._running.add(ticket, now)
         entry.item.granted.set_result(ticket)
         return True
@@ -208,7 +208,7 @@
         Without this, the calls would be held until they expire.  The caution
         of the first estimate is turned round, so that noise refuses nobody.
         """
-        rate = self._outlook.rate(now) / self._settings.caution
+        rate = self._outlook.drain_rate(now) / self._settings.caution
         ahead: float = 0
         for entry in self._line.entries():
             start = now + ahead / rate
@@ -218,7 +218,7 @@
             ahead += entry.cost
 
     def _refuse(self, entry: call_queue.QueueEntry, now: float) -> None:
-        retry = self._outlook.retry(entry.item.call, now)
+        retry = self._outlook.retry_after(entry.item.call, now)
         self._answer(entry, refusals.AdmissionRefused(retry_after=retry))
 
     def _answer(
@@ -229,7 +229,7 @@
         self._drop(entry)
         portion = self._portions.find(entry.item.call.organisation)
         if portion is not None:
-            portion.give_back(1)
+            portion.refund(1)
         if not entry.item.granted.done():
             entry.item.granted.set_exception(refusal)
 
@@ -237,16 +237,21 @@
         if entry.removed:
             return
         self._line.remove(entry)
-        self._outlook.left(entry.item.call, is_served=False, now=_now())
+        self._outlook.record_dequeued(
+            entry.item.call, is_served=False, now=_now()
+        )
 
     def _make_room(self, now: float) -> None:
         for entry in self._line.urgent():
-            waited = now - entry.item.entered_at
-            if entry.item.preempting or waited < self._settings.preempt_seconds:
+            waited = now - entry.item.enqueued_at
+            if (
+                entry.item.has_preempted
+                or waited < self._settings.preempt_seconds
+            ):
                 continue
-            if not self._running.give_way(entry.item.call, now):
+            if not self._running.preempt_one(entry.item.call, now):
                 return
-            entry.item.preempting = True
+            entry.item.has_preempted = True
 
     def _schedule(self) -> None:
         if self._timer is not None or not (self.queued or self._running):
@@ -260,7 +265,7 @@
         now = _now()
         if now >= self._swept_at + _SWEEP_SECONDS:
             self._swept_at = now
-            self._running.sweep(now)
+            self._running.move_late_streams(now)
         self.wake()
 
 
--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -40,7 +40,7 @@
     """Place calls while there is room."""
 
     @abc.abstractmethod
-    def take(self, call: calls.CallFacts, now: float) -> Placement | None:
+    def allocate(self, call: calls.CallFacts, now: float) -> Placement | None:
         """Place a call, or return ``None`` while there is no room.
 
         Raises ``NoTarget`` when no target takes calls and
@@ -48,7 +48,7 @@
         """
 
     @abc.abstractmethod
-    def pick(
+    def best_match(
         self,
         waiting: collections.abc.Sequence[calls.CallFacts],
         now: float,
@@ -56,7 +56,7 @@
         """Return which of some calls fits the free room best, 0 if in doubt."""
 
     @abc.abstractmethod
-    def rate(self, now: float) -> float:
+    def service_rate(self, now: float) -> float:
         """Estimate how many calls a second this entry may place."""
 
     @abc.abstractmethod
@@ -106,7 +106,7 @@
         """Replace the targets; calls already placed are untouched."""
         self._targets = list(targets)
 
-    def take(self, call: calls.CallFacts, now: float) -> Placement | None:
+    def allocate(self, call: calls.CallFacts, now: float) -> Placement | None:
         """Place a call at one of the targets that have room."""
         usable = routing.usable_targets(call, self._targets)
         if not usable:
@@ -131,7 +131,7 @@
         view.prefixes.sent(call.prefixes)
         return Placement(view, view.load.sent(tokens, now))
 
-    def pick(
+    def best_match(
         self,
         waiting: collections.abc.Sequence[calls.CallFacts],
         now: float,
@@ -147,7 +147,7 @@
                 best, most = index, part
         return best
 
-    def rate(self, now: float) -> float:
+    def service_rate(self, now: float) -> float:
         """Estimate from the slots and how long own calls hold one."""
         total: float = 0
         for view in self._targets:
--- a/tamarackthread/policy/backpressure.py
+++ b/tamarackthread/policy/backpressure.py
@@ -7,9 +7,9 @@
 import attrs
 
 # A target that asks for more rest is asked again after an hour.
-MOST_REST_SECONDS = 3600.0
+MAX_RETRY_AFTER_SECONDS = 3600.0
 # The call after a rest is followed by another one if nothing has come by then.
-TRIAL_SECONDS = 1.0
+PROBE_SECONDS = 1.0
 
 
 @attrs.frozen(kw_only=True)
@@ -41,38 +41,38 @@
         self._until: float = 0
         self._tried_until: float = 0
 
-    def ask(self, wanted: float, now: float) -> None:
+    def start(self, wanted: float, now: float) -> None:
         """Begin a rest of so many seconds; a longer one under way stays."""
         self._until = max(self._until, now + wanted)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return how many seconds of the rest are left."""
         return max(0, self._until - now)
 
-    def may_take(self, now: float) -> bool:
+    def allows_call(self, now: float) -> bool:
         """Tell whether the target may get a call."""
         return not self._until or now >= max(self._until, self._tried_until)
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that a call goes to the target."""
         if self._until and now >= self._until:
-            self._tried_until = now + TRIAL_SECONDS
+            self._tried_until = now + PROBE_SECONDS
 
-    def taken(self, now: float) -> None:
+    def record_accepted(self, now: float) -> None:
         """Note that the target has taken a call and did not refuse it."""
         if now >= self._until:
             self._until = 0
 
 
-def seconds(text: str) -> float:
+def parse_retry_after(text: str) -> float:
     """Read a time to rest, at most an hour; 0 for what makes no sense.
 
     A date counts as none: the time of day differs from host to host.
     """
-    return min(MOST_REST_SECONDS, max(0, _number(text) or 0))
+    return min(MAX_RETRY_AFTER_SECONDS, max(0, _number(text) or 0))
 
 
-def rate(text: str) -> float | None:
+def parse_rate(text: str) -> float | None:
     """Read calls a second; ``None`` for what makes no sense."""
     found = _number(text)
     return None if found is None or found < 0 else found
--- a/tamarackthread/policy/buckets.py
+++ b/tamarackthread/policy/buckets.py
@@ -49,7 +49,7 @@
             return float('inf')
         return (needed - self._level) / self._rate
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Return units of a call that was then not run."""
         self._level = min(self._burst, self._level + cost)
 
@@ -124,10 +124,10 @@
             self._used += cost
         return wait
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Return units of a call that was then not run."""
         self._used -= cost
-        self._bucket.give_back(cost)
+        self._bucket.refund(cost)
 
     def measure(self, now: float) -> tuple[float, float]:
         """Return the smoothed demand and use since start, in units a second."""
@@ -164,7 +164,7 @@
         """Cap an organisation; ``safe_rate`` is its cap split evenly."""
         self._portions[organisation] = Portion(safe_rate, now, self._settings)
 
-    def follow(
+    def set_caps(
         self,
         safe_rates: collections.abc.Mapping[str, float],
         now: float,
--- a/tamarackthread/policy/call_queue.py
+++ b/tamarackthread/policy/call_queue.py
@@ -20,9 +20,9 @@
     call: calls.CallFacts
     granted: asyncio.Future
     latest_start: float
-    entered_at: float
-    preempting: bool = False
-    passed_over: int = 0
+    enqueued_at: float
+    has_preempted: bool = False
+    times_skipped: int = 0
 
 
 QueueEntry = fairness.Entry[QueuedCall]
@@ -69,9 +69,9 @@
         """List the next calls, all of them urgent or none."""
         return self._urgent.first(count) or self._other.first(count)
 
-    def take(self, entry: QueueEntry) -> None:
+    def dequeue(self, entry: QueueEntry) -> None:
         """Take out a call that is served."""
-        self._queue(entry.item.call).take(entry)
+        self._queue(entry.item.call).dequeue(entry)
 
     def remove(self, entry: QueueEntry) -> None:
         """Take out a call that isn't served; a second time changes nothing."""
@@ -85,9 +85,9 @@
         """List the urgent calls."""
         return self._urgent.first(len(self._urgent))
 
-    def ahead(self, call: calls.CallFacts) -> float:
+    def cost_ahead(self, call: calls.CallFacts) -> float:
         """Return the cost that is served before a new call like this."""
-        own = self._queue(call).ahead(
+        own = self._queue(call).cost_ahead(
             call.organisation,
             self._shares.weight(call.organisation),
             call.priority,
@@ -96,7 +96,7 @@
             return own
         return own + self._urgent.backlog
 
-    def alike(self, call: calls.CallFacts) -> float:
+    def flow_cost(self, call: calls.CallFacts) -> float:
         """Return the cost of the organisation's calls of the same priority."""
         return self._queue(call).rank_cost(call.organisation, call.priority)
 
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -13,7 +13,7 @@
 
 # Calls are counted over the second that a target counts, and what they may be
 # held up on their way there: the time in which a connection is made.
-SPAN_SECONDS = 1.4
+WINDOW_SECONDS = 1.4
 # One part of a target's limit is shared by the entries that are known, the other
 # is left for those that nobody has told of.
 PARTS = 2
@@ -42,7 +42,7 @@
         self._slack = slack
         self._rates: dict[str, float] = {}
 
-    def learn(self, rates: collections.abc.Mapping[str, float]) -> None:
+    def set_rates(self, rates: collections.abc.Mapping[str, float]) -> None:
         """Take the calls a second at a cold target by service, 0 for any."""
         self._rates = dict(rates)
 
@@ -51,7 +51,7 @@
         rate = self._rates.get(service, 0)
         return rate * self._allowance + self._slack if rate else 0
 
-    def calls(self, service: str, target: str) -> int | None:
+    def max_calls(self, service: str, target: str) -> int | None:
         """Return this entry's calls in a span, ``None`` without a limit."""
         limit = self.limit(service)
         if not limit:
--- a/tamarackthread/policy/concurrency.py
+++ b/tamarackthread/policy/concurrency.py
@@ -17,20 +17,20 @@
 
 # What was seen in so many seconds tells how long a pass takes: some passes, so
 # that one in which the group was held, or read a long prompt, does not count.
-SEEN_SECONDS = 0.5
+WINDOW_SECONDS = 0.5
 # How many calls there were is known for so long: longer than any pass that callers
 # bear, since it is asked for when a pass has ended.
-KEPT_SECONDS = 1.0
+HISTORY_SECONDS = 1.0
 # Of the callers' pause a usual pass may take so much.  A stream is late by one pause
 # of twenty, so the rest is for what one pass in twenty takes more: a long prompt,
 # copies of experts, the hold of a switch, the way to the caller.
-USED_SHARE = 0.8
+GAP_SHARE = 0.8
 # A pass is not told apart from an empty one by less, in seconds.
-LEAST_SECONDS = 0.001
+MIN_ADDED_SECONDS = 0.001
 # So many calls for each place keep ranks busy while entries learn of the places
 # that became free: half of a pass of a full group, in which one call in thirty
 # ends, and what two exchanges of the entries take.
-FULL_SHARE = 1.1
+OVERCOMMIT = 1.1
 
 
 class MovingMedian:
@@ -40,12 +40,12 @@
         """Begin without any."""
         self._seen: collections.deque[tuple[float, float]] = collections.deque()
 
-    def note(self, found: float, now: float) -> None:
+    def add(self, found: float, now: float) -> None:
         """Take a figure."""
         self._seen.append((now, found))
         self._forget(now)
 
-    def usual(self, now: float) -> float:
+    def median(self, now: float) -> float:
         """Return the median, 0 where none was seen of late."""
         self._forget(now)
         if not self._seen:
@@ -53,7 +53,7 @@
         return statistics.median(found for _, found in self._seen)
 
     def _forget(self, now: float) -> None:
-        while self._seen and now - self._seen[0][0] > SEEN_SECONDS:
+        while self._seen and now - self._seen[0][0] > WINDOW_SECONDS:
             self._seen.popleft()
 
 
@@ -81,29 +81,29 @@
 
         Both are in seconds.
         """
-        self._limit = gap * USED_SHARE
+        self._limit = gap * GAP_SHARE
         self._empty = empty
         self._passes = MovingMedian()
 
-    def note(self, seconds: float, now: float) -> None:
+    def record_pass(self, seconds: float, now: float) -> None:
         """Take the time between two pieces of one stream."""
-        self._passes.note(seconds, now)
+        self._passes.add(seconds, now)
 
-    def usual(self, now: float) -> float:
+    def median_pass(self, now: float) -> float:
         """Return the usual pass in seconds, 0 where none was seen of late."""
-        return self._passes.usual(now)
+        return self._passes.median(now)
 
     @abc.abstractmethod
-    def most(self, crowd: GroupLoad, now: float) -> float:
+    def max_calls(self, crowd: GroupLoad, now: float) -> float:
         """Return how many calls the ranks may have, infinity without a bound."""
 
 
 class SlotLimit(ConcurrencyLimit):
     """Let the ranks have what they run at once, and little more."""
 
-    def most(self, crowd: GroupLoad, now: float) -> float:
+    def max_calls(self, crowd: GroupLoad, now: float) -> float:
         """Return the places of all ranks and some to follow at once."""
-        return crowd.places * FULL_SHARE if crowd.places else math.inf
+        return crowd.places * OVERCOMMIT if crowd.places else math.inf
 
 
 class LatencyLimit(SlotLimit):
@@ -124,25 +124,25 @@
             collections.deque()
         )
 
-    def note(self, seconds: float, now: float) -> None:
+    def record_pass(self, seconds: float, now: float) -> None:
         """Take the time between two pieces of one stream."""
-        super().note(seconds, now)
+        super().record_pass(seconds, now)
         crowd = self._crowd_at(now - seconds)
         if crowd is None:
             return
         running = max(1, min(crowd.calls, crowd.places))
-        added = max(LEAST_SECONDS, seconds - self._empty * crowd.pace)
-        self._each.note(added / running, now)
+        added = max(MIN_ADDED_SECONDS, seconds - self._empty * crowd.pace)
+        self._each.add(added / running, now)
 
-    def most(self, crowd: GroupLoad, now: float) -> float:
+    def max_calls(self, crowd: GroupLoad, now: float) -> float:
         """Return how many calls fit within the pause.
 
         Where already one call a rank is too much, calls are not what makes
         passes long, and holding them back would shorten nothing.
         """
         self._keep(crowd, now)
-        places = super().most(crowd, now)
-        each = self._each.usual(now)
+        places = super().max_calls(crowd, now)
+        each = self._each.median(now)
         room = self._limit - self._empty * crowd.pace
         if not each or room <= 0:
             return places
@@ -151,7 +151,7 @@
 
     def _keep(self, crowd: GroupLoad, now: float) -> None:
         self._crowds.append((now, crowd))
-        while now - self._crowds[0][0] > KEPT_SECONDS:
+        while now - self._crowds[0][0] > HISTORY_SECONDS:
             self._crowds.popleft()
 
     def _crowd_at(self, moment: float) -> GroupLoad | None:
--- a/tamarackthread/policy/fairness.py
+++ b/tamarackthread/policy/fairness.py
@@ -44,13 +44,13 @@
     flow: str
     rank: int
     cost: float
-    order: int = 0
+    sequence: int = 0
     removed: bool = False
 
     @property
-    def place(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Return what orders the item within its flow."""
-        return self.rank, self.order
+        return self.rank, self.sequence
 
 
 @attrs.define(slots=True, eq=False)
@@ -107,7 +107,7 @@
         if flow is None:
             flow = _Flow(start=self._start(entry.flow), weight=weight)
             self._flows[entry.flow] = flow
-        entry.order = next(self._order)
+        entry.sequence = next(self._order)
         bisect.insort(flow.entries, entry, key=_place)
         flow.backlog += entry.cost
         self._length += 1
@@ -125,12 +125,12 @@
         for flow in self._flows.values():
             tag = flow.start
             for entry in flow.entries[:count]:
-                tagged.append((tag, entry.order, entry))
+                tagged.append((tag, entry.sequence, entry))
                 tag += entry.cost / flow.weight
         tagged.sort()
         return [row[2] for row in tagged[:count]]
 
-    def take(self, entry: Entry[_Item]) -> None:
+    def dequeue(self, entry: Entry[_Item]) -> None:
         """Take an item to serve it, which its flow pays for."""
         flow = self._flows[entry.flow]
         lowest = min(other.start for other in self._flows.values())
@@ -148,7 +148,7 @@
             return
         entry.removed = True
         flow = self._flows[entry.flow]
-        place = bisect.bisect_left(flow.entries, entry.place, key=_place)
+        place = bisect.bisect_left(flow.entries, entry.sort_key, key=_place)
         flow.entries.pop(place)
         flow.backlog -= entry.cost
         self._length -= 1
@@ -156,7 +156,7 @@
         if not flow.entries:
             self._flows.pop(entry.flow)
 
-    def ahead(self, flow: str, weight: float, rank: int) -> float:
+    def cost_ahead(self, flow: str, weight: float, rank: int) -> float:
         """Return the cost that is served before a new item of the flow."""
         known = self._flows.get(flow)
         own = known.cost_before(rank) if known else 0
@@ -205,7 +205,7 @@
 
 
 def _place(entry: Entry) -> tuple[int, int]:
-    return entry.place
+    return entry.sort_key
 
 
 def _start(flow: _Flow) -> float:
--- a/tamarackthread/policy/outages.py
+++ b/tamarackthread/policy/outages.py
@@ -9,11 +9,11 @@
 
 # Ranks of a group that makes passes send something to some call more often than this;
 # after so long without it, refusals mean that there are none.
-SILENT_SECONDS = 0.4
+NO_OUTPUT_SECONDS = 0.4
 # Refusals that lie further apart are not of one moment.
-APART_SECONDS = 1.0
+REFUSAL_WINDOW_SECONDS = 1.0
 # One target may refuse since it is full.
-LEAST_TARGETS = 2
+MIN_REFUSING_TARGETS = 2
 
 
 class OutageDetector:
@@ -25,22 +25,24 @@
         self._refused_at: float = 0
         self._heard_at: float | None = None
 
-    def heard(self, now: float) -> None:
+    def record_output(self, now: float) -> None:
         """Note that a target has sent a piece of an answer."""
         self._heard_at = now
         self._refused.clear()
 
-    def refused(self, target: str, now: float) -> None:
+    def record_refusal(self, target: str, now: float) -> None:
         """Note that a target has refused a call unrun."""
-        if now - self._refused_at > APART_SECONDS:
+        if now - self._refused_at > REFUSAL_WINDOW_SECONDS:
             self._refused.clear()
         self._refused.add(target)
         self._refused_at = now
 
-    def is_closed(self, now: float) -> bool:
+    def is_down(self, now: float) -> bool:
         """Tell whether nothing but refusals has come of late."""
-        if len(self._refused) < LEAST_TARGETS:
+        if len(self._refused) < MIN_REFUSING_TARGETS:
             return False
-        if now - self._refused_at > APART_SECONDS:
+        if now - self._refused_at > REFUSAL_WINDOW_SECONDS:
             return False
-        return self._heard_at is None or now - self._heard_at > SILENT_SECONDS
+        return (
+            self._heard_at is None or now - self._heard_at > NO_OUTPUT_SECONDS
+        )
--- a/tamarackthread/policy/poison_calls.py
+++ b/tamarackthread/policy/poison_calls.py
@@ -18,25 +18,25 @@
 
 # Starts of targets that were lost while they ran a call.  One and two are what
 # ordinary calls see; at two the call is given to no second target without need.
-WATCHED_LOSSES = 2
+NO_RETRY_LOSSES = 2
 REFUSED_LOSSES = 3
 # Targets that are lost within so long of each other are lost together: by power, by
 # a cut, with their group.  So many of them tell nothing of any call.
-TOGETHER_SECONDS = 0.5
-TOGETHER_TARGETS = 3
+CORRELATED_LOSS_SECONDS = 0.5
+CORRELATED_LOSS_TARGETS = 3
 # What was seen of a call is forgotten after so long; one that was refused all the
 # while is then let through, and is known again if it still does harm.
-REMEMBERED_SECONDS = 60.0
+HISTORY_TTL_SECONDS = 60.0
 # Calls that are remembered at once; of more the oldest is forgotten.
-MOST_CALLS = 128
+MAX_CALLS = 128
 MILLISECONDS = 1000
 
 
 class Verdict(enum.Enum):
     """Say what is done with a call: all, one try only, or none."""
 
-    FREE = 'free'
-    WATCHED = 'watched'
+    ALLOWED = 'free'
+    NO_RETRY = 'watched'
     REFUSED = 'refused'
 
 
@@ -59,18 +59,18 @@
         """Tell whether a target has answered the call since the last loss."""
         return self.answered <= self.lost
 
-    def says_the_same(self, other: CrashHistory) -> bool:
+    def is_equivalent(self, other: CrashHistory) -> bool:
         """Tell whether another one differs by nothing but its age."""
         is_alike = self.is_harmless == other.is_harmless
         return is_alike and self.starts == other.starts
 
-    def older(self, seconds: float) -> CrashHistory:
+    def aged(self, seconds: float) -> CrashHistory:
         """Return the same as it is some seconds later."""
         return attrs.evolve(
             self, lost=self.lost + seconds, answered=self.answered + seconds
         )
 
-    def joined(self, other: CrashHistory) -> CrashHistory:
+    def merged(self, other: CrashHistory) -> CrashHistory:
         """Return what both know; an answer voids the losses before it."""
         answered = min(self.answered, other.answered)
         counted = [row for row in (self, other) if row.lost < answered]
@@ -124,13 +124,13 @@
         """Tell whether any call is known; else none has to be looked up."""
         return bool(self._rows or self._pending)
 
-    def lost(self, mark: bytes, start: str, now: float) -> None:
+    def record_crash(self, mark: bytes, start: str, now: float) -> None:
         """Note that a start of a target was lost before it had answered."""
         loss = _Loss(mark, start, now)
         self._losses.append(loss)
         self._pending.append(loss)
 
-    def answered(self, mark: bytes, now: float) -> None:
+    def record_answer(self, mark: bytes, now: float) -> None:
         """Note that a target has answered a call that had been lost."""
         is_pending = any(loss.mark == mark for loss in self._pending)
         if mark not in self._rows and not is_pending:
@@ -141,19 +141,19 @@
         self._serial += 1
         self._pending = [loss for loss in self._pending if loss.mark != mark]
 
-    def share(
+    def merge(
         self,
         others: collections.abc.Iterable[CrashHistory],
         now: float,
     ) -> None:
         """Take what all other entries know."""
         for other in others:
-            if min(other.lost, other.answered) >= REMEMBERED_SECONDS:
+            if min(other.lost, other.answered) >= HISTORY_TTL_SECONDS:
                 continue
             held = self._evidence(other.mark, now)
-            joined = held.joined(other)
+            joined = held.merged(other)
             # Ages differ a little from entry to entry and are no news.
-            if joined.says_the_same(held):
+            if joined.is_equivalent(held):
                 continue
             self._serial += 1
             row = self._row(other.mark)
@@ -161,12 +161,12 @@
             row.lost_at = now - joined.lost
             row.answered_at = now - joined.answered
 
-    def own(self, now: float) -> list[CrashHistory]:
+    def histories(self, now: float) -> list[CrashHistory]:
         """List what this entry knows."""
         self._settle(now)
         return [self._evidence(mark, now) for mark in self._rows]
 
-    def losses(self, mark: bytes, now: float) -> int:
+    def crash_count(self, mark: bytes, now: float) -> int:
         """Count the starts that were lost by a call, 0 if it is harmless."""
         self._settle(now)
         found = self._evidence(mark, now)
@@ -174,15 +174,17 @@
 
     def verdict(self, mark: bytes, now: float) -> Verdict:
         """Say what is done with a call."""
-        losses = self.losses(mark, now)
+        losses = self.crash_count(mark, now)
         if losses >= REFUSED_LOSSES:
             return Verdict.REFUSED
-        return Verdict.WATCHED if losses >= WATCHED_LOSSES else Verdict.FREE
+        return (
+            Verdict.NO_RETRY if losses >= NO_RETRY_LOSSES else Verdict.ALLOWED
+        )
 
     def _row(self, mark: bytes) -> _Row:
         row = self._rows.setdefault(mark, _Row())
         self._rows.move_to_end(mark)
-        if len(self._rows) > MOST_CALLS:
+        if len(self._rows) > MAX_CALLS:
             self._rows.popitem(last=False)
         return row
 
@@ -202,7 +204,7 @@
         pending = self._pending
         self._pending = []
         for loss in pending:
-            if now - loss.moment < TOGETHER_SECONDS:
+            if now - loss.moment < CORRELATED_LOSS_SECONDS:
                 self._pending.append(loss)
                 continue
             if self._is_alone(loss):
@@ -217,12 +219,12 @@
         together = {
             other.start
             for other in self._losses
-            if abs(other.moment - loss.moment) <= TOGETHER_SECONDS
+            if abs(other.moment - loss.moment) <= CORRELATED_LOSS_SECONDS
         }
-        return len(together) < TOGETHER_TARGETS
+        return len(together) < CORRELATED_LOSS_TARGETS
 
     def _forget(self, now: float) -> None:
-        oldest = now - REMEMBERED_SECONDS
+        oldest = now - HISTORY_TTL_SECONDS
         while self._losses and self._losses[0].moment < oldest:
             self._losses.popleft()
         for mark, row in tuple(self._rows.items()):
@@ -235,7 +237,7 @@
     found: dict[bytes, CrashHistory] = {}
     for row in rows:
         held = found.get(row.mark)
-        found[row.mark] = row if held is None else held.joined(row)
+        found[row.mark] = row if held is None else held.merged(row)
     return list(found.values())
 
 
@@ -249,7 +251,7 @@
     )
 
 
-def of_message(row: messages.SiteSuspect) -> CrashHistory:
+def from_message(row: messages.SiteSuspect) -> CrashHistory:
     """Read what ``to_message`` wrote."""
     answered = math.inf
     if row.answered_ms is not None:
--- a/tamarackthread/policy/portions.py
+++ b/tamarackthread/policy/portions.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class _Leased:
+class _Lease:
     demand: float
     rate: float
     ends_at: float
@@ -64,7 +64,7 @@
     """
 
     def __init__(self) -> None:
-        self._leased: dict[str, _Leased] = {}
+        self._leased: dict[str, _Lease] = {}
         self._demand: float = 0
         self._rate: float = 0
 
@@ -88,13 +88,13 @@
             self._demand = 0
             self._rate = 0
 
-    def put(self, node: str, leased: _Leased) -> None:
+    def put(self, node: str, leased: _Lease) -> None:
         """Lease a node its portion, as the newest one."""
         self._leased[node] = leased
         self._demand += leased.demand
         self._rate += leased.rate
 
-    def wanted(self, cap: float, demand: float) -> float:
+    def portion_for(self, cap: float, demand: float) -> float:
         """Give what ``split`` gives a further node with this demand."""
         return portion_of(
             cap,
@@ -118,7 +118,7 @@
         self._began_at = began_at
         self._organisations: dict[str, _Organisation] = {}
 
-    def ask(
+    def lease(
         self,
         organisation: str,
         node: str,
@@ -136,8 +136,8 @@
         held.expire(now)
         held.drop(node)
         left = max(cap * (1 - RESERVE_SHARE) - held.rate, 0)
-        rate = min(held.wanted(cap, demand), left)
+        rate = min(held.portion_for(cap, demand), left)
         if now < self._began_at + self._lease_seconds:
             rate = min(rate, used)
-        held.put(node, _Leased(demand, rate, now + self._lease_seconds))
+        held.put(node, _Lease(demand, rate, now + self._lease_seconds))
         return rate
--- a/tamarackthread/policy/queue_limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -57,7 +57,7 @@
         self._line = line
         self._outlook = expected
 
-    def budget(self, call: calls.CallFacts, now: float) -> float:
+    def wait_budget(self, call: calls.CallFacts, now: float) -> float:
         """Return how many seconds the call may wait and still be in time."""
         until_end = call.deadline - now - self._room.answer_seconds(call, now)
         if until_end <= 0:
@@ -82,18 +82,18 @@
         settings = self._settings
         length = self._line.organisation_length(call)
         if length >= settings.organisation_limit:
-            retry = self._outlook.retry(call, now)
+            retry = self._outlook.retry_after(call, now)
             raise refusals.ShareExceeded(retry_after=retry)
         if call.is_ahead:
             return
         if len(self._line) >= settings.queue_limit:
-            retry = self._outlook.retry(call, now)
+            retry = self._outlook.retry_after(call, now)
             raise refusals.QueueFull(retry_after=retry)
         if not len(self._line):
             return
-        if self._outlook.wait(call, now) <= budget * settings.caution:
+        if self._outlook.expected_wait(call, now) <= budget * settings.caution:
             return
-        retry = self._outlook.retry(call, now)
+        retry = self._outlook.retry_after(call, now)
         if length:
             raise refusals.ShareExceeded(retry_after=retry)
         raise refusals.AdmissionRefused(retry_after=retry)
--- a/tamarackthread/policy/queue_rates.py
+++ b/tamarackthread/policy/queue_rates.py
@@ -36,7 +36,7 @@
         self._is_waiting = False
         self._seen_at: float = 0
 
-    def left(self, cost: float) -> None:
+    def record_served(self, cost: float) -> None:
         """Count the cost of a call that left the waiting queue; 0 unserved."""
         self._served += cost
 
@@ -105,7 +105,7 @@
         self._settings = settings or RateSettings()
         self._next: dict[str, float] = {}
 
-    def book(
+    def reserve(
         self,
         organisation: str,
         cost: float,
--- a/tamarackthread/policy/rate_limit.py
+++ b/tamarackthread/policy/rate_limit.py
@@ -16,9 +16,9 @@
 
 # Calls are counted over this time: what a target bears is a rate over some
 # seconds, and a part of less than a call a second is a whole one here.
-SPAN_SECONDS = 4.0
+WINDOW_SECONDS = 4.0
 # A call may be so much later at the target than it was counted.
-LATE_SECONDS = 0.4
+MAX_DELAY_SECONDS = 0.4
 BURST_SECONDS = 1.0
 # This much of a limit is shared evenly, the rest by demand: an entry whose
 # callers come only now has a part at once.
@@ -26,7 +26,7 @@
 # A limit that no answer has confirmed for so long is tried with one call, and all
 # entries together try no more often than once in the other time.
 STALE_SECONDS = 20.0
-TRIAL_SECONDS = 1.0
+PROBE_SECONDS = 1.0
 
 
 @attrs.frozen(kw_only=True)
@@ -57,12 +57,12 @@
         """Return the calls a second from all entries, ``None`` without one."""
         return self._rate
 
-    def hear(self, rate: float | None, now: float) -> None:
+    def update(self, rate: float | None, now: float) -> None:
         """Take what the newest answer names; without a limit it has ended."""
         self._rate = rate
         self._heard_at = now
 
-    def may_take(
+    def allows(
         self,
         sent: sent_calls.SentCalls,
         part: EntryShare,
@@ -71,16 +71,16 @@
         """Tell whether one call more is within this entry's part."""
         if self._rate is None:
             return True
-        span = SPAN_SECONDS + LATE_SECONDS
-        lately = sent.lately(now, span)
-        if now - self._heard_at > part.stale_after():
+        span = WINDOW_SECONDS + MAX_DELAY_SECONDS
+        lately = sent.count_within(now, span)
+        if now - self._heard_at > part.probe_after():
             return not lately
-        most = part.calls(self._rate)
+        most = part.max_calls(self._rate)
         if lately >= most:
             return False
         # Not all at once: a target in need is not helped by bursts.
-        burst = BURST_SECONDS + LATE_SECONDS
-        return sent.lately(now, burst) < math.ceil(most * burst / span)
+        burst = BURST_SECONDS + MAX_DELAY_SECONDS
+        return sent.count_within(now, burst) < math.ceil(most * burst / span)
 
 
 @attrs.frozen
@@ -95,7 +95,7 @@
     fleet: int
     place: int | None
 
-    def calls(self, rate: float) -> int:
+    def max_calls(self, rate: float) -> int:
         """Return this entry's calls in a span.
 
         Entries that are cut off from each other share by their numbers.  Parts
@@ -108,9 +108,9 @@
         rounded = (self.place or 0) + 0.5
         if self.place is None:
             rounded = 0
-        wanted = rate * SPAN_SECONDS * in_touch * own
+        wanted = rate * WINDOW_SECONDS * in_touch * own
         return int(wanted + rounded / self.fleet)
 
-    def stale_after(self) -> float:
+    def probe_after(self) -> float:
         """Return after how many seconds without an answer a limit is tried."""
-        return max(STALE_SECONDS, TRIAL_SECONDS * self.fleet)
+        return max(STALE_SECONDS, PROBE_SECONDS * self.fleet)
--- a/tamarackthread/policy/running_calls.py
+++ b/tamarackthread/policy/running_calls.py
@@ -39,7 +39,7 @@
         """Stop watching a call that ended."""
         self._tickets.pop(id(ticket), None)
 
-    def give_way(self, urgent: calls.CallFacts, now: float) -> bool:
+    def preempt_one(self, urgent: calls.CallFacts, now: float) -> bool:
         """Ask one call to give way; tell whether there was one."""
         found = []
         for ticket in self._tickets.values():
@@ -51,7 +51,7 @@
         self._tickets[chosen.key].preempted.set()
         return True
 
-    def sweep(self, now: float) -> None:
+    def move_late_streams(self, now: float) -> None:
         """Ask late streams to move."""
         for ticket in self._tickets.values():
             if not ticket.call.idempotent or ticket.preempted.is_set():
@@ -62,4 +62,4 @@
             )
             progress = ticket.progress
             if self._move.should_move(ticket.call, progress, place, now):
-                ticket.move()
+                ticket.request_move()
--- a/tamarackthread/policy/sent_calls.py
+++ b/tamarackthread/policy/sent_calls.py
@@ -5,7 +5,7 @@
 import collections
 
 # The longest time over which calls are counted.
-KEPT_SECONDS = 4.4
+MAX_WINDOW_SECONDS = 4.4
 
 
 class SentCalls:
@@ -15,13 +15,13 @@
         """Begin without any."""
         self._moments: collections.deque[float] = collections.deque()
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Count a call."""
         self._moments.append(now)
-        while now - self._moments[0] >= KEPT_SECONDS:
+        while now - self._moments[0] >= MAX_WINDOW_SECONDS:
             self._moments.popleft()
 
-    def lately(self, now: float, span: float) -> int:
+    def count_within(self, now: float, span: float) -> int:
         """Return the calls of the last ``span`` seconds."""
         found = 0
         for moment in reversed(self._moments):
--- a/tamarackthread/policy/tickets.py
+++ b/tamarackthread/policy/tickets.py
@@ -88,7 +88,7 @@
         self._progress.advance(events, now)
         self._placement.advance(self._progress, now)
 
-    def move(self) -> None:
+    def request_move(self) -> None:
         """Ask the holder to go on at another target, ahead of the queue."""
         self._call = attrs.evolve(
             self._call,
--- a/tamarackthread/policy/wait_estimator.py
+++ b/tamarackthread/policy/wait_estimator.py
@@ -29,7 +29,7 @@
         self._asked: dict[str, queue_rates.ArrivalMeter] = {}
         self._mean_cost: float = 1
 
-    def asked(self, call: calls.CallFacts, now: float) -> None:
+    def record_request(self, call: calls.CallFacts, now: float) -> None:
         """Note a call before it's known whether it may wait."""
         meter = self._asked.get(call.organisation)
         if meter is None:
@@ -38,7 +38,7 @@
             self._asked[call.organisation] = meter
         meter.add(call.cost, now)
 
-    def arrived(self, call: calls.CallFacts, now: float) -> None:
+    def record_enqueued(self, call: calls.CallFacts, now: float) -> None:
         """Note a call that now waits in the line."""
         self._mean_cost += (call.cost - self._mean_cost) / 64
         if _flow(call) not in self._flows:
@@ -47,7 +47,9 @@
         self._flows[_flow(call)].observe(True, now)
         self._meter.observe(True, now)
 
-    def left(self, call: calls.CallFacts, is_served: bool, now: float) -> None:
+    def record_dequeued(
+        self, call: calls.CallFacts, is_served: bool, now: float
+    ) -> None:
         """Note a call that left the line.
 
         A call that was served without any wait doesn't count as served: a
@@ -55,17 +57,17 @@
         """
         flow = self._flows.get(_flow(call))
         if flow is not None:
-            flow.left(call.cost if is_served else 0)
-            flow.observe(self._line.alike(call) > 0, now)
-        self._meter.left(call.cost if is_served else 0)
+            flow.record_served(call.cost if is_served else 0)
+            flow.observe(self._line.flow_cost(call) > 0, now)
+        self._meter.record_served(call.cost if is_served else 0)
         self._meter.observe(len(self._line) > 0, now)
 
-    def rate(self, now: float) -> float:
+    def drain_rate(self, now: float) -> float:
         """Return the cost a second that the whole line drains."""
-        prior = max(1, self._room.rate(now)) * self._mean_cost
+        prior = max(1, self._room.service_rate(now)) * self._mean_cost
         return max(_LEAST_RATE, self._meter.rate(prior, now))
 
-    def wait(self, call: calls.CallFacts, now: float) -> float:
+    def expected_wait(self, call: calls.CallFacts, now: float) -> float:
         """Return seconds until a new call like this would be served.
 
         Two estimates count: the fair order of what waits now, and how fast
@@ -73,31 +75,31 @@
         first knows nothing of calls still to come, which pass a background
         call again and again until it would have to be refused late.
         """
-        rate = self.rate(now)
-        wait = self._line.ahead(call) / rate
+        rate = self.drain_rate(now)
+        wait = self._line.cost_ahead(call) / rate
         flow = self._flows.get(_flow(call))
         if flow is None:
             return wait
-        own = self._line.alike(call)
+        own = self._line.flow_cost(call)
         if call.priority == calls.Priority.BACKGROUND:
             own += call.cost
         prior = rate * self._line.share(call)
         return max(wait, own / max(_LEAST_RATE, flow.rate(prior, now)))
 
-    def retry(self, call: calls.CallFacts, now: float) -> float:
+    def retry_after(self, call: calls.CallFacts, now: float) -> float:
         """Return seconds after which a refused call will find room.
 
         What new calls of the organisation use of its share isn't there for
         those that come back.  Some always is: the wave may end any moment.
         """
-        share = self.rate(now) * self._line.share(call)
+        share = self.drain_rate(now) * self._line.share(call)
         asked = self._asked.get(call.organisation)
         used = asked.rate(now) if asked else 0
-        return self._retry_times.book(
+        return self._retry_times.reserve(
             call.organisation,
             call.cost,
             max(_LEAST_SPARE * share, share - used),
-            self.wait(call, now),
+            self.expected_wait(call, now),
             now,
         )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -264,7 +264,7 @@
         order = []
         for _ in range(count):
             entry = queue.head()
-            queue.take(entry)
+            queue.dequeue(entry)
             order.append(entry.flow)
         return order
 
@@ -278,19 +278,19 @@
         queue = fairness.FairQueue()
         self.fill(queue, {'a': 1, 'b': 1}, 20)
         for entry in queue.first(40):
-            if entry.flow == 'a' and entry.order % 2:
+            if entry.flow == 'a' and entry.sequence % 2:
                 queue.remove(entry)
         self.assertAlmostEqual(self.served(queue, 16).count('a'), 8, delta=1)
 
     def test_ahead_matches_service(self):
         queue = fairness.FairQueue()
         self.fill(queue, {'a': 1, 'b': 2}, 10)
-        expected = queue.ahead('a', 1, rank=1)
+        expected = queue.cost_ahead('a', 1, rank=1)
         last = fairness.Entry('last', 'a', rank=1, cost=1)
         queue.push(last, 1)
         turns = 0
         while queue.head() is not last:
-            queue.take(queue.head())
+            queue.dequeue(queue.head())
             turns += 1
         self.assertAlmostEqual(turns, expected, delta=1)
 
@@ -306,11 +306,11 @@
         """
         times = queue_rates.RetrySchedule(random.Random(policy_case.SEED))
         found = [
-            times.book('a', cost=1, rate=10, wait=0.2, now=0)
+            times.reserve('a', cost=1, rate=10, wait=0.2, now=0)
             for _ in range(100)
         ]
         for second in range(8):
             within = [back for back in found if second <= back < second + 1]
             self.assertLessEqual(len(within), 14)
-        other = times.book('b', cost=1, rate=10, wait=0.2, now=0)
+        other = times.reserve('b', cost=1, rate=10, wait=0.2, now=0)
         self.assertLess(other, 0.5)
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -75,7 +75,7 @@
         super().__init__(GAP, EMPTY)
         self.allowed = most
 
-    def most(self, crowd, now):
+    def max_calls(self, crowd, now):
         return self.allowed
 
 
@@ -88,9 +88,9 @@
         """
         bound = _bound_after(crowd(30), GAP)
         each = (GAP - EMPTY) / 30
-        limit = GAP * concurrency.USED_SHARE
+        limit = GAP * concurrency.GAP_SHARE
         self.assertAlmostEqual(
-            (limit - EMPTY) / each, bound.most(crowd(30), now=1)
+            (limit - EMPTY) / each, bound.max_calls(crowd(30), now=1)
         )
 
     def test_calls_that_were_just_let_go(self):
@@ -100,18 +100,18 @@
         does; the bound would grow with the calls, and they with it.
         """
         bound = _bound_after(crowd(20), 0.1)
-        before = bound.most(crowd(20), now=1)
-        self.assertEqual(before, bound.most(crowd(40), now=1.01))
+        before = bound.max_calls(crowd(20), now=1)
+        self.assertEqual(before, bound.max_calls(crowd(40), now=1.01))
 
     def test_even_ranks(self):
         """Full ranks stay within the pause: places are all that bounds."""
-        most = _bound_after(crowd(50), 0.08).most(crowd(50), now=1)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _bound_after(crowd(50), 0.08).max_calls(crowd(50), now=1)
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_calls_that_wait_at_ranks(self):
         """Calls behind the places of a rank do not make its passes longer."""
         full, waiting = (
-            _bound_after(crowd(held), GAP).most(crowd(held), now=1)
+            _bound_after(crowd(held), GAP).max_calls(crowd(held), now=1)
             for held in (50, 90)
         )
         self.assertEqual(full, waiting)
@@ -122,18 +122,18 @@
         Calls held back would wait for nothing.
         """
         slow = crowd(20, pace=8)
-        most = _bound_after(slow, 0.25).most(slow, now=1)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _bound_after(slow, 0.25).max_calls(slow, now=1)
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_old_passes(self):
         """Nothing was seen of late: what was seen before says nothing."""
-        most = _bound_after(crowd(30), GAP).most(crowd(30), now=2)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _bound_after(crowd(30), GAP).max_calls(crowd(30), now=2)
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_no_targets(self):
         """No rank is known to be ready: no bound, so that calls are tried."""
         bound = concurrency.LatencyLimit(GAP, EMPTY)
-        self.assertTrue(math.isinf(bound.most(crowd(0, 0, 0), now=1)))
+        self.assertTrue(math.isinf(bound.max_calls(crowd(0, 0, 0), now=1)))
 
 
 class LineCase(policy_case.PausedCase):
@@ -342,8 +342,8 @@
 def _bound_after(held, seconds):
     """Return a bound that has seen one pass of a group's calls, until now = 1."""
     bound = concurrency.LatencyLimit(GAP, EMPTY)
-    bound.most(held, now=1 - seconds)
-    bound.note(seconds, now=1)
+    bound.max_calls(held, now=1 - seconds)
+    bound.record_pass(seconds, now=1)
     return bound
 
 
@@ -402,7 +402,7 @@
             if opens:
                 line.heard()
             else:
-                await asyncio.sleep(2 * outages.APART_SECONDS)
+                await asyncio.sleep(2 * outages.REFUSAL_WINDOW_SECONDS)
             self.assertFalse(line.is_closed)
 
     async def _full(self):
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -123,35 +123,35 @@
     def test_one_call_first(self):
         """Guards against all calls at the moment at which a rest is over."""
         rest = backpressure.Cooldown()
-        self.assertTrue(rest.may_take(1))
-        rest.ask(3, now=1)
-        self.assertFalse(rest.may_take(3.9))
-        self.assertTrue(rest.may_take(4))
-        rest.sent(4)
-        self.assertFalse(rest.may_take(4.1))
-        rest.taken(4.2)
-        self.assertTrue(rest.may_take(4.2))
+        self.assertTrue(rest.allows_call(1))
+        rest.start(3, now=1)
+        self.assertFalse(rest.allows_call(3.9))
+        self.assertTrue(rest.allows_call(4))
+        rest.record_sent(4)
+        self.assertFalse(rest.allows_call(4.1))
+        rest.record_accepted(4.2)
+        self.assertTrue(rest.allows_call(4.2))
 
     def test_call_without_an_answer(self):
         """Guards against a target that gets nothing more after a lost call."""
         rest = backpressure.Cooldown()
-        rest.ask(3, now=1)
-        rest.sent(4)
-        self.assertTrue(rest.may_take(4 + backpressure.TRIAL_SECONDS))
+        rest.start(3, now=1)
+        rest.record_sent(4)
+        self.assertTrue(rest.allows_call(4 + backpressure.PROBE_SECONDS))
 
     def test_answer_to_an_earlier_call(self):
         """Guards against a rest that ends when an earlier call is answered."""
         rest = backpressure.Cooldown()
-        rest.ask(3, now=1)
-        rest.taken(2)
-        self.assertFalse(rest.may_take(2))
+        rest.start(3, now=1)
+        rest.record_accepted(2)
+        self.assertFalse(rest.allows_call(2))
 
     def test_shorter_rest(self):
         """Guards against a rest cut short by a shorter one."""
         rest = backpressure.Cooldown()
-        rest.ask(3, now=1)
-        rest.ask(0.5, now=1.1)
-        self.assertAlmostEqual(1.9, rest.left(2.1))
+        rest.start(3, now=1)
+        rest.start(0.5, now=1.1)
+        self.assertAlmostEqual(1.9, rest.remaining(2.1))
 
     def test_values(self):
         """Guards against values that would end or never end a rest."""
@@ -163,8 +163,8 @@
             '': 0,
             'nan': 0,
             'inf': 0,
-            '1e9': backpressure.MOST_REST_SECONDS,
+            '1e9': backpressure.MAX_RETRY_AFTER_SECONDS,
             'Fri, 06 Mar 2026 21:56:40 GMT': 0,
         }
-        found = {text: backpressure.seconds(text) for text in wanted}
+        found = {text: backpressure.parse_retry_after(text) for text in wanted}
         self.assertEqual(wanted, found)
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -33,7 +33,7 @@
     found = cold_start.ColdStartLimits(
         fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK
     )
-    found.learn({SERVICE: RATE} if rates is None else rates)
+    found.set_rates({SERVICE: RATE} if rates is None else rates)
     return found
 
 
@@ -53,7 +53,7 @@
             target = self.known.choose(SERVICE, ())
             if target is None:
                 break
-            target.sent.note(now)
+            target.sent.record(now)
             got.append(target.name)
         return got
 
@@ -84,7 +84,7 @@
 
     def test_no_limit(self):
         """Without a limit in the configuration a cold target takes any call."""
-        self.assertIsNone(shares_of('e1', ENTRIES, {}).calls(SERVICE, 't0'))
+        self.assertIsNone(shares_of('e1', ENTRIES, {}).max_calls(SERVICE, 't0'))
 
     def test_warm_again(self):
         """A target that is warm takes any call."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -252,19 +252,19 @@
 class PortionCase(unittest.TestCase):
     def test_portions_never_exceed_the_cap(self):
         table = portions.PortionTable(5, began_at=-5)
-        first = table.ask('o', 'a', 100, 80, 80, 0)
+        first = table.lease('o', 'a', 100, 80, 80, 0)
         self.assertEqual(first, 90)
-        self.assertEqual(table.ask('o', 'b', 100, 20, 0, 1), 0)
-        shrunk = table.ask('o', 'a', 100, 80, 80, 2)
+        self.assertEqual(table.lease('o', 'b', 100, 20, 0, 1), 0)
+        shrunk = table.lease('o', 'a', 100, 80, 80, 2)
         self.assertLess(shrunk, first)
-        grown = table.ask('o', 'b', 100, 20, 0, 3)
+        grown = table.lease('o', 'b', 100, 20, 0, 3)
         self.assertLessEqual(shrunk + grown, 90.001)
-        self.assertGreater(table.ask('o', 'b', 100, 20, 0, 7.1), grown)
+        self.assertGreater(table.lease('o', 'b', 100, 20, 0, 7.1), grown)
 
     def test_new_leader_leases_no_more_than_is_used(self):
         table = portions.PortionTable(5, began_at=0)
-        self.assertEqual(table.ask('o', 'a', 100, 80, 30, 1), 30)
-        self.assertGreater(table.ask('o', 'a', 100, 80, 30, 5), 30)
+        self.assertEqual(table.lease('o', 'a', 100, 80, 30, 1), 30)
+        self.assertGreater(table.lease('o', 'a', 100, 80, 30, 5), 30)
 
     def test_safe_shares_fit_into_the_reserve(self):
         safe = portions.safe_share(100, 10) * 10
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -17,10 +17,10 @@
 
 BAD = b'b'
 GOOD = b'g'
-FREE = poison_calls.Verdict.FREE
-WATCHED = poison_calls.Verdict.WATCHED
+FREE = poison_calls.Verdict.ALLOWED
+WATCHED = poison_calls.Verdict.NO_RETRY
 REFUSED = poison_calls.Verdict.REFUSED
-SETTLED = poison_calls.TOGETHER_SECONDS
+SETTLED = poison_calls.CORRELATED_LOSS_SECONDS
 SEED = 9
 ENTRIES = 6
 
@@ -35,7 +35,7 @@
         """The third target that is lost by a call is the last one."""
         found = []
         for number in range(3):
-            self.known.lost(BAD, f't{number}', 10.0 * number)
+            self.known.record_crash(BAD, f't{number}', 10.0 * number)
             found.append(self.known.verdict(BAD, 10.0 * number + SETTLED))
         self.assertEqual([FREE, WATCHED, REFUSED], found)
 
@@ -43,9 +43,9 @@
         """An ordinary call ran on the same target, and is answered elsewhere."""
         for number in range(3):
             moment = 10.0 * number
-            self.known.lost(BAD, f't{number}', moment)
-            self.known.lost(GOOD, f't{number}', moment)
-            self.known.answered(GOOD, moment + 1)
+            self.known.record_crash(BAD, f't{number}', moment)
+            self.known.record_crash(GOOD, f't{number}', moment)
+            self.known.record_answer(GOOD, moment + 1)
             self.assertEqual(FREE, self.known.verdict(GOOD, moment + 2))
         self.assertEqual(REFUSED, self.known.verdict(BAD, 30))
 
@@ -55,9 +55,11 @@
         Many targets are lost at once, which tells nothing of any call.
         """
         for number in range(3):
-            for target in range(poison_calls.TOGETHER_TARGETS):
+            for target in range(poison_calls.CORRELATED_LOSS_TARGETS):
                 mark = BAD if target == 0 else bytes([target])
-                self.known.lost(mark, f't{number}-{target}', 10.0 * number)
+                self.known.record_crash(
+                    mark, f't{number}-{target}', 10.0 * number
+                )
         self.assertEqual(FREE, self.known.verdict(BAD, 21))
 
     def test_failing_target(self):
@@ -66,22 +68,26 @@
         It has not crashed: it is the same start of it all the while.
         """
         for number in range(9):
-            self.known.lost(BAD, 't0', 10.0 * number)
+            self.known.record_crash(BAD, 't0', 10.0 * number)
         self.assertEqual(FREE, self.known.verdict(BAD, 90))
 
     def test_forgotten(self):
         """A call is let through after a minute, and known again by its losses."""
         for number in range(3):
-            self.known.lost(BAD, f't{number}', 10.0 * number)
-        later = 20 + poison_calls.REMEMBERED_SECONDS + 1
+            self.known.record_crash(BAD, f't{number}', 10.0 * number)
+        later = 20 + poison_calls.HISTORY_TTL_SECONDS + 1
         self.assertEqual(FREE, self.known.verdict(BAD, later))
         self.assertFalse(self.known)
 
     def test_bounded(self):
         """Calls without end are lost; so many are remembered and no more."""
-        for number in range(10 * poison_calls.MOST_CALLS):
-            self.known.lost(number.to_bytes(4), f't{number}', number / 100)
-        self.assertLessEqual(len(self.known.own(13)), poison_calls.MOST_CALLS)
+        for number in range(10 * poison_calls.MAX_CALLS):
+            self.known.record_crash(
+                number.to_bytes(4), f't{number}', number / 100
+            )
+        self.assertLessEqual(
+            len(self.known.histories(13)), poison_calls.MAX_CALLS
+        )
 
     def test_ordinary_losses(self):
         """Targets crash at random; no call of thousands is refused for it.
@@ -95,10 +101,10 @@
             mark = number.to_bytes(4)
             while generator.random() < 0.03:
                 start = f't{generator.randrange(60)}/{int(now)}'
-                self.known.lost(mark, start, now)
+                self.known.record_crash(mark, start, now)
                 now += 0.3
                 self.assertNotEqual(REFUSED, self.known.verdict(mark, now))
-            self.known.answered(mark, now)
+            self.known.record_answer(mark, now)
 
 
 def start_of(name):
@@ -199,7 +205,7 @@
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
         call = test_admitting.call_of()
-        for _ in range(int(2 * poison_calls.REMEMBERED_SECONDS)):
+        for _ in range(int(2 * poison_calls.HISTORY_TTL_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
         for entry in entries:
@@ -271,7 +277,7 @@
         self.assertEqual(502, status)
         fake.close()
         # What was lost with it is known at once, so that the loss counts.
-        with mock.patch.object(poison_calls, 'TOGETHER_SECONDS', 0):
+        with mock.patch.object(poison_calls, 'CORRELATED_LOSS_SECONDS', 0):
             rows = self.crashing.own()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -42,9 +42,9 @@
         """Send what callers want and the limit lets go; return how many."""
         self.owed = min(2 * rate + 1, self.owed + self.demand * TICK)
         count = 0
-        while self.owed >= 1 and self.limit.may_take(self.sent, self.part, now):
-            self.sent.note(now)
-            self.limit.hear(rate, now)
+        while self.owed >= 1 and self.limit.allows(self.sent, self.part, now):
+            self.sent.record(now)
+            self.limit.update(rate, now)
             self.owed -= 1
             count += 1
         return count
@@ -69,7 +69,7 @@
         )
         wanted = PRESSED * rate * weights[number] / sum(weights)
         sender = Sender(part, wanted)
-        sender.limit.hear(rate, 0)
+        sender.limit.update(rate, 0)
         found.append(sender)
     return found
 
@@ -147,7 +147,7 @@
         hosts = {'h1': loads.Loads(1)}
         first, _, one = test_shared_calls.entry_of('e1', hosts)
         second, _, two = test_shared_calls.entry_of('e2', hosts)
-        first.get('t0').limit.hear(4, 0)
+        first.get('t0').limit.update(4, 0)
         first.get('t0').own = 3
         second.get('t1').own = 1
         for shared in (one, two, one):
@@ -166,23 +166,23 @@
 
     def test_answer_without_a_limit(self):
         """Guards against a limit that outlives the target's need."""
-        self.limit.hear(0, 1)
-        self.assertFalse(self.limit.may_take(self.sent, self.part, 2))
-        self.limit.hear(None, 3)
-        self.assertTrue(self.limit.may_take(self.sent, self.part, 3))
+        self.limit.update(0, 1)
+        self.assertFalse(self.limit.allows(self.sent, self.part, 2))
+        self.limit.update(None, 3)
+        self.assertTrue(self.limit.allows(self.sent, self.part, 3))
 
     def test_nobody_answers(self):
         """Guards against a limit for ever, and against its end at once."""
-        self.limit.hear(0, 1)
+        self.limit.update(0, 1)
         late = 1 + rate_limit.STALE_SECONDS + 0.1
-        self.assertTrue(self.limit.may_take(self.sent, self.part, late))
-        self.sent.note(late)
-        self.assertFalse(self.limit.may_take(self.sent, self.part, late + 1))
+        self.assertTrue(self.limit.allows(self.sent, self.part, late))
+        self.sent.record(late)
+        self.assertFalse(self.limit.allows(self.sent, self.part, late + 1))
 
     def test_values(self):
         """Guards against values that make no sense."""
         wanted = {'2.5': 2.5, '0': 0, '-1': None, '': None, 'nan': None}
-        found = {text: backpressure.rate(text) for text in wanted}
+        found = {text: backpressure.parse_rate(text) for text in wanted}
         self.assertEqual(wanted, found)
 
 
