--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -1,8 +1,7 @@
-"""Admit calls to a service, or refuse them early and honestly.
+"""Queue calls to a service and admit or refuse them.
 
-Calls wait here, in fair bounded queues, until a target has room.  A call
-that can't start in time is refused as soon as that is known, with the time
-after which a retry will find room.
+Calls wait in fair bounded queues until a target has capacity.  A call that
+can't start before its deadline is refused at once, with a retry time.
 """
 
 from __future__ import annotations
@@ -26,10 +25,10 @@
 )
 from tamarackthread.shared import errors
 
-_TICK_SECONDS = 0.01
-_SHED_SECONDS = 0.05
-_LAST_SECONDS = 0.1
-_SWEEP_SECONDS = 0.05
+_ADMIT_INTERVAL_SECONDS = 0.01
+_SHED_INTERVAL_SECONDS = 0.05
+_LAST_CHANCE_SECONDS = 0.1
+_MOVE_INTERVAL_SECONDS = 0.05
 
 
 AdmissionSettings = queue_limits.AdmissionSettings
@@ -41,7 +40,7 @@
 
     def __init__(
         self,
-        place: allocator.Allocator,
+        capacity: allocator.Allocator,
         shares: fairness.Shares,
         generator: random.Random,
         settings: AdmissionSettings | None = None,
@@ -49,68 +48,68 @@
         preempt: preemption.PreemptionPolicy | None = None,
         move: migration.MovePolicy | None = None,
     ) -> None:
-        """Start empty; must be used from within a running loop."""
+        """Start empty; requires a running event loop."""
         self._settings = settings or AdmissionSettings()
-        self._room = place
+        self._allocator = capacity
         self._portions = portions or buckets.Portions()
-        self._line = call_queue.CallQueue(shares, self._settings.credit)
-        self._outlook = wait_estimator.WaitEstimator(
-            place, self._line, generator
+        self._queue = call_queue.CallQueue(shares, self._settings.credit)
+        self._estimator = wait_estimator.WaitEstimator(
+            capacity, self._queue, generator
         )
         self._limits = queue_limits.QueueLimits(
             self._settings,
-            place,
-            self._line,
-            self._outlook,
+            capacity,
+            self._queue,
+            self._estimator,
         )
         self._running = running_calls.RunningCalls(
-            place,
+            capacity,
             preempt or preemption.NewestDraft(),
             move or migration.StayPut(),
         )
         self._timer: asyncio.TimerHandle | None = None
-        self._shed_at: float = 0
-        self._swept_at: float = 0
+        self._next_shed_at: float = 0
+        self._last_move_check_at: float = 0
 
     @property
     def queued(self) -> int:
-        """Count the calls that wait for a place."""
-        return len(self._line)
+        """Count the queued calls."""
+        return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Count the admitted calls that were not released."""
+        """Count the admitted calls that are not released yet."""
         return len(self._running)
 
     async def submit(self, call: calls.CallFacts) -> Ticket:
-        """Wait for a place; raise a coded refusal as soon as there'll be none.
+        """Wait for admission; raise a coded refusal if it can't be in time.
 
-        Every refusal says 'not run'.  Cancelling leaves the queue.
+        Every refusal reports the call as not run.  Cancelling dequeues it.
         """
         now = _now()
-        self._outlook.record_request(call, now)
+        self._estimator.record_request(call, now)
         budget = self._limits.wait_budget(call, now)
         self._limits.check(call, budget, now)
-        self._charge(call, now)
+        self._charge_portion(call, now)
         granted = asyncio.get_running_loop().create_future()
-        entry = self._line.push(
+        entry = self._queue.push(
             call_queue.QueuedCall(call, granted, now + budget, now),
         )
-        self._outlook.record_enqueued(call, now)
+        self._estimator.record_enqueued(call, now)
         self.wake()
         return await self._wait(entry)
 
     def wake(self) -> None:
-        """Place what can be placed; call it after each load report."""
+        """Admit calls while there is capacity; run after each load report."""
         now = _now()
-        self._serve(now)
-        if self.queued and now >= self._shed_at:
-            self._shed_at = now + _SHED_SECONDS
+        self._admit_queued(now)
+        if self.queued and now >= self._next_shed_at:
+            self._next_shed_at = now + _SHED_INTERVAL_SECONDS
             self._shed(now)
-        self._make_room(now)
+        self._preempt_for_urgent(now)
         self._schedule()
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _on_released(self, ticket: Ticket) -> None:
         self._running.remove(ticket)
         self.wake()
 
@@ -119,23 +118,23 @@
         try:
             return await granted
         except asyncio.CancelledError:
-            self._abandon(entry)
+            self._handle_cancelled(entry)
             raise
 
-    def _abandon(self, entry: call_queue.QueueEntry) -> None:
-        """Clean up after a caller that left.
+    def _handle_cancelled(self, entry: call_queue.QueueEntry) -> None:
+        """Clean up after a cancelled call.
 
-        The ticket may have been granted in the same turn of the loop; not
-        released, it would hold its place for good.
+        Releases a ticket granted in the same loop iteration, which would
+        otherwise leak its slot.
         """
         granted = entry.item.granted
         if granted.done() and not granted.cancelled():
             if granted.exception() is None:
                 granted.result().release()
             return
-        self._drop(entry)
+        self._discard(entry)
 
-    def _charge(self, call: calls.CallFacts, now: float) -> None:
+    def _charge_portion(self, call: calls.CallFacts, now: float) -> None:
         portion = self._portions.find(call.organisation)
         if portion is None or call.start or call.goes_first:
             return
@@ -143,74 +142,75 @@
         if wait:
             raise refusals.ShareExceeded(retry_after=wait)
 
-    def _serve(self, now: float) -> None:
+    def _admit_queued(self, now: float) -> None:
         while True:
-            entry = self._next(now)
+            entry = self._next_entry(now)
             if entry is None:
                 return
             if entry.item.granted.done():
-                # The caller left in this turn of the loop.  Its ticket would
-                # have no holder and keep its place for good.
-                self._drop(entry)
+                # Cancelled in this loop iteration; a ticket granted to it
+                # would leak its slot.
+                self._discard(entry)
                 continue
             if entry.item.latest_start <= now:
                 self._refuse(entry, now)
                 continue
-            if not self._place(entry, now):
+            if not self._try_admit(entry, now):
                 return
 
-    def _next(self, now: float) -> call_queue.QueueEntry | None:
-        """Pick the next call, or one just behind it with a cached prefix.
+    def _next_entry(self, now: float) -> call_queue.QueueEntry | None:
+        """Pick the next call, or one close behind it with a cached prefix.
 
-        In a full service only one target has room at a time, so the routing
-        can't follow the caches; the order of the queue can, a little.
+        With one free target at a time, routing can't choose by cache;
+        reordering the queue within a short lookahead can.
         """
-        head = self._line.head()
-        if head is None or self._must_go(head, now):
+        head = self._queue.head()
+        if head is None or self._must_be_next(head, now):
             return head
-        entries = self._line.first(self._settings.lookahead)
+        entries = self._queue.first(self._settings.lookahead)
         best = entries[
-            self._room.best_match([entry.item.call for entry in entries], now)
+            self._allocator.best_match(
+                [entry.item.call for entry in entries], now
+            )
         ]
         if best is not head:
             head.item.times_skipped += 1
         return best
 
-    def _must_go(self, head: call_queue.QueueEntry, now: float) -> bool:
+    def _must_be_next(self, head: call_queue.QueueEntry, now: float) -> bool:
         item = head.item
         if item.call.is_ahead:
             return True
         if item.times_skipped >= self._settings.most_passes:
             return True
-        return item.latest_start - now < _LAST_SECONDS
+        return item.latest_start - now < _LAST_CHANCE_SECONDS
 
-    def _place(self, entry: call_queue.QueueEntry, now: float) -> bool:
+    def _try_admit(self, entry: call_queue.QueueEntry, now: float) -> bool:
         call = entry.item.call
         try:
-            placement = self._room.allocate(call, now)
+            placement = self._allocator.allocate(call, now)
         except errors.CodedError as exc:
-            self._answer(entry, exc)
+            self._reject(entry, exc)
             return True
         if placement is None:
             return False
-        ticket = Ticket(call, placement, self._forget)
-        self._line.dequeue(entry)
+        ticket = Ticket(call, placement, self._on_released)
+        self._queue.dequeue(entry)
         has_waited = entry.item.enqueued_at < now
-        self._outlook.record_dequeued(call, is_served=has_waited, now=now)
+        self._estimator.record_dequeued(call, is_served=has_waited, now=now)
         self._running.add(ticket, now)
         entry.item.granted.set_result(ticket)
         return True
 
     def _shed(self, now: float) -> None:
-        """Refuse at once the calls that won't start in time.
+        """Refuse queued calls that can no longer start in time.
 
-        The queue drains more slowly than expected after a target is lost.
-        Without this, the calls would be held until they expire.  The caution
-        of the first estimate is turned round, so that noise refuses nobody.
+        Needed when a lost target slows the drain rate.  Dividing by
+        ``caution`` keeps noise in the estimate from shedding calls.
         """
-        rate = self._outlook.drain_rate(now) / self._settings.caution
+        rate = self._estimator.drain_rate(now) / self._settings.caution
         ahead: float = 0
-        for entry in self._line.entries():
+        for entry in self._queue.entries():
             start = now + ahead / rate
             if start > entry.item.latest_start:
                 self._refuse(entry, now)
@@ -218,31 +218,31 @@
             ahead += entry.cost
 
     def _refuse(self, entry: call_queue.QueueEntry, now: float) -> None:
-        retry = self._outlook.retry_after(entry.item.call, now)
-        self._answer(entry, refusals.AdmissionRefused(retry_after=retry))
+        retry = self._estimator.retry_after(entry.item.call, now)
+        self._reject(entry, refusals.AdmissionRefused(retry_after=retry))
 
-    def _answer(
+    def _reject(
         self,
         entry: call_queue.QueueEntry,
         refusal: errors.CodedError,
     ) -> None:
-        self._drop(entry)
+        self._discard(entry)
         portion = self._portions.find(entry.item.call.organisation)
         if portion is not None:
             portion.refund(1)
         if not entry.item.granted.done():
             entry.item.granted.set_exception(refusal)
 
-    def _drop(self, entry: call_queue.QueueEntry) -> None:
+    def _discard(self, entry: call_queue.QueueEntry) -> None:
         if entry.removed:
             return
-        self._line.remove(entry)
-        self._outlook.record_dequeued(
+        self._queue.remove(entry)
+        self._estimator.record_dequeued(
             entry.item.call, is_served=False, now=_now()
         )
 
-    def _make_room(self, now: float) -> None:
-        for entry in self._line.urgent():
+    def _preempt_for_urgent(self, now: float) -> None:
+        for entry in self._queue.urgent():
             waited = now - entry.item.enqueued_at
             if (
                 entry.item.has_preempted
@@ -257,14 +257,16 @@
         if self._timer is not None or not (self.queued or self._running):
             return
         loop = asyncio.get_running_loop()
-        delay = _TICK_SECONDS if self.queued else _SWEEP_SECONDS
-        self._timer = loop.call_later(delay, self._tick)
+        delay = (
+            _ADMIT_INTERVAL_SECONDS if self.queued else _MOVE_INTERVAL_SECONDS
+        )
+        self._timer = loop.call_later(delay, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         now = _now()
-        if now >= self._swept_at + _SWEEP_SECONDS:
-            self._swept_at = now
+        if now >= self._last_move_check_at + _MOVE_INTERVAL_SECONDS:
+            self._last_move_check_at = now
             self._running.move_late_streams(now)
         self.wake()
 
--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -1,8 +1,7 @@
-"""Find room for a call at the targets of a service.
+"""Allocate slots at the targets of a service to calls.
 
-A call waits in the entry, where fairness, priority and deadline count, and
-not in the engine's queue, where they don't.  So room is what keeps an
-engine's batch full and its queue short.
+Targets get enough calls to fill their batch.  The others wait in the entry,
+whose queue knows fairness, priority and deadlines, unlike the engine's.
 """
 
 from __future__ import annotations
@@ -16,35 +15,35 @@
 from tamarackthread.policy import calls, migration, refusals, routing
 from tamarackthread.policy import load as target_load
 
-_STEADY_FACTOR = 1.5
+_SLOW_STEP_FACTOR = 1.5
 
 
 @attrs.define(slots=True, eq=False)
 class Placement:
-    """A call's place at a target until it is released."""
+    """A call's slot at a target, held until released."""
 
     target: routing.TargetView
     flight: target_load.Flight
 
     def advance(self, progress: migration.Progress, now: float) -> None:
-        """Note that more of the stream came."""
+        """Record the progress of the stream."""
         self.target.load.first_token(self.flight, now)
         self.target.load.paced(progress.pace, now)
 
     def release(self, now: float) -> None:
-        """Give the place back; a second time changes nothing."""
+        """Free the slot; idempotent."""
         self.target.load.finished(self.flight, now)
 
 
 class Allocator(abc.ABC):
-    """Place calls while there is room."""
+    """Allocate capacity to calls."""
 
     @abc.abstractmethod
     def allocate(self, call: calls.CallFacts, now: float) -> Placement | None:
-        """Place a call, or return ``None`` while there is no room.
+        """Place a call, or return ``None`` while there is no capacity.
 
-        Raises ``NoTarget`` when no target takes calls and
-        ``DeadlineTooClose`` when none could answer in time.
+        Raises ``NoTarget`` if no target takes calls and ``DeadlineTooClose``
+        if none could answer in time.
         """
 
     @abc.abstractmethod
@@ -53,28 +52,27 @@
         waiting: collections.abc.Sequence[calls.CallFacts],
         now: float,
     ) -> int:
-        """Return which of some calls fits the free room best, 0 if in doubt."""
+        """Return the index of the call that best fits the free targets."""
 
     @abc.abstractmethod
     def service_rate(self, now: float) -> float:
-        """Estimate how many calls a second this entry may place."""
+        """Estimate how many calls this entry may place a second."""
 
     @abc.abstractmethod
     def first_token_seconds(self, call: calls.CallFacts, now: float) -> float:
-        """Estimate the time from placing the call to its first token."""
+        """Estimate the seconds from placing the call to its first token."""
 
     @abc.abstractmethod
     def answer_seconds(self, call: calls.CallFacts, now: float) -> float:
-        """Estimate the time from placing the call to its last token."""
+        """Estimate the seconds from placing the call to its last token."""
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class AllocatorSettings:
-    """Hold how full targets are kept.
+    """Configure the slots of each target that are for urgent calls.
 
-    ``reserved_share`` of each target's slots, rounded up, is kept free of
-    work that isn't urgent, and ``urgent_extra`` calls more than it has slots may be urgent: the
-    engine's own priorities put them first.
+    ``reserved_share`` of the slots, rounded up, is closed to other calls;
+    ``urgent_extra`` urgent calls may exceed the slots.
     """
 
     reserved_share: float = 0
@@ -89,7 +87,7 @@
         policy: routing.RoutingPolicy,
         settings: AllocatorSettings | None = None,
     ) -> None:
-        """Start without targets."""
+        """Start without targets; ``policy`` chooses among the free ones."""
         self._policy = policy
         self._settings = settings or AllocatorSettings()
         self._targets: list[routing.TargetView] = []
@@ -107,23 +105,23 @@
         self._targets = list(targets)
 
     def allocate(self, call: calls.CallFacts, now: float) -> Placement | None:
-        """Place a call at one of the targets that have room."""
+        """Place a call at one of the targets with free slots."""
         usable = routing.usable_targets(call, self._targets)
         if not usable:
             raise refusals.NoTarget(retry_after=1)
-        roomy = self._roomy(call, usable, now)
-        if not roomy:
+        free = self._with_free_slots(call, usable, now)
+        if not free:
             return None
-        timely = _timely(call, roomy, now)
-        if not timely:
-            # A slow target is often the only one with room.  Refusing for it
-            # would turn away calls that the others can answer in a moment.
-            if _timely(call, usable, now):
+        in_time = _meeting_deadline(call, free, now)
+        if not in_time:
+            # A slow target is often the only free one.  The call waits if
+            # a busy one could still answer in time.
+            if _meeting_deadline(call, usable, now):
                 return None
             raise refusals.DeadlineTooClose()
         if call.is_ahead:
-            timely = self._steady(timely)
-        view = self._policy.choose(call, timely, now)
+            in_time = self._prefer_healthy(in_time)
+        view = self._policy.choose(call, in_time, now)
         if view is None:
             return None
         cached = view.prefixes.cached_tokens(call.prefixes)
@@ -136,19 +134,19 @@
         waiting: collections.abc.Sequence[calls.CallFacts],
         now: float,
     ) -> int:
-        """Return the call with the largest part of its prompt cached."""
+        """Return the index of the call with most of its prompt cached."""
         usable = routing.usable_targets(waiting[0], self._targets)
-        roomy = self._roomy(waiting[0], usable, now)
+        free = self._with_free_slots(waiting[0], usable, now)
         best = 0
-        most: float = 0
+        highest: float = 0
         for index, call in enumerate(waiting):
-            part = _cached_part(call, roomy)
-            if part > most:
-                best, most = index, part
+            part = _cached_fraction(call, free)
+            if part > highest:
+                best, highest = index, part
         return best
 
     def service_rate(self, now: float) -> float:
-        """Estimate from the slots and how long own calls hold one."""
+        """Estimate from the slots and the hold time of own calls."""
         total: float = 0
         for view in self._targets:
             if view.load.takes_calls:
@@ -156,29 +154,29 @@
         return total
 
     def first_token_seconds(self, call: calls.CallFacts, now: float) -> float:
-        """Estimate for a median target, were a slot free."""
-        return self._steps(call.prompt_tokens)
+        """Estimate for a free slot at a median target."""
+        return self._prefill_seconds(call.prompt_tokens)
 
     def answer_seconds(self, call: calls.CallFacts, now: float) -> float:
-        """Estimate for a median target, were a slot free."""
+        """Estimate for a free slot at a median target."""
         steps = call.answer_tokens * self._median_step()
-        return self._steps(call.prompt_tokens) + steps
+        return self._prefill_seconds(call.prompt_tokens) + steps
 
-    def _roomy(
+    def _with_free_slots(
         self,
         call: calls.CallFacts,
         usable: list[routing.TargetView],
         now: float,
     ) -> list[routing.TargetView]:
-        roomy = []
+        free = []
         for view in usable:
-            if _is_over_share(view):
+            if _is_over_ramp_limit(view):
                 continue
-            if view.load.has_room(now, self._reserve(call, view)):
-                roomy.append(view)
-        return roomy
+            if view.load.has_room(now, self._reserved_slots(call, view)):
+                free.append(view)
+        return free
 
-    def _reserve(
+    def _reserved_slots(
         self,
         call: calls.CallFacts,
         view: routing.TargetView,
@@ -187,50 +185,48 @@
             return -self._settings.urgent_extra
         return math.ceil(self._settings.reserved_share * view.load.slots)
 
-    def _steady(
+    def _prefer_healthy(
         self,
         views: list[routing.TargetView],
     ) -> list[routing.TargetView]:
-        """Spare urgent calls a target on its return, or one that slows down.
+        """Prefer targets that are neither slow nor ramping up, if any.
 
-        It may still answer in time by its last figures, but a target that
-        stalls gets worse before a report says so.
+        A stalling target slows down further before its reports show it.
         """
-        limit = _STEADY_FACTOR * self._median_step()
-        steady = []
+        limit = _SLOW_STEP_FACTOR * self._median_step()
+        healthy = []
         for view in views:
             if view.share >= 1 and view.load.step_seconds <= limit:
-                steady.append(view)
-        return steady or views
+                healthy.append(view)
+        return healthy or views
 
     def _median_step(self) -> float:
         steps = sorted(view.load.step_seconds for view in self._targets)
         return steps[(len(steps) - 1) // 2] if steps else 0
 
-    def _steps(self, tokens: int) -> float:
+    def _prefill_seconds(self, tokens: int) -> float:
         if not self._targets:
             return 0
         chunk = self._targets[0].load.chunk_tokens
         return self._median_step() * (1 + tokens / chunk)
 
 
-def _cached_part(
+def _cached_fraction(
     call: calls.CallFacts,
     views: list[routing.TargetView],
 ) -> float:
     if not call.prompt_tokens:
         return 0
-    most: float = 0
+    highest: float = 0
     for view in views:
-        most = max(most, view.prefixes.cached_tokens(call.prefixes))
-    return most / call.prompt_tokens
+        highest = max(highest, view.prefixes.cached_tokens(call.prefixes))
+    return highest / call.prompt_tokens
 
 
-def _is_over_share(view: routing.TargetView) -> bool:
-    """Tell whether a target on its return has all that it should get.
+def _is_over_ramp_limit(view: routing.TargetView) -> bool:
+    """Tell whether a target that ramps up after ejection has its full share.
 
-    Sampling alone would not hold calls back: in a full service the returning
-    target is the only one with room.
+    Weighted sampling doesn't limit it while it is the only free target.
     """
     if view.share >= 1:
         return False
@@ -238,29 +234,29 @@
 
 
 def _is_probe(call: calls.CallFacts, view: routing.TargetView) -> bool:
-    """Tell whether a call may find out how a returning target does.
+    """Tell whether a call probes an idle target that ramps up.
 
-    An idle target reports its last step, which was slow; taken at its word it
-    would never get a call again and never show that it has recovered.
+    An idle target still reports its last, slow step time; without a probe it
+    would never show that it has recovered.
     """
     if view.share >= 1 or call.priority == calls.Priority.URGENT:
         return False
     return not view.load.own_calls and not view.load.last_report.running
 
 
-def _timely(
+def _meeting_deadline(
     call: calls.CallFacts,
     views: list[routing.TargetView],
     now: float,
 ) -> list[routing.TargetView]:
-    timely = []
+    in_time = []
     for view in views:
         if _is_probe(call, view):
-            timely.append(view)
+            in_time.append(view)
             continue
         cached = view.prefixes.cached_tokens(call.prefixes)
         uncached = max(0, call.prompt_tokens - cached)
         answer = view.load.expected_answer(uncached, call.answer_tokens, now)
         if now + answer <= call.deadline:
-            timely.append(view)
-    return timely
+            in_time.append(view)
+    return in_time
--- a/tamarackthread/policy/call_queue.py
+++ b/tamarackthread/policy/call_queue.py
@@ -1,4 +1,4 @@
-"""Keep the calls that wait for a place, the urgent ones first."""
+"""Queue the calls that wait for admission, urgent ones first."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @attrs.define(slots=True, eq=False)
 class QueuedCall:
-    """A call in the queue.
+    """A queued call; times are the loop's seconds.
 
-    ``granted`` gets the ticket or the refusal.  After ``latest_start``
-    starting it would be too late.  Times are the loop's seconds.
+    ``granted`` gets the ticket or the refusal.  The call's wait budget ends
+    at ``latest_start``.
     """
 
     call: calls.CallFacts
@@ -29,15 +29,14 @@
 
 
 class CallQueue:
-    """One fair queue for urgent calls and one for all others behind it.
+    """A fair queue of urgent calls and, served after it, one of all others.
 
-    Urgent calls are few and are served strictly first.  The other calls of an
-    organisation share its place, the normal ones before the background ones,
-    so that nobody gains by calling work background.
+    Normal and background calls of an organisation share one flow, normal
+    ones first, so that marking calls as background gains no extra share.
     """
 
     def __init__(self, shares: fairness.Shares, credit: float) -> None:
-        """Start empty; ``credit`` is what an organisation may catch up."""
+        """Start empty; ``credit`` is the cost each flow may catch up."""
         self._shares = shares
         self._urgent: fairness.FairQueue[QueuedCall] = fairness.FairQueue(
             credit
@@ -45,11 +44,11 @@
         self._other: fairness.FairQueue[QueuedCall] = fairness.FairQueue(credit)
 
     def __len__(self) -> int:
-        """Count the waiting calls."""
+        """Count the queued calls."""
         return len(self._urgent) + len(self._other)
 
     def push(self, waiting: QueuedCall) -> QueueEntry:
-        """Let a call wait behind its organisation's calls of its priority."""
+        """Queue a call behind those of its organisation and priority."""
         call = waiting.call
         entry = fairness.Entry(
             item=waiting,
@@ -62,7 +61,7 @@
         return entry
 
     def head(self) -> QueueEntry | None:
-        """Return the call that goes next."""
+        """Return the next call without removing it."""
         return self._urgent.head() or self._other.head()
 
     def first(self, count: int) -> list[QueueEntry]:
@@ -70,15 +69,15 @@
         return self._urgent.first(count) or self._other.first(count)
 
     def dequeue(self, entry: QueueEntry) -> None:
-        """Take out a call that is served."""
+        """Remove a call that is served and charge its flow."""
         self._queue(entry.item.call).dequeue(entry)
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take out a call that isn't served; a second time changes nothing."""
+        """Remove a call that isn't served; idempotent."""
         self._queue(entry.item.call).remove(entry)
 
     def entries(self) -> list[QueueEntry]:
-        """List the calls in the order in which they'd be served."""
+        """List the calls in the order of service."""
         return self.urgent() + self._other.first(len(self._other))
 
     def urgent(self) -> list[QueueEntry]:
@@ -86,7 +85,7 @@
         return self._urgent.first(len(self._urgent))
 
     def cost_ahead(self, call: calls.CallFacts) -> float:
-        """Return the cost that is served before a new call like this."""
+        """Return the cost served before this call if queued now."""
         own = self._queue(call).cost_ahead(
             call.organisation,
             self._shares.weight(call.organisation),
@@ -101,11 +100,11 @@
         return self._queue(call).rank_cost(call.organisation, call.priority)
 
     def organisation_length(self, call: calls.CallFacts) -> int:
-        """Count the waiting calls of the same organisation."""
+        """Count the queued calls of the same organisation."""
         return self._queue(call).flow_length(call.organisation)
 
     def share(self, call: calls.CallFacts) -> float:
-        """Return the call's part, from 0 to 1, of what its queue is served."""
+        """Return the share, from 0 to 1, of its queue's service rate."""
         weight = self._shares.weight(call.organisation)
         return self._queue(call).share(call.organisation, weight)
 
--- a/tamarackthread/policy/overload.py
+++ b/tamarackthread/policy/overload.py
@@ -1,7 +1,7 @@
-"""Notice that this process has more to do than it can, and refuse early.
+"""Shed load while the event loop of this process lags.
 
-A loop that runs late delays heartbeats, refusals and streams alike.  Its lag
-is the one measure that covers every cause.
+The lag covers every cause of overload and delays heartbeats, refusals and
+streams alike.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class OverloadSettings:
-    """Hold the limits, times in seconds.
+    """Hold the limits; times are in seconds.
 
-    Work that isn't urgent is refused above ``most_lag``, urgent work above
-    ``most_urgent_lag`` or when ``most_calls`` are open at once.
+    Calls are refused above ``most_lag`` or at ``most_calls`` open calls,
+    urgent ones above ``most_urgent_lag`` or ``urgent_calls`` more.
     """
 
     period: float = 0.05
@@ -31,7 +31,7 @@
 
 
 class LagMeter:
-    """Measure how late the event loop runs what was due."""
+    """Measure how late the event loop runs its timers."""
 
     def __init__(self, settings: OverloadSettings | None = None) -> None:
         """Start with no lag measured."""
@@ -57,10 +57,9 @@
         self._due_at = due_at
 
     def observe(self, now: float) -> None:
-        """Take a measurement.
+        """Take a measurement; a rise counts at once, a fall is smoothed.
 
-        A rise counts at once and a fall is smoothed: refusing for a moment
-        too long costs little, a loop that falls behind costs every call.
+        Shedding a little too long costs less than an overloaded loop.
         """
         if self._due_at is None:
             return
@@ -71,26 +70,26 @@
         self._lag += (late - self._lag) * self._settings.smoothing
 
     def current(self, now: float) -> float:
-        """Return the lag, counting a measurement that is overdue now."""
+        """Return the lag, including that of an overdue measurement."""
         if self._due_at is None:
             return self._lag
         return max(self._lag, now - self._due_at)
 
 
 class OverloadGuard:
-    """Refuse calls while this process can't keep up."""
+    """Refuse calls while this process is overloaded."""
 
     def __init__(
         self,
         meter: LagMeter,
         settings: OverloadSettings | None = None,
     ) -> None:
-        """Judge by the lag that ``meter`` measures."""
+        """Decide by the lag that ``meter`` measures."""
         self._meter = meter
         self._settings = settings or OverloadSettings()
 
     def check(self, call: calls.CallFacts, open_calls: int, now: float) -> None:
-        """Raise ``EntryOverloaded`` when the call should go elsewhere."""
+        """Raise ``EntryOverloaded`` if the call is to be shed."""
         settings = self._settings
         most_lag = settings.most_lag
         most_calls = settings.most_calls
