--- a/tamarackthread/policy/outages.py
+++ b/tamarackthread/policy/outages.py
@@ -1,48 +1,47 @@
-"""Tell from refusals that a group makes no passes.
+"""Detect that a whole group has stopped, which one lost rank can cause.
 
-Answers the load in which a rank is lost and with it the passes of its whole group:
-every rank refuses each call at once, for seconds.  Callers who are told to come back
-as soon as from a full target are refused again and have used up their tries.
+Its ranks then refuse every call, so callers need a longer retry time than
+from a full target.
 """
 
 from __future__ import annotations
 
-# Ranks of a group that makes passes send something to some call more often than this;
-# after so long without it, refusals mean that there are none.
+# Longest time without output of a running group.
 NO_OUTPUT_SECONDS = 0.4
-# Refusals that lie further apart are not of one moment.
+# Refusals further apart than this don't count together.
 REFUSAL_WINDOW_SECONDS = 1.0
-# One target may refuse since it is full.
+# A single refusing target may just be full.
 MIN_REFUSING_TARGETS = 2
 
 
 class OutageDetector:
-    """Know whether a group is closed, as one entry sees it."""
+    """Tell whether a group is down, as seen by one entry."""
 
     def __init__(self) -> None:
-        """Begin with a group that is open."""
-        self._refused: set[str] = set()
-        self._refused_at: float = 0
-        self._heard_at: float | None = None
+        """Start with a group that is up."""
+        self._refusing_targets: set[str] = set()
+        self._last_refusal_at: float = 0
+        self._last_output_at: float | None = None
 
     def record_output(self, now: float) -> None:
-        """Note that a target has sent a piece of an answer."""
-        self._heard_at = now
-        self._refused.clear()
+        """Record that a target has sent part of an answer."""
+        self._last_output_at = now
+        self._refusing_targets.clear()
 
     def record_refusal(self, target: str, now: float) -> None:
-        """Note that a target has refused a call unrun."""
-        if now - self._refused_at > REFUSAL_WINDOW_SECONDS:
-            self._refused.clear()
-        self._refused.add(target)
-        self._refused_at = now
+        """Record that a target has refused a call without running it."""
+        if now - self._last_refusal_at > REFUSAL_WINDOW_SECONDS:
+            self._refusing_targets.clear()
+        self._refusing_targets.add(target)
+        self._last_refusal_at = now
 
     def is_down(self, now: float) -> bool:
-        """Tell whether nothing but refusals has come of late."""
-        if len(self._refused) < MIN_REFUSING_TARGETS:
+        """Tell whether there were only refusals lately."""
+        if len(self._refusing_targets) < MIN_REFUSING_TARGETS:
             return False
-        if now - self._refused_at > REFUSAL_WINDOW_SECONDS:
+        if now - self._last_refusal_at > REFUSAL_WINDOW_SECONDS:
             return False
         return (
-            self._heard_at is None or now - self._heard_at > NO_OUTPUT_SECONDS
+            self._last_output_at is None
+            or now - self._last_output_at > NO_OUTPUT_SECONDS
         )
--- a/tamarackthread/policy/wait_estimator.py
+++ b/tamarackthread/policy/wait_estimator.py
@@ -1,4 +1,4 @@
-"""Estimate how long a call will wait, and when a refused one may return."""
+"""Estimate how long a call waits and when a refused one may retry."""
 
 from __future__ import annotations
 
@@ -6,113 +6,111 @@
 
 from tamarackthread.policy import allocator, call_queue, calls, queue_rates
 
-_LEAST_RATE = 0.1
-_MOST_FLOWS = 4096
-_LEAST_SPARE = 0.3
+_MIN_RATE = 0.1
+_MAX_FLOWS = 4096
+_MIN_SPARE_SHARE = 0.3
 
 
 class WaitEstimator:
-    """Judge the queue of one service by how fast it drains."""
+    """Estimate waits and retry times from the drain rate of a queue."""
 
     def __init__(
         self,
-        place: allocator.Allocator,
-        line: call_queue.CallQueue,
+        capacity: allocator.Allocator,
+        queue: call_queue.CallQueue,
         generator: random.Random,
     ) -> None:
-        """Watch ``line``, which drains into ``place``."""
-        self._room = place
-        self._line = line
-        self._retry_times = queue_rates.RetrySchedule(generator)
-        self._meter = queue_rates.DrainMeter()
-        self._flows: dict[str, queue_rates.DrainMeter] = {}
-        self._asked: dict[str, queue_rates.ArrivalMeter] = {}
+        """Watch ``queue``, which drains into ``capacity``."""
+        self._allocator = capacity
+        self._queue = queue
+        self._retry_schedule = queue_rates.RetrySchedule(generator)
+        self._total_meter = queue_rates.DrainMeter()
+        self._flow_meters: dict[str, queue_rates.DrainMeter] = {}
+        self._arrival_meters: dict[str, queue_rates.ArrivalMeter] = {}
         self._mean_cost: float = 1
 
     def record_request(self, call: calls.CallFacts, now: float) -> None:
-        """Note a call before it's known whether it may wait."""
-        meter = self._asked.get(call.organisation)
+        """Count an arriving call, admitted or not."""
+        meter = self._arrival_meters.get(call.organisation)
         if meter is None:
-            self._tidy(now)
+            self._evict_idle(now)
             meter = queue_rates.ArrivalMeter()
-            self._asked[call.organisation] = meter
+            self._arrival_meters[call.organisation] = meter
         meter.add(call.cost, now)
 
     def record_enqueued(self, call: calls.CallFacts, now: float) -> None:
-        """Note a call that now waits in the line."""
+        """Count a call that was queued."""
         self._mean_cost += (call.cost - self._mean_cost) / 64
-        if _flow(call) not in self._flows:
-            self._tidy(now)
-            self._flows[_flow(call)] = queue_rates.DrainMeter()
-        self._flows[_flow(call)].observe(True, now)
-        self._meter.observe(True, now)
+        if _flow_key(call) not in self._flow_meters:
+            self._evict_idle(now)
+            self._flow_meters[_flow_key(call)] = queue_rates.DrainMeter()
+        self._flow_meters[_flow_key(call)].observe(True, now)
+        self._total_meter.observe(True, now)
 
     def record_dequeued(
         self, call: calls.CallFacts, is_served: bool, now: float
     ) -> None:
-        """Note a call that left the line.
+        """Count a call that left the queue.
 
-        A call that was served without any wait doesn't count as served: a
-        burst into free slots says nothing about how fast a queue drains.
+        Pass ``is_served`` only for calls that waited: a burst into free slots
+        doesn't show how fast the queue drains.
         """
-        flow = self._flows.get(_flow(call))
+        flow = self._flow_meters.get(_flow_key(call))
         if flow is not None:
             flow.record_served(call.cost if is_served else 0)
-            flow.observe(self._line.flow_cost(call) > 0, now)
-        self._meter.record_served(call.cost if is_served else 0)
-        self._meter.observe(len(self._line) > 0, now)
+            flow.observe(self._queue.flow_cost(call) > 0, now)
+        self._total_meter.record_served(call.cost if is_served else 0)
+        self._total_meter.observe(len(self._queue) > 0, now)
 
     def drain_rate(self, now: float) -> float:
-        """Return the cost a second that the whole line drains."""
-        prior = max(1, self._room.service_rate(now)) * self._mean_cost
-        return max(_LEAST_RATE, self._meter.rate(prior, now))
+        """Return the cost a second at which the whole queue drains."""
+        prior = max(1, self._allocator.service_rate(now)) * self._mean_cost
+        return max(_MIN_RATE, self._total_meter.rate(prior, now))
 
     def expected_wait(self, call: calls.CallFacts, now: float) -> float:
-        """Return seconds until a new call like this would be served.
+        """Return the seconds until this call would be served if queued now.
 
-        Two estimates count: the fair order of what waits now, and how fast
-        the organisation's calls of this priority were served lately.  The
-        first knows nothing of calls still to come, which pass a background
-        call again and again until it would have to be refused late.
+        The larger of two estimates: from the calls queued ahead, and from the
+        flow's measured drain rate, which shows later arrivals that overtake.
         """
         rate = self.drain_rate(now)
-        wait = self._line.cost_ahead(call) / rate
-        flow = self._flows.get(_flow(call))
+        wait = self._queue.cost_ahead(call) / rate
+        flow = self._flow_meters.get(_flow_key(call))
         if flow is None:
             return wait
-        own = self._line.flow_cost(call)
+        own = self._queue.flow_cost(call)
         if call.priority == calls.Priority.BACKGROUND:
             own += call.cost
-        prior = rate * self._line.share(call)
-        return max(wait, own / max(_LEAST_RATE, flow.rate(prior, now)))
+        prior = rate * self._queue.share(call)
+        return max(wait, own / max(_MIN_RATE, flow.rate(prior, now)))
 
     def retry_after(self, call: calls.CallFacts, now: float) -> float:
-        """Return seconds after which a refused call will find room.
+        """Return the seconds after which to retry a refused call.
 
-        What new calls of the organisation use of its share isn't there for
-        those that come back.  Some always is: the wave may end any moment.
+        Retries get the part of the organisation's share that its new calls
+        leave, and at least ``_MIN_SPARE_SHARE``.
         """
-        share = self.drain_rate(now) * self._line.share(call)
-        asked = self._asked.get(call.organisation)
-        used = asked.rate(now) if asked else 0
-        return self._retry_times.reserve(
+        share = self.drain_rate(now) * self._queue.share(call)
+        arrivals = self._arrival_meters.get(call.organisation)
+        used = arrivals.rate(now) if arrivals else 0
+        return self._retry_schedule.reserve(
             call.organisation,
             call.cost,
-            max(_LEAST_SPARE * share, share - used),
+            max(_MIN_SPARE_SHARE * share, share - used),
             self.expected_wait(call, now),
             now,
         )
 
-    def _tidy(self, now: float) -> None:
-        if len(self._flows) + len(self._asked) < _MOST_FLOWS:
+    def _evict_idle(self, now: float) -> None:
+        if len(self._flow_meters) + len(self._arrival_meters) < _MAX_FLOWS:
             return
-        for organisation in list(self._asked):
-            if self._asked[organisation].rate(now) < _LEAST_RATE:
-                self._asked.pop(organisation)
-        for flow in list(self._flows):
-            if self._flows[flow].is_idle(now):
-                self._flows.pop(flow)
+        for organisation in list(self._arrival_meters):
+            if self._arrival_meters[organisation].rate(now) < _MIN_RATE:
+                self._arrival_meters.pop(organisation)
+        for flow in list(self._flow_meters):
+            if self._flow_meters[flow].is_idle(now):
+                self._flow_meters.pop(flow)
 
 
-def _flow(call: calls.CallFacts) -> str:
+def _flow_key(call: calls.CallFacts) -> str:
     return f'{call.organisation}/{call.priority:d}'
