--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -100,19 +100,21 @@
     @property
     def is_closed(self) -> bool:
         """Tell whether targets have recently only refused calls."""
-        return self._group_state.is_closed(asyncio.get_running_loop().time())
+        return self._group_state.is_down(asyncio.get_running_loop().time())
 
     def note_piece(self) -> None:
         """Record that a target has sent a piece of an answer."""
-        self._group_state.heard(asyncio.get_running_loop().time())
+        self._group_state.record_output(asyncio.get_running_loop().time())
 
     def note_refusal(self, target: str) -> None:
         """Record that a target has refused a call without running it."""
-        self._group_state.refused(target, asyncio.get_running_loop().time())
+        self._group_state.record_refusal(
+            target, asyncio.get_running_loop().time()
+        )
 
     def note_gap(self, seconds: float) -> None:
         """Record the time between two pieces of an answer, in seconds."""
-        self._limit.note(seconds, asyncio.get_running_loop().time())
+        self._limit.record_pass(seconds, asyncio.get_running_loop().time())
 
     def refill(self) -> None:
         """Reset this entry's quota of free slots after an exchange."""
@@ -136,7 +138,7 @@
 
     def _free_slots_of(self, load: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
-        return self._limit.most(load, now) - load.calls
+        return self._limit.max_calls(load, now) - load.calls
 
     def _take_slot(self) -> bool:
         if math.isinf(self._free_slots()):
@@ -149,7 +151,7 @@
     def _grant(self) -> None:
         """Admit calls while slots are free, first those that can be in time."""
         now = asyncio.get_running_loop().time()
-        lead = PASSES_TO_FIRST_PIECE * self._limit.usual(now)
+        lead = PASSES_TO_FIRST_PIECE * self._limit.median_pass(now)
         waiters = [
             waiter for waiter in self._waiting if not waiter.granted.done()
         ]
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -82,16 +82,18 @@
 
     def is_eligible(self, target: instances.TargetInstance, now: float) -> bool:
         """Tell whether a target may get a call now."""
-        if not self.is_in_service(target) or not target.cooldown.may_take(now):
+        if not self.is_in_service(target) or not target.cooldown.allows_call(
+            now
+        ):
             return False
         if not self._is_within_limit(target, now):
             return False
         if self._cold_limits is None or not target.is_cold(now):
             return True
-        max_calls = self._cold_limits.calls(
+        max_calls = self._cold_limits.max_calls(
             target.announcement.service, target.name
         )
-        recent = target.sent.lately(now, cold_start.SPAN_SECONDS)
+        recent = target.sent.count_within(now, cold_start.WINDOW_SECONDS)
         return max_calls is None or recent < max_calls
 
     def set_demand(
@@ -112,7 +114,7 @@
         self, target: instances.TargetInstance, now: float
     ) -> bool:
         """Tell whether the slots of a target count as capacity."""
-        if not self.is_in_service(target) or target.cooldown.left(now):
+        if not self.is_in_service(target) or target.cooldown.remaining(now):
             return False
         return self.is_group_open(target) and self._is_within_limit(target, now)
 
@@ -125,7 +127,7 @@
         if self._is_evacuated(target):
             return False
         is_over = now - target.draining_since >= DRAINING_GRACE_SECONDS
-        if is_over or not target.cooldown.may_take(now):
+        if is_over or not target.cooldown.allows_call(now):
             return False
         return self._is_within_limit(target, now)
 
@@ -144,7 +146,7 @@
                 self._entries.count(),
                 self._entries.position(target.name),
             )
-        return target.limit.may_take(target.sent, share, now)
+        return target.limit.allows(target.sent, share, now)
 
     def _is_evacuated(self, target: instances.TargetInstance) -> bool:
         return self._zones.is_evacuated(target.announcement.zone)
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -84,7 +84,7 @@
             return
         self._tables.put(routing_table.RoutingTable(parsed))
         self._admission.learn(parsed)
-        self._cold_limits.learn(
+        self._cold_limits.set_rates(
             {one.name: one.cold_rate for one in parsed.services}
         )
         figures.VERSION.set(stored.version)
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -92,8 +92,8 @@
     def begin_call(self, now: float) -> None:
         """Count a call that is sent to the target."""
         self.own_calls += 1
-        self.sent.note(now)
-        self.cooldown.sent(now)
+        self.sent.record(now)
+        self.cooldown.record_sent(now)
 
     def apply_backpressure(
         self,
@@ -104,18 +104,18 @@
     ) -> None:
         """Apply a response's backpressure; ``is_taken`` unless it refused."""
         self.last_backpressure = requested
-        self.limit.hear(requested.rate, now)
+        self.limit.update(requested.rate, now)
         if requested.is_leaving:
             self.draining_since = self.draining_since or now
         if requested.rest:
-            self.cooldown.ask(requested.rest, now)
+            self.cooldown.start(requested.rest, now)
         elif is_taken:
-            self.cooldown.taken(now)
+            self.cooldown.record_accepted(now)
 
     def active_backpressure(self, now: float) -> list[str]:
         """Name the kinds of backpressure in effect, for logs and metrics."""
         kinds = {
-            'rest': self.cooldown.left(now) > 0,
+            'rest': self.cooldown.remaining(now) > 0,
             'limit': self.limit.rate is not None,
             'no calls': self.draining_since > 0,
         }
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -45,7 +45,7 @@
 
     def may_repeat(self, call: calls.Call) -> bool:
         """Tell whether this entry may retry a call."""
-        return self._verdict(call) is poison_calls.Verdict.FREE
+        return self._verdict(call) is poison_calls.Verdict.ALLOWED
 
     def note_failure(
         self,
@@ -59,7 +59,7 @@
             return
         now = asyncio.get_running_loop().time()
         instance = f'{target.name}/{target.announcement.born}'
-        self._suspects.lost(fingerprint(call), instance, now)
+        self._suspects.record_crash(fingerprint(call), instance, now)
         figures.CALLS_SUSPECTED.labels('lost').inc()
         self._log_suspect(call, 'lost')
 
@@ -67,7 +67,7 @@
         """Record that a target has answered a call."""
         if self._suspects:
             now = asyncio.get_running_loop().time()
-            self._suspects.answered(fingerprint(call), now)
+            self._suspects.record_answer(fingerprint(call), now)
 
     @property
     def serial(self) -> int:
@@ -77,7 +77,10 @@
     def own_rows(self) -> list[messages.SiteSuspect]:
         """List the suspects that this entry reports to the others."""
         now = asyncio.get_running_loop().time()
-        return [poison_calls.to_message(row) for row in self._suspects.own(now)]
+        return [
+            poison_calls.to_message(row)
+            for row in self._suspects.histories(now)
+        ]
 
     def set_shared_rows(
         self,
@@ -85,20 +88,20 @@
     ) -> None:
         """Replace the suspects reported by the other entries."""
         now = asyncio.get_running_loop().time()
-        self._suspects.share(
-            [poison_calls.of_message(row) for row in rows], now
+        self._suspects.merge(
+            [poison_calls.from_message(row) for row in rows], now
         )
 
     def _verdict(self, call: calls.Call) -> poison_calls.Verdict:
         if not self._suspects:
-            return poison_calls.Verdict.FREE
+            return poison_calls.Verdict.ALLOWED
         now = asyncio.get_running_loop().time()
         return self._suspects.verdict(fingerprint(call), now)
 
     def _log_suspect(self, call: calls.Call, verdict: str) -> None:
         mark = fingerprint(call)
         now = asyncio.get_running_loop().time()
-        losses = self._suspects.losses(mark, now)
+        losses = self._suspects.crash_count(mark, now)
         log_events.tell(
             _log,
             log_events.Event.SUSPECT,
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -246,7 +246,7 @@
         for target in self.of_service(service):
             if not self._eligibility.is_in_service(target):
                 continue
-            left = target.cooldown.left(now)
+            left = target.cooldown.remaining(now)
             if not left:
                 return 0
             shortest = min(shortest or left, left)
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -119,8 +119,8 @@
         )
         return backpressure.Backpressure(
             is_leaving=headers.get(wire.LEAVING) == _TRUE,
-            rest=backpressure.seconds(rest),
-            rate=backpressure.rate(headers.get(wire.RATE_LIMIT, '')),
+            rest=backpressure.parse_retry_after(rest),
+            rate=backpressure.parse_rate(headers.get(wire.RATE_LIMIT, '')),
         )
 
     def response_headers(
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -71,7 +71,7 @@
         super().__init__(GAP, EMPTY)
         self.allowed = most
 
-    def most(self, group_load, now):
+    def max_calls(self, group_load, now):
         return self.allowed
 
 
@@ -80,26 +80,28 @@
         """The limit follows from the pass time that each call adds."""
         limit = _limit_after(group_load(30), GAP)
         each = (GAP - EMPTY) / 30
-        max_pass = GAP * concurrency.USED_SHARE
+        max_pass = GAP * concurrency.GAP_SHARE
         self.assertAlmostEqual(
-            (max_pass - EMPTY) / each, limit.most(group_load(30), now=1)
+            (max_pass - EMPTY) / each, limit.max_calls(group_load(30), now=1)
         )
 
     def test_recently_admitted_calls(self):
         """Calls admitted during a pass don't raise the limit that it yields."""
         limit = _limit_after(group_load(20), 0.1)
-        before = limit.most(group_load(20), now=1)
-        self.assertEqual(before, limit.most(group_load(40), now=1.01))
+        before = limit.max_calls(group_load(20), now=1)
+        self.assertEqual(before, limit.max_calls(group_load(40), now=1.01))
 
     def test_even_ranks(self):
         """Short passes on full ranks: only the number of slots limits calls."""
-        most = _limit_after(group_load(50), 0.08).most(group_load(50), now=1)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _limit_after(group_load(50), 0.08).max_calls(
+            group_load(50), now=1
+        )
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_calls_queued_at_ranks(self):
         """Calls queued at a rank beyond its slots don't lengthen its passes."""
         full, waiting = (
-            _limit_after(group_load(call_count), GAP).most(
+            _limit_after(group_load(call_count), GAP).max_calls(
                 group_load(call_count), now=1
             )
             for call_count in (50, 90)
@@ -109,18 +111,20 @@
     def test_slow_rank(self):
         """If even empty passes are too long, there is no limit but slots."""
         slow = group_load(20, pace=8)
-        most = _limit_after(slow, 0.25).most(slow, now=1)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _limit_after(slow, 0.25).max_calls(slow, now=1)
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_old_passes(self):
         """Expired pass times don't limit calls."""
-        most = _limit_after(group_load(30), GAP).most(group_load(30), now=2)
-        self.assertEqual(50 * concurrency.FULL_SHARE, most)
+        most = _limit_after(group_load(30), GAP).max_calls(
+            group_load(30), now=2
+        )
+        self.assertEqual(50 * concurrency.OVERCOMMIT, most)
 
     def test_no_targets(self):
         """Without ready ranks there is no limit, so that calls are tried."""
         limit = concurrency.LatencyLimit(GAP, EMPTY)
-        self.assertTrue(math.isinf(limit.most(group_load(0, 0, 0), now=1)))
+        self.assertTrue(math.isinf(limit.max_calls(group_load(0, 0, 0), now=1)))
 
 
 class QueueCase(policy_case.PausedCase):
@@ -311,8 +315,8 @@
 def _limit_after(load, seconds):
     """Return a limit that has seen one pass of a group, up to now = 1."""
     limit = concurrency.LatencyLimit(GAP, EMPTY)
-    limit.most(load, now=1 - seconds)
-    limit.note(seconds, now=1)
+    limit.max_calls(load, now=1 - seconds)
+    limit.record_pass(seconds, now=1)
     return limit
 
 
@@ -367,7 +371,7 @@
             if opens:
                 queue.note_piece()
             else:
-                await asyncio.sleep(2 * outages.APART_SECONDS)
+                await asyncio.sleep(2 * outages.REFUSAL_WINDOW_SECONDS)
             self.assertFalse(queue.is_closed)
 
     async def _full(self):
