--- a/bench/fuzzing/files.py
+++ b/bench/fuzzing/files.py
@@ -149,7 +149,7 @@
     held = hard_state.HardState(files)
     await held.load(rng.randbytes(hard_state.DISK_ID_BYTES))
     held.advance(rng.randint(1, 1 << 40), 'control-1')
-    await held.settle()
+    await held.persist()
     before = files.files[hard_state.FILE]
     files.files[hard_state.FILE] = mutations.some(rng, before)
     again = hard_state.HardState(files)
