--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -7,15 +7,15 @@
 import attrs
 
 from tamarackthread.control import (
+    config_proposer,
     configuration,
-    entries,
+    entry_registry,
     feed_source,
     leadership,
     portion_allocator,
-    proposer,
     rollout_status,
+    target_documents,
 )
-from tamarackthread.control import target_documents as announcing
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, subtree
 from tamarackthread.shared import peers as dialling
@@ -32,9 +32,9 @@
     leading: leadership.Leadership
     origin: feed_source.ControlSource
     below: subtree.Subtree
-    propose: proposer.Proposer
-    targets: announcing.TargetDocuments
-    entry_list: entries.Entries
+    propose: config_proposer.ConfigProposer
+    targets: target_documents.TargetDocuments
+    entry_list: entry_registry.EntryRegistry
     links: dialling.Peers
     own_node: str
 
@@ -45,7 +45,7 @@
     def __init__(self, parts: Dependencies) -> None:
         """Hold soft state anew for each term that this host leads."""
         self._parts = parts
-        self._keeper = parts.propose.keeper(parts.machine)
+        self._keeper = parts.propose.lease_manager(parts.machine)
         self._portioning = portion_allocator.PortionAllocator(parts.machine)
         parts.leading.on_lead(self._keeper.begin_term)
         parts.leading.on_lead(self._portioning.restart)
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -58,7 +58,7 @@
     election_max=1.2,
     drift=0.15,
     append_timeout=1.5,
-    stall=0.6,
+    stall_timeout=0.6,
     segment_bytes=1 << 20,
     # A host that starts alone can only use its snapshot.  With every change in
     # it, entries get a configuration before a leader is elected.
@@ -66,12 +66,12 @@
     snapshot_bytes=2 << 20,
     trailing_entries=50,
     reserve_bytes=4 << 20,
-    handover=1.5,
+    handover_timeout=1.5,
     is_lease_trusted=False,
 )
 # Spread of election timeouts where elections are hurried; candidates that start
 # within 10 ms of each other split the vote.
-HURRY_SECONDS = 0.12
+SHORT_ELECTION_SECONDS = 0.12
 _log = logging.getLogger('tamarackthread.control')
 
 
@@ -141,7 +141,7 @@
         directory = site_directory.SiteDirectory(self._machine, reader)
         self._directory = directory
         self._targets = target_file.TargetFile(
-            disk.FolderDisk(self._folder.of_group(TARGETS_FOLDER))
+            disk.FolderDisk(self._folder.group_path(TARGETS_FOLDER))
         )
         self._follower = following.Follower(
             self._site, self._links, directory, self._address
@@ -219,7 +219,7 @@
             group=GROUP,
             node=self._node,
             machine=self._machine,
-            disk=disk.FolderDisk(self._folder.of_group(GROUP)),
+            disk=disk.FolderDisk(self._folder.group_path(GROUP)),
             transport=transport.LinkTransport(self._links),
             members=self._founders(),
             timing=group_timing(self._site),
@@ -296,8 +296,10 @@
     """Return the group's timing; with fencing, elections may be hurried."""
     return attrs.evolve(
         TIMES,
-        voters_least=2 * site.lost_hosts + 1,
-        hurry=HURRY_SECONDS if site.engines_check_fences else 0,
+        min_voters=2 * site.lost_hosts + 1,
+        short_election_max=SHORT_ELECTION_SECONDS
+        if site.engines_check_fences
+        else 0,
     )
 
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -5,9 +5,9 @@
 import unittest
 
 from tamarackthread.control import (
+    config_proposer,
     feed_source,
     leadership,
-    proposer,
     rollout_status,
     target_documents,
 )
@@ -37,7 +37,7 @@
     def __init__(self):
         self.log = test_configuration.Log()
         self.group = Group(self.log)
-        propose = proposer.Proposer(self.group, float)
+        propose = config_proposer.ConfigProposer(self.group, float)
         self.written = target_documents.DocumentWriter('target', propose)
         self.targets = target_documents.TargetDocuments(
             self.log.machine, self.written
