--- a/tamarackthread/control/claim_record.py
+++ b/tamarackthread/control/claim_record.py
@@ -1,4 +1,4 @@
-"""Hold one claim and the changes of state that it allows."""
+"""Hold the record of one claim and its state transitions."""
 
 from __future__ import annotations
 
@@ -10,32 +10,30 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import wire
 
-# What a packed record takes in memory beside its own bytes: its places in the
-# table of keys and among the expiries, as ``make bench NAME=claims`` measures.
+# Memory of a record beyond its bytes: its entries in the dictionary and heap.
 OVERHEAD_BYTES = 240
 KEY_BYTES = 16
-# Expiry, then the key padded to its length; the rest is a ``ClaimRecord``.
+# Expiry, key length and padded key; a ``ClaimRecord`` message follows.
 _PREFIX = struct.Struct(f'>qB{KEY_BYTES}s')
 _LENGTH = struct.Struct('>I')
 
 _State = messages.ClaimState
 _OPEN = frozenset((_State.GRANTED, _State.RUNNING))
-_UNDECIDED = frozenset((_State.GRANTED, _State.RUNNING, _State.UNKNOWN))
+_NOT_FINAL = frozenset((_State.GRANTED, _State.RUNNING, _State.UNKNOWN))
 
 
 class Watcher:
-    """Told of claims that change; this one does nothing with it."""
+    """Observer of changed claims; this base class ignores them."""
 
     def changed(self, key: bytes) -> None:
-        """Notice that the claim of a key has changed."""
+        """Handle a change of the claim of ``key``."""
 
 
 @attrs.define
 class Record:
-    """The claim of one key.
+    """The claim of one key, with times in milliseconds of the machine's clock.
 
-    ``move`` counts the hand-overs that were recorded; times are on the
-    machine's clock.  A status of zero means that no answer is kept.
+    ``move`` numbers the last handover; ``status`` 0 means no stored response.
     """
 
     key: bytes
@@ -54,51 +52,52 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether a holder may still be at work on it."""
+        """Return whether the holder may still be running the call."""
         return self.state in _OPEN
 
     def grant(
         self,
-        ask: messages.ClaimRequest,
+        request: messages.ClaimRequest,
         fence: int,
         now_ms: int,
     ) -> None:
-        """Give the claim to a holder under a new fence."""
-        self.claim = ask.claim
-        self.holder = ask.holder or ''
-        self.keep_ms = max(self.keep_ms, ask.keep_ms)
+        """Grant the claim to a holder under a new fencing token."""
+        self.claim = request.claim
+        self.holder = request.holder or ''
+        self.keep_ms = max(self.keep_ms, request.keep_ms)
         self.fence = fence
         self.state = _State.GRANTED
-        self.handover = ask.handover
+        self.handover = request.handover
         self.move = 0
         self._extend(now_ms)
 
     def finish(
         self,
-        ask: messages.ClaimFinish,
+        request: messages.ClaimFinish,
         now_ms: int,
-        answer_room: int,
+        free_bytes: int,
     ) -> bool:
-        """Change the state if that is allowed; tell whether it holds now."""
-        if ask.state == _State.RUNNING:
-            return self._move(ask, now_ms)
-        if ask.state == self.state:
+        """Apply a transition if allowed; return whether the state holds."""
+        if request.state == _State.RUNNING:
+            return self._hand_over(request, now_ms)
+        if request.state == self.state:
             return True
-        if ask.state == _State.UNKNOWN:
-            return self._settle(ask, now_ms, self.is_open)
-        if ask.state == _State.RELEASED:
-            # The proof is about the hand-over that its giver has read.  If
-            # the holder has moved on since, the proof says nothing of the
-            # target where the call may be running now.
-            proven = (ask.move or 0) == self.move
-            return self._settle(ask, now_ms, proven)
-        done = self._settle(ask, now_ms, ask.state == _State.COMPLETE)
+        if request.state == _State.UNKNOWN:
+            return self._transition(request, now_ms, self.is_open)
+        if request.state == _State.RELEASED:
+            # The proof that nothing ran covers the target of one handover;
+            # after a newer handover the call may run elsewhere.
+            is_proven = (request.move or 0) == self.move
+            return self._transition(request, now_ms, is_proven)
+        done = self._transition(
+            request, now_ms, request.state == _State.COMPLETE
+        )
         if done:
-            self._keep_answer(ask, answer_room)
+            self._store_response(request, free_bytes)
         return done
 
     def reply(self, granted: bool) -> messages.ClaimReply:
-        """Tell what is known of the claim."""
+        """Build a reply that describes the claim."""
         return messages.ClaimReply(
             granted=granted,
             known=True,
@@ -116,7 +115,7 @@
         )
 
     def pack(self) -> bytes:
-        """Give the record as it is kept and as a snapshot holds it."""
+        """Serialise the record as held in memory and in snapshots."""
         message = messages.ClaimRecord(
             digest=self.digest,
             claim=self.claim,
@@ -133,38 +132,42 @@
         prefix = _PREFIX.pack(self.expires_ms, len(self.key), self.key)
         return prefix + wire.encode(message)
 
-    def _move(self, ask: messages.ClaimFinish, now_ms: int) -> bool:
-        # A resent move can be applied after a newer one.  Taken by number,
-        # it can't point the claim back at a target that was left, where a
-        # probe would prove the wrong thing.
-        move = ask.move or 0
+    def _hand_over(self, request: messages.ClaimFinish, now_ms: int) -> bool:
+        # Handovers are numbered: a retry applied late must not restore an
+        # earlier target, where a probe would wrongly prove "not run".
+        move = request.move or 0
         if not self.is_open or move < self.move:
             return False
         if move > self.move:
             self.move = move
-            self.handover = ask.handover
+            self.handover = request.handover
             self.state = _State.RUNNING
             self._extend(now_ms)
         return True
 
-    def _settle(
+    def _transition(
         self,
-        ask: messages.ClaimFinish,
+        request: messages.ClaimFinish,
         now_ms: int,
         allowed: bool,
     ) -> bool:
-        if not allowed or self.state not in _UNDECIDED:
+        if not allowed or self.state not in _NOT_FINAL:
             return False
-        self.state = ask.state
+        self.state = request.state
         self._extend(now_ms)
         return True
 
-    def _keep_answer(self, ask: messages.ClaimFinish, room: int) -> None:
-        headers = tuple(ask.headers or ())
-        body = ask.body or b''
-        if not ask.status or len(body) + _size(headers) > room:
+    def _store_response(
+        self, request: messages.ClaimFinish, free_bytes: int
+    ) -> None:
+        headers = tuple(request.headers or ())
+        body = request.body or b''
+        if (
+            not request.status
+            or len(body) + _headers_size(headers) > free_bytes
+        ):
             return
-        self.status = ask.status
+        self.status = request.status
         self.headers = headers
         self.body = body
 
@@ -173,7 +176,7 @@
 
 
 def unpack(packed: bytes) -> Record:
-    """Read a record from its bytes."""
+    """Parse a packed record."""
     message = wire.decode(messages.ClaimRecord, packed[_PREFIX.size :])
     return Record(
         key=key_of(packed),
@@ -193,25 +196,25 @@
 
 
 def key_of(packed: bytes) -> bytes:
-    """Read only the key of a record."""
+    """Return the key of a packed record without parsing the rest."""
     _, length, key = _PREFIX.unpack_from(packed)
     return key[:length]
 
 
 def expiry_of(packed: bytes) -> int:
-    """Read only the time at which a record expires."""
+    """Return the expiry of a packed record without parsing the rest."""
     return int(_PREFIX.unpack_from(packed)[0])
 
 
 def size_of(packed: bytes) -> int:
-    """Count the memory that a record takes."""
+    """Return the memory that a packed record uses, in bytes."""
     return OVERHEAD_BYTES + len(packed)
 
 
 def pack_snapshot(
     state: bytes, records: collections.abc.Iterable[bytes]
 ) -> bytes:
-    """Build a snapshot from the machine's own state and its records."""
+    """Serialise the machine's state and its packed records."""
     parts = [_LENGTH.pack(len(state)), state]
     for packed in records:
         parts.append(_LENGTH.pack(len(packed)))
@@ -220,15 +223,15 @@
 
 
 def unpack_snapshot(data: bytes) -> tuple[bytes, list[bytes]]:
-    """Read a snapshot's state and records."""
+    """Return the state and packed records of a snapshot."""
     parts = []
-    place = 0
-    while place < len(data):
-        start = place + _LENGTH.size
-        place = start + _LENGTH.unpack_from(data, place)[0]
-        parts.append(data[start:place])
+    offset = 0
+    while offset < len(data):
+        start = offset + _LENGTH.size
+        offset = start + _LENGTH.unpack_from(data, offset)[0]
+        parts.append(data[start:offset])
     return parts[0], parts[1:]
 
 
-def _size(headers: tuple[messages.Header, ...]) -> int:
+def _headers_size(headers: tuple[messages.Header, ...]) -> int:
     return sum(len(header.name) + len(header.value) for header in headers)
--- a/tamarackthread/control/claim_service.py
+++ b/tamarackthread/control/claim_service.py
@@ -1,8 +1,7 @@
-"""Answer entries' requests about claims for one shard.
+"""Serve entries' claim requests for one shard.
 
-Operations that arrive while a proposal is on its way leave together in the
-next one, so the cost of a quorum write and a sync is shared under load and
-nobody waits for company when it is quiet.
+Operations that arrive during a proposal are batched into the next one, which
+shares quorum writes under load and adds no delay otherwise.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 MAX_PROPOSALS = 4
 MAX_PENDING = 4096
 MAX_WAIT_MS = 5000
-LEAST_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 MILLISECONDS = 1000
 _log = logging.getLogger('tamarackthread.claims')
 
@@ -30,7 +29,7 @@
 
 
 class ShardBusy(errors.CodedError):
-    """Shard of claims has too many operations waiting."""
+    """Claims shard has too many pending operations."""
 
     code = 'TT4508'
     status = 503
@@ -40,7 +39,7 @@
 @attrs.frozen(eq=False)
 class _Pending:
     operation: messages.ClaimOperation
-    answered: asyncio.Future[messages.ClaimReply]
+    reply_future: asyncio.Future[messages.ClaimReply]
 
 
 class ClaimService(claim_record.Watcher):
@@ -52,11 +51,7 @@
         replicated: group.Group,
         proposer: str,
     ) -> None:
-        """Watch the machine; ``proposer`` names this start of this process.
-
-        Stamps are read from this process's clock, so the name must change
-        when the process starts anew.
-        """
+        """Watch the machine; ``proposer`` is unique to this process start."""
         self._machine = machine
         self._group = replicated
         self._proposer = proposer
@@ -66,30 +61,32 @@
         machine.watch(self)
 
     def changed(self, key: bytes) -> None:
-        """Wake whoever waits for the claim of this key."""
+        """Wake the lookups that wait for this key."""
         event = self._changes.pop(key, None)
         if event is not None:
             event.set()
 
-    async def claim(self, ask: messages.ClaimRequest) -> messages.Reply:
-        """Claim a key, or tell what is known of it."""
-        return await self._submit(messages.ClaimOperation(claim=ask))
+    async def claim(self, request: messages.ClaimRequest) -> messages.Reply:
+        """Claim a key, or return its state if it is already claimed."""
+        return await self._submit(messages.ClaimOperation(claim=request))
 
-    async def finish(self, ask: messages.ClaimFinish) -> messages.Reply:
-        """Record a move or the outcome of a claim."""
-        return await self._submit(messages.ClaimOperation(finish=ask))
+    async def finish(self, request: messages.ClaimFinish) -> messages.Reply:
+        """Record a handover or the outcome of a claim."""
+        return await self._submit(messages.ClaimOperation(finish=request))
 
-    async def lookup(self, ask: messages.ClaimLookup) -> messages.Reply:
-        """Tell what is known of a key, waiting a while for its outcome."""
+    async def lookup(self, request: messages.ClaimLookup) -> messages.Reply:
+        """Return the state of a key, waiting up to ``wait_ms`` for its outcome."""
         await self._group.read_barrier()
         loop = asyncio.get_running_loop()
-        wait_ms = min(ask.wait_ms or 0, MAX_WAIT_MS)
-        until = loop.time() + wait_ms / MILLISECONDS
-        reply = self._machine.lookup(ask.key)
-        # A rest below the clock's resolution would be waited for in a spin.
-        while reply.state in _OPEN and until - loop.time() > LEAST_SECONDS:
-            await self._wait_change(ask.key, until)
-            reply = self._machine.lookup(ask.key)
+        wait_ms = min(request.wait_ms or 0, MAX_WAIT_MS)
+        deadline = loop.time() + wait_ms / MILLISECONDS
+        reply = self._machine.lookup(request.key)
+        # A timeout below the clock's resolution would busy-wait.
+        while (
+            reply.state in _OPEN and deadline - loop.time() > MIN_WAIT_SECONDS
+        ):
+            await self._wait_for_change(request.key, deadline)
+            reply = self._machine.lookup(request.key)
         return messages.Reply(claim=reply)
 
     async def _submit(
@@ -98,37 +95,37 @@
     ) -> messages.Reply:
         if len(self._pending) >= MAX_PENDING:
             raise ShardBusy
-        waiting = _Pending(
+        pending = _Pending(
             operation,
             asyncio.get_running_loop().create_future(),
         )
-        self._pending.append(waiting)
-        self._propose_more()
-        reply = await waiting.answered
+        self._pending.append(pending)
+        self._start_proposal()
+        reply = await pending.reply_future
         if reply.code:
             raise_code(reply.code)
         return messages.Reply(claim=reply)
 
-    def _propose_more(self) -> None:
+    def _start_proposal(self) -> None:
         if not self._pending or len(self._proposals) >= MAX_PROPOSALS:
             return
         batch = self._take_batch()
         task = asyncio.get_running_loop().create_task(self._propose(batch))
         self._proposals.add(task)
-        task.add_done_callback(self._proposed)
+        task.add_done_callback(self._proposal_done)
 
-    def _proposed(self, task: asyncio.Task[None]) -> None:
+    def _proposal_done(self, task: asyncio.Task[None]) -> None:
         self._proposals.discard(task)
         if not task.cancelled():
-            self._propose_more()
+            self._start_proposal()
 
     def _take_batch(self) -> list[_Pending]:
         batch: list[_Pending] = []
-        used = 0
+        batch_bytes = 0
         while self._pending and len(batch) < MAX_BATCH:
             finish = self._pending[0].operation.finish
-            used += len(finish.body or b'') if finish else 0
-            if batch and used > MAX_BATCH_BYTES:
+            batch_bytes += len(finish.body or b'') if finish else 0
+            if batch and batch_bytes > MAX_BATCH_BYTES:
                 break
             batch.append(self._pending.popleft())
         return batch
@@ -138,48 +135,50 @@
         command = messages.ClaimCommand(
             proposer=self._proposer,
             stamp_ms=stamp,
-            operations=[waiting.operation for waiting in batch],
+            operations=[pending.operation for pending in batch],
         )
         try:
-            replies = await self._replies(command)
+            replies = await self._commit(command)
         except errors.CodedError as exc:
             self._fail(batch, exc)
             return
         except asyncio.CancelledError:
-            self._fail(batch, errors.LinkLost('this process stops'))
+            self._fail(batch, errors.LinkLost('control host is shutting down'))
             raise
         except Exception:
-            _log.exception('claims: a proposal failed')
-            self._fail(batch, errors.PeerFailure('internal fault'))
+            _log.exception('claims: proposal failed')
+            self._fail(batch, errors.PeerFailure('internal error'))
             return
-        for waiting, reply in zip(batch, replies, strict=True):
-            if not waiting.answered.done():
-                waiting.answered.set_result(reply)
+        for pending, reply in zip(batch, replies, strict=True):
+            if not pending.reply_future.done():
+                pending.reply_future.set_result(reply)
 
-    async def _replies(
+    async def _commit(
         self,
         command: messages.ClaimCommand,
     ) -> list[messages.ClaimReply]:
-        done = await self._group.propose(wire.encode(command))
-        replies = wire.decode(messages.ClaimResults, done.result).replies
+        committed = await self._group.propose(wire.encode(command))
+        replies = wire.decode(messages.ClaimResults, committed.result).replies
         if len(replies or ()) != len(command.operations):
-            raise errors.FrameInvalid('claims: wrong number of replies')
+            raise errors.FrameInvalid(
+                'claims: number of replies differs from number of operations'
+            )
         return replies
 
     def _fail(self, batch: list[_Pending], failure: errors.CodedError) -> None:
-        for waiting in batch:
-            if not waiting.answered.done():
-                waiting.answered.set_exception(failure)
+        for pending in batch:
+            if not pending.reply_future.done():
+                pending.reply_future.set_exception(failure)
 
-    async def _wait_change(self, key: bytes, until: float) -> None:
+    async def _wait_for_change(self, key: bytes, deadline: float) -> None:
         event = self._changes.setdefault(key, asyncio.Event())
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 await event.wait()
         except TimeoutError:
             return
 
 
 def raise_code(code: str) -> None:
-    """Raise the error that the machine named by its code."""
+    """Raise the error class that has this code."""
     replies.raise_failure(messages.Failure(code=code, text=''))
--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -1,17 +1,8 @@
-"""Keep the claims of work that must not repeat, as a replicated machine.
+"""Replicated state machine of claims for calls that must run at most once.
 
-A claim is granted once for a key, with a fence that grows with every grant.
-It ends as complete, as unknown, or as released, which means proven not run
-and lets the key be granted again under a higher fence.
-
-Time is a clock of the machine's own, in milliseconds.  It moves on only by
-the difference of two stamps in a row from one proposer, since the clocks of
-two hosts have nothing in common: the clock may run late after a change of
-leader, never fast, so no claim is forgotten before its keep time.
-
-Records are kept as the bytes that a snapshot consists of.  As objects they
-took twice the memory, and a snapshot of all of them held up heartbeats for
-longer than a leader's lease.
+A key is granted once, with a growing fencing token; only a released claim,
+proven not run, is granted again.  Records stay packed, so that snapshots of
+many records don't block heartbeats.
 """
 
 from __future__ import annotations
@@ -34,19 +25,23 @@
 
 @attrs.frozen
 class Limits:
-    """Bound what one shard keeps; bytes are those of its records."""
+    """Limits of one shard: its claims, record bytes and response bytes."""
 
     claims: int = MAX_CLAIMS
     record_bytes: int = MAX_BYTES
     answer_bytes: int = MAX_ANSWER_BYTES
 
 
-# A proposer's clock that jumps further is broken; claims then end late.
-MOST_PASSED_MS = 365 * 24 * 3_600_000
+# Bounds a jump of a faulty proposer's clock; claims then expire late.
+MAX_CLOCK_STEP_MS = 365 * 24 * 3_600_000
 
 
 class ClaimsMachine(state_machine.StateMachine):
-    """Hold one shard's claims."""
+    """Hold one shard's claims.
+
+    The clock advances by differences between consecutive stamps of the same
+    proposer: it may lag after a leader change but never expires claims early.
+    """
 
     def __init__(self, limits: Limits | None = None) -> None:
         """Start empty."""
@@ -62,44 +57,44 @@
 
     @property
     def clock_ms(self) -> int:
-        """Give the machine's own time in milliseconds."""
+        """Return the machine's clock in milliseconds."""
         return self._clock_ms
 
     @property
     def record_bytes(self) -> int:
-        """Give the bytes that the kept records count for."""
+        """Return the memory that the records use, in bytes."""
         return self._record_bytes
 
     def __len__(self) -> int:
-        """Count the claims kept now."""
+        """Return the number of claims."""
         return len(self._records)
 
     def watch(self, watcher: claim_record.Watcher) -> None:
-        """Tell ``watcher`` of each claim that changes here."""
+        """Notify ``watcher`` of each changed claim."""
         self._watcher = watcher
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a batch of operations and give one reply for each."""
+        """Apply a batch of operations; return one reply for each."""
         try:
             batch = wire.decode(messages.ClaimCommand, command)
         except errors.FrameInvalid:
             return wire.encode(messages.ClaimResults(replies=[]))
         self._advance(batch.proposer or '', batch.stamp_ms or 0)
-        self._forget_expired()
+        self._evict_expired()
         replies = [
-            self._operate(operation) for operation in batch.operations or ()
+            self._execute(operation) for operation in batch.operations or ()
         ]
         return wire.encode(messages.ClaimResults(replies=replies))
 
     def lookup(self, key: bytes) -> messages.ClaimReply:
-        """Tell what is known of a key without a write."""
+        """Return the state of a key without a write."""
         record = self._find(key)
         if record is None:
             return messages.ClaimReply(granted=False, known=False)
         return record.reply(granted=False)
 
     def snapshot(self) -> bytes:
-        """Serialise all claims with the clock and the highest fence."""
+        """Serialise all claims, the clock and the highest fencing token."""
         state = messages.ClaimSnapshot(
             clock_ms=self._clock_ms,
             proposer=self._proposer,
@@ -111,23 +106,23 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace all claims by those of a snapshot; empty means none.
+        """Replace all claims by those of a snapshot; empty data means none.
 
-        Raises ``SnapshotUnreadable`` for data that is no such snapshot.
+        Raises ``SnapshotUnreadable`` for malformed data.
         """
         with state_machine.reading_snapshot():
             self._restore(data)
 
     def _restore(self, data: bytes) -> None:
-        held = messages.ClaimSnapshot()
+        stored = messages.ClaimSnapshot()
         packed: list[bytes] = []
         if data:
             state, packed = claim_record.unpack_snapshot(data)
-            held = wire.decode(messages.ClaimSnapshot, state)
-        self._clock_ms = held.clock_ms or 0
-        self._proposer = held.proposer or ''
-        self._stamp_ms = held.stamp_ms or 0
-        self._fence = held.fence or 0
+            stored = wire.decode(messages.ClaimSnapshot, state)
+        self._clock_ms = stored.clock_ms or 0
+        self._proposer = stored.proposer or ''
+        self._stamp_ms = stored.stamp_ms or 0
+        self._fence = stored.fence or 0
         self._records = {claim_record.key_of(row): row for row in packed}
         self._record_bytes = sum(map(claim_record.size_of, packed))
         self._expiries = [
@@ -138,8 +133,8 @@
 
     def _advance(self, proposer: str, stamp_ms: int) -> None:
         if proposer == self._proposer:
-            passed = max(0, stamp_ms - self._stamp_ms)
-            self._clock_ms += min(passed, MOST_PASSED_MS)
+            elapsed = max(0, stamp_ms - self._stamp_ms)
+            self._clock_ms += min(elapsed, MAX_CLOCK_STEP_MS)
             self._stamp_ms = max(self._stamp_ms, stamp_ms)
             return
         self._proposer = proposer
@@ -158,7 +153,7 @@
         self._records[record.key] = packed
         self._watcher.changed(record.key)
 
-    def _forget_expired(self) -> None:
+    def _evict_expired(self) -> None:
         while self._expiries and self._expiries[0][0] <= self._clock_ms:
             key = heapq.heappop(self._expiries)[1]
             packed = self._records[key]
@@ -169,7 +164,7 @@
             self._record_bytes -= claim_record.size_of(packed)
             self._records.pop(key)
 
-    def _operate(
+    def _execute(
         self,
         operation: messages.ClaimOperation,
     ) -> messages.ClaimReply:
@@ -181,13 +176,13 @@
             return self.lookup(operation.lookup.key)
         return messages.ClaimReply(code=claim_errors.ClaimInvalid.code)
 
-    def _claim(self, ask: messages.ClaimRequest) -> messages.ClaimReply:
-        if not _is_valid(ask):
+    def _claim(self, request: messages.ClaimRequest) -> messages.ClaimReply:
+        if not _is_valid(request):
             return messages.ClaimReply(code=claim_errors.ClaimInvalid.code)
-        record = self._find(ask.key)
+        record = self._find(request.key)
         if record is None:
-            return self._grant_first(ask)
-        if record.digest != (ask.digest or b''):
+            return self._grant_first(request)
+        if record.digest != (request.digest or b''):
             return messages.ClaimReply(
                 granted=False,
                 known=True,
@@ -195,50 +190,56 @@
                 code=claim_errors.ClaimKeyReused.code,
             )
         if record.state == _State.RELEASED:
-            return self._grant(record, ask)
-        # Whoever lost the answer to its own claim asks again under the same
-        # identity and gets the same fence; nobody else ever does.
-        is_own = record.claim == ask.claim and record.is_open
-        return record.reply(granted=is_own)
-
-    def _grant_first(self, ask: messages.ClaimRequest) -> messages.ClaimReply:
-        used = self._record_bytes + claim_record.OVERHEAD_BYTES
+            return self._grant(record, request)
+        # A retry by the holder, under the same claim id, gets the same fence.
+        is_holder = record.claim == request.claim and record.is_open
+        return record.reply(granted=is_holder)
+
+    def _grant_first(
+        self, request: messages.ClaimRequest
+    ) -> messages.ClaimReply:
+        bytes_needed = self._record_bytes + claim_record.OVERHEAD_BYTES
         is_full = len(self._records) >= self._limits.claims
-        if is_full or used > self._limits.record_bytes:
+        if is_full or bytes_needed > self._limits.record_bytes:
             return messages.ClaimReply(code=claim_errors.ClaimsFull.code)
-        record = _Record(key=ask.key, digest=ask.digest or b'')
-        reply = self._grant(record, ask)
+        record = _Record(key=request.key, digest=request.digest or b'')
+        reply = self._grant(record, request)
         heapq.heappush(self._expiries, (record.expires_ms, record.key))
         return reply
 
     def _grant(
         self,
         record: _Record,
-        ask: messages.ClaimRequest,
+        request: messages.ClaimRequest,
     ) -> messages.ClaimReply:
         self._fence += 1
-        record.grant(ask, self._fence, self._clock_ms)
+        record.grant(request, self._fence, self._clock_ms)
         self._store(record)
         return record.reply(granted=True)
 
-    def _finish(self, ask: messages.ClaimFinish) -> messages.ClaimReply:
-        record = self._find(ask.key)
+    def _finish(self, request: messages.ClaimFinish) -> messages.ClaimReply:
+        record = self._find(request.key)
         if record is None:
             return messages.ClaimReply(granted=False, known=False)
-        if record.fence != ask.fence:
+        if record.fence != request.fence:
             return record.reply(granted=False)
-        done = record.finish(ask, self._clock_ms, self._answer_room())
-        if done:
+        is_applied = record.finish(
+            request, self._clock_ms, self._response_bytes_left()
+        )
+        if is_applied:
             self._store(record)
-        return record.reply(granted=done)
+        return record.reply(granted=is_applied)
 
-    def _answer_room(self) -> int:
+    def _response_bytes_left(self) -> int:
         free = self._limits.record_bytes - self._record_bytes
         return max(0, min(free, self._limits.answer_bytes))
 
 
-def _is_valid(ask: messages.ClaimRequest) -> bool:
-    if not ask.claim or not 0 < len(ask.key or b'') <= claim_record.KEY_BYTES:
+def _is_valid(request: messages.ClaimRequest) -> bool:
+    if (
+        not request.claim
+        or not 0 < len(request.key or b'') <= claim_record.KEY_BYTES
+    ):
         return False
-    keep_ms = ask.keep_ms or 0
+    keep_ms = request.keep_ms or 0
     return claim_times.MIN_KEEP_MS <= keep_ms <= claim_times.MAX_KEEP_MS
--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -87,7 +87,7 @@
             return wire.encode(_refusal(exc))
         _fill(parsed)
         self._clock_ms += min(max(parsed.elapsed_ms or 0, 0), MOST_ELAPSED_MS)
-        self._answers.forget(self._clock_ms)
+        self._answers.evict_expired(self._clock_ms)
         return wire.encode(self._dispatch(index, parsed))
 
     def snapshot(self) -> bytes:
--- a/tamarackthread/control/reply_cache.py
+++ b/tamarackthread/control/reply_cache.py
@@ -1,7 +1,6 @@
-"""Keep the first answer to each change, so that a resend gets it again.
+"""Cache the reply to each change, which makes retries idempotent.
 
-Time here is counted from what leaders measured between commands, never from
-the wall clock: a clock that is set forward must not shorten the promise.
+Retention counts the state machine's clock: wall clock jumps don't shorten it.
 """
 
 from __future__ import annotations
@@ -19,26 +18,25 @@
 
 
 class ReplyCache:
-    """Hold answers by change id for 24 hours of the leaders' time."""
+    """Hold replies by change id for ``RETENTION_MS``."""
 
     def __init__(self) -> None:
-        """Start with no answers."""
-        self._kept: dict[str, messages.KeptAnswer] = {}
+        """Start empty."""
+        self._cached: dict[str, messages.KeptAnswer] = {}
 
     def find(
         self,
         change: messages.ChangeRequest,
     ) -> messages.ChangeReply | None:
-        """Give the first answer to a change id, ``None`` for a new one.
+        """Return the cached reply to a change id, ``None`` for a new id.
 
-        The same id with another content gets a refusal instead: the answer
-        to the other change would tell this one's sender a falsehood.
+        An id that was used for other content gets an ``INVALID`` reply.
         """
-        kept = self._kept.get(change.change_id or '')
+        kept = self._cached.get(change.change_id or '')
         if kept is None:
             return None
-        if kept.digest != digest_of(change):
-            return _reused(change)
+        if kept.digest != content_digest(change):
+            return _refuse_reuse(change)
         reply = copy.copy(kept.reply)
         reply.repeated = True
         return reply
@@ -49,55 +47,55 @@
         reply: messages.ChangeReply,
         clock_ms: int,
     ) -> None:
-        """Remember the first answer to a change that carries an id."""
+        """Store the reply to a change that carries an id."""
         if not change.change_id:
             return
-        self._kept[change.change_id] = messages.KeptAnswer(
+        self._cached[change.change_id] = messages.KeptAnswer(
             change_id=change.change_id,
-            digest=digest_of(change),
+            digest=content_digest(change),
             clock_ms=clock_ms,
             reply=reply,
         )
 
-    def forget(self, clock_ms: int) -> None:
-        """Drop the answers that are older than the stated time."""
-        for change_id, kept in tuple(self._oldest(clock_ms)):
-            self._kept.pop(change_id)
+    def evict_expired(self, clock_ms: int) -> None:
+        """Drop the replies older than ``RETENTION_MS``."""
+        for change_id, kept in tuple(self._expired(clock_ms)):
+            self._cached.pop(change_id)
 
     def everything(self) -> list[messages.KeptAnswer]:
-        """List the answers, the oldest first."""
-        return list(self._kept.values())
+        """List the cached replies, the oldest first."""
+        return list(self._cached.values())
 
     def replace(
         self,
-        answers: collections.abc.Iterable[messages.KeptAnswer],
+        replies: collections.abc.Iterable[messages.KeptAnswer],
     ) -> None:
-        """Take the answers of a snapshot."""
-        self._kept = {kept.change_id: kept for kept in answers}
+        """Replace all replies by those of a snapshot."""
+        self._cached = {kept.change_id: kept for kept in replies}
 
-    def _oldest(
+    def _expired(
         self,
         clock_ms: int,
     ) -> collections.abc.Iterator[tuple[str, messages.KeptAnswer]]:
-        for change_id, kept in self._kept.items():
+        for change_id, kept in self._cached.items():
             if clock_ms - kept.clock_ms <= RETENTION_MS:
                 return
             yield change_id, kept
 
 
-def digest_of(change: messages.ChangeRequest) -> int:
-    """Digest what a change asks for, without who asks and from where."""
-    asked = messages.ChangeRequest(
+def content_digest(change: messages.ChangeRequest) -> int:
+    """Hash the content of a change, without its id, actor and origin."""
+    content = messages.ChangeRequest(
         kind=change.kind,
         name=change.name,
         based_on=change.based_on,
         body=change.body,
     )
-    digest = xxhash.xxh3_64_digest(wire.encode(asked))
+    digest = xxhash.xxh3_64_digest(wire.encode(content))
     return int.from_bytes(digest, 'big', signed=True)
 
 
-def _reused(change: messages.ChangeRequest) -> messages.ChangeReply:
+def _refuse_reuse(change: messages.ChangeRequest) -> messages.ChangeReply:
     return messages.ChangeReply(
         status=messages.ChangeStatus.INVALID,
         revision=0,
