--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -1,8 +1,6 @@
-"""Hold the replicated state of the configuration group.
+"""Replicated state machine of the configuration group.
 
-It is made of documents with their history, the audit trail, the answers kept
-for resends, leases and decisions.  A revision is the place in the log of the
-change that led to it, so that revisions grow and are never reused.
+A revision is the log index of the change that made it, so revisions grow.
 """
 
 from __future__ import annotations
@@ -33,15 +31,15 @@
         messages.ChangeStatus.INVALID: INVALID,
     },
 )
-MOST_ELAPSED_MS = 365 * 24 * 3_600_000
-_CHANGE_TEXTS = ('change_id', 'actor', 'origin', 'kind', 'name', 'body')
+MAX_ELAPSED_MS = 365 * 24 * 3_600_000
+_CHANGE_TEXT_FIELDS = ('change_id', 'actor', 'origin', 'kind', 'name', 'body')
 _log = logging.getLogger('tamarackthread.control')
 
 Watcher = collections.abc.Callable[[int], None]
 
 
 class Configuration(state_machine.StateMachine):
-    """Apply changes, hand-overs of leases and decisions in their order."""
+    """Hold documents, audit trail, cached replies, leases and decisions."""
 
     def __init__(self, audit_records: int = audit_trail.RECORDS_LIMIT) -> None:
         """Start empty; ``audit_records`` bounds the audit trail."""
@@ -51,47 +49,47 @@
 
     @property
     def documents(self) -> catalogue.Catalogue:
-        """Give the documents as they are now."""
+        """Return the current documents."""
         return self._documents
 
     @property
     def history(self) -> document_history.DocumentHistory:
-        """Give the earlier versions of documents."""
+        """Return the earlier versions of documents."""
         return self._history
 
     @property
     def audit_trail(self) -> audit_trail.AuditTrail:
-        """Give the audit trail."""
+        """Return the audit trail."""
         return self._trail
 
     @property
     def lease_table(self) -> leases.LeaseTable:
-        """Give who holds each lease."""
+        """Return the table of leases."""
         return self._table
 
     @property
     def decisions(self) -> decisions.Decisions:
-        """Give the decisions on switches."""
+        """Return the decisions on map switches."""
         return self._decisions
 
     def watch(self, watcher: Watcher) -> None:
-        """Call ``watcher`` with each new revision, right after it applies."""
+        """Call ``watcher`` with each new revision after it is applied."""
         self._watchers.append(watcher)
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a command; one that makes no sense is answered so."""
+        """Apply a command; a malformed one gets a failure reply."""
         try:
             parsed = wire.decode(messages.ConfigCommand, command)
         except errors.FrameInvalid as exc:
-            _log.error('control: command %d makes no sense, %s', index, exc)
-            return wire.encode(_refusal(exc))
-        _fill(parsed)
-        self._clock_ms += min(max(parsed.elapsed_ms or 0, 0), MOST_ELAPSED_MS)
-        self._answers.evict_expired(self._clock_ms)
+            _log.error('control: command %d is malformed, %s', index, exc)
+            return wire.encode(_failure(exc))
+        _set_defaults(parsed)
+        self._clock_ms += min(max(parsed.elapsed_ms or 0, 0), MAX_ELAPSED_MS)
+        self._replies.evict_expired(self._clock_ms)
         return wire.encode(self._dispatch(index, parsed))
 
     def snapshot(self) -> bytes:
-        """Serialise the whole state."""
+        """Serialise the state."""
         return wire.encode(
             messages.ConfigSnapshot(
                 clock_ms=self._clock_ms,
@@ -100,16 +98,16 @@
                 documents=list(self._documents.everything()),
                 history=self._history.all_versions(),
                 audit=self._trail.everything(),
-                answers=self._answers.everything(),
+                answers=self._replies.everything(),
                 leases=self._table.everything(),
                 decisions=self._decisions.everything(),
             ),
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot; empty data is the empty state.
+        """Restore the state of a snapshot; empty data is the empty state.
 
-        Raises ``SnapshotUnreadable`` for data that is no such snapshot.
+        Raises ``SnapshotUnreadable`` for malformed data.
         """
         self._reset()
         if data:
@@ -122,7 +120,7 @@
         self._documents = catalogue.Catalogue()
         self._history = document_history.DocumentHistory()
         self._trail = audit_trail.AuditTrail(self._audit_records)
-        self._answers = reply_cache.ReplyCache()
+        self._replies = reply_cache.ReplyCache()
         self._table = leases.LeaseTable()
         self._decisions = decisions.Decisions(self._table)
 
@@ -131,7 +129,7 @@
         self._documents.replace(state.documents, state.revision, state.floor)
         self._history.restore(state.history)
         self._trail.replace(state.audit)
-        self._answers.replace(state.answers)
+        self._replies.replace(state.answers)
         self._table.replace(state.leases)
         self._decisions.replace(state.decisions)
 
@@ -148,7 +146,7 @@
         if command.decision is not None:
             decided = self._decisions.decide(command.decision)
             return messages.Reply(decision=decided)
-        return _refusal(errors.RequestUnsupported('empty command'))
+        return _failure(errors.RequestUnsupported('empty command'))
 
     def _change(
         self,
@@ -156,17 +154,17 @@
         command: messages.ConfigCommand,
     ) -> messages.ChangeReply:
         change = command.change
-        kept = self._answers.find(change)
-        if kept is not None:
-            if not kept.repeated:
+        cached = self._replies.find(change)
+        if cached is not None:
+            if not cached.repeated:
                 self._record(index, command, INVALID)
-            return kept
+            return cached
         reply = self._judge(change, command.findings or [])
         self._record(index, command, _OUTCOMES[reply.status])
         if reply.status == messages.ChangeStatus.ACCEPTED:
             self._accept(index, change, reply)
         reply.revision = self._documents.revision
-        self._answers.keep(change, reply, self._clock_ms)
+        self._replies.keep(change, reply, self._clock_ms)
         if reply.status == messages.ChangeStatus.ACCEPTED:
             self._notify()
         return reply
@@ -206,13 +204,13 @@
         reply: messages.ChangeReply,
     ) -> None:
         latest = self._documents.latest(change.kind, change.name)
-        # A name whose deletion is forgotten starts above any version that
-        # it can have had, or an old version number would fit a new document.
-        before = self._documents.floor
+        # Without a tombstone, the version starts above every earlier one, so
+        # that a stale ``based_on`` never matches the new document.
+        previous_version = self._documents.floor
         if latest is not None:
-            before = latest.version
+            previous_version = latest.version
             self._history.add(latest)
-        reply.version = before + 1
+        reply.version = previous_version + 1
         self._documents.put(
             messages.Document(
                 kind=change.kind,
@@ -252,34 +250,31 @@
             watcher(self._documents.revision)
 
 
-def _refusal(exc: errors.CodedError) -> messages.Reply:
+def _failure(exc: errors.CodedError) -> messages.Reply:
     return messages.Reply(
         failure=messages.Failure(code=exc.code, text=str(exc)),
     )
 
 
-def _fill(command: messages.ConfigCommand) -> None:
-    """Put empty values where a command has none.
-
-    A command in the log is applied by every member.  If a missing field
-    raised here, the group would halt on all of them at once, and again at
-    each start.
-    """
+def _set_defaults(command: messages.ConfigCommand) -> None:
+    """Set missing fields to empty values; an error would halt every member."""
     command.findings = command.findings or []
     command.unix_ms = command.unix_ms or 0
     if command.change is not None:
-        _fill_part(command.change, _CHANGE_TEXTS, ('based_on',))
+        _set_part_defaults(command.change, _CHANGE_TEXT_FIELDS, ('based_on',))
     if command.lease is not None:
-        _fill_part(command.lease, ('name', 'holder'), ('lease_ms', 'fence'))
+        _set_part_defaults(
+            command.lease, ('name', 'holder'), ('lease_ms', 'fence')
+        )
     if command.decision is not None:
-        _fill_part(
+        _set_part_defaults(
             command.decision,
             ('group', 'decision', 'body'),
             ('fence', 'switch_id'),
         )
 
 
-def _fill_part(
+def _set_part_defaults(
     part: messages.ChangeRequest
     | messages.LeaseRequest
     | messages.DecisionRequest,
--- a/tamarackthread/control/decisions.py
+++ b/tamarackthread/control/decisions.py
@@ -1,7 +1,7 @@
-"""Keep the first decision on each switch of a group's expert map.
+"""Record the decision on each switch of a group's expert map.
 
-A switch is decided once.  Ranks that hold at the switch step ask what was
-decided, so a second, different decision would split the group.
+The first decision is final: ranks that pause at the switch step read it, and
+a second, different one would split the group.
 """
 
 from __future__ import annotations
@@ -13,18 +13,15 @@
 from tamarackthread.generated.messages import ttypes as messages
 
 MAX_PER_GROUP = 16
-# Asks for the highest id of a group; nothing is ever recorded under it.
+# Switch id that stands for the highest recorded one; never recorded itself.
 LATEST = 0
 
 
 class Decisions:
-    """Hold the latest decisions of each group by switch."""
+    """Hold the last ``MAX_PER_GROUP`` decisions of each group by switch id."""
 
     def __init__(self, table: leases.LeaseTable) -> None:
-        """Check fencing numbers against the leases of ``table``.
-
-        A group's owner holds the lease that has the group's name.
-        """
+        """Check fencing tokens against the lease named like the group."""
         self._table = table
         self._groups: dict[
             str,
@@ -35,32 +32,29 @@
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Say what is decided about a switch; an empty decision is none.
+        """Return the decision on a switch, empty if there is none.
 
-        Id 0 asks for the group's latest: a rank that lost its memory does
-        not know which switch it might have armed for.
-        ``recorded`` tells whether it is the asker's own, so that an owner
-        that lost the answer learns that its decision stands.
+        Id 0 reads the latest, for a rank restarted without state.
+        ``recorded`` is set if the decision is the sender's own.
         """
-        kept = self._groups.get(request.group, {})
-        switch = request.switch_id or max(kept, default=LATEST)
-        record = kept.get(switch)
+        recorded_switches = self._groups.get(request.group, {})
+        switch = request.switch_id or max(recorded_switches, default=LATEST)
+        record = recorded_switches.get(switch)
         if record is None:
             return _reply(switch)
-        own = (record.decision, record.fence) == (
+        is_own = (record.decision, record.fence) == (
             request.decision,
             request.fence,
         )
-        return _reply(switch, record.decision, record.body, own)
+        return _reply(switch, record.decision, record.body, is_own)
 
     def decide(
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Record a decision unless there is one; reply with the one in force.
+        """Record a decision unless there is one; return the recorded one.
 
-        An owner whose fencing number is no longer the group's decides
-        nothing: it may act on what it knew before it was cut off.
+        A stale fencing token is refused: a deposed owner decides nothing.
         """
         found = self.lookup(request)
         is_read = not request.decision or not request.switch_id
@@ -79,7 +73,7 @@
         return self.lookup(request)
 
     def everything(self) -> list[messages.DecisionRequest]:
-        """List all decisions that are kept."""
+        """List all decisions."""
         return [
             record
             for group in self._groups.values()
@@ -90,7 +84,7 @@
         self,
         records: collections.abc.Iterable[messages.DecisionRequest],
     ) -> None:
-        """Take the decisions of a snapshot."""
+        """Replace all decisions by those of a snapshot."""
         self._groups.clear()
         for record in records:
             group = self._groups.setdefault(
--- a/tamarackthread/control/failures.py
+++ b/tamarackthread/control/failures.py
@@ -1,4 +1,4 @@
-"""Define the coded errors of the replicated log."""
+"""Coded errors of the replicated log."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class NotLeader(errors.CodedError):
-    """This control host doesn't lead the group; nothing was proposed."""
+    """This control host is not the leader; nothing was proposed."""
 
     code = 'TT3001'
     status = 503
 
     def __init__(self, text: str = '', leader: str = '') -> None:
-        """Keep the node that is believed to lead, empty if unknown."""
+        """Store the node of the presumed leader, empty if unknown."""
         super().__init__(text)
         self.leader = leader
 
 
 class OutcomeUnknown(errors.CodedError):
-    """Proposal was written to the log, but its commit was not seen."""
+    """Proposal was appended to the log, but its commit is unconfirmed."""
 
     code = 'TT3002'
     status = 504
@@ -27,40 +27,40 @@
 
 
 class DiskFull(errors.CodedError):
-    """Too little room on disk: changes are refused, reads go on."""
+    """Disk is almost full: changes are refused, reads are served."""
 
     code = 'TT3003'
     status = 507
 
 
 class LogCorrupt(errors.CodedError):
-    """Stored bytes fail their checksum and can't be a torn last write."""
+    """Stored bytes fail their checksum, other than a torn last write."""
 
     code = 'TT3004'
 
     def __init__(self, text: str = '', name: str = '', offset: int = 0) -> None:
-        """Keep the file's name and the offset in bytes of the bad frame."""
+        """Store the file name and the byte offset of the corrupt frame."""
         super().__init__(f'{name} at byte {offset}: {text}')
         self.name = name
         self.offset = offset
 
 
 class GroupUnknown(errors.CodedError):
-    """Request names a group that this control host doesn't run."""
+    """Request names a group that this control host does not run."""
 
     code = 'TT3005'
     status = 404
 
 
 class MemberChangeRefused(errors.CodedError):
-    """Change of the group's members can't be made now."""
+    """Membership change is not possible now."""
 
     code = 'TT3006'
     status = 409
 
 
 class NoQuorum(errors.CodedError):
-    """Too few members answered to know that a read is current."""
+    """No quorum confirmed that a read is current."""
 
     code = 'TT3007'
     status = 503
@@ -74,20 +74,20 @@
 
 
 class DiskFailed(errors.CodedError):
-    """Disk answered a write or a sync with an error."""
+    """Disk write or sync failed."""
 
     code = 'TT3009'
 
 
 class TooManyProposals(errors.CodedError):
-    """Too many proposals wait for their commit; nothing was proposed."""
+    """Too many proposals are uncommitted; nothing was proposed."""
 
     code = 'TT3010'
     status = 503
 
 
 class CommandTooLarge(errors.CodedError):
-    """Command is too large for one message between members."""
+    """Command exceeds the size of one message between members."""
 
     code = 'TT3011'
     status = 413
--- a/tamarackthread/control/group.py
+++ b/tamarackthread/control/group.py
@@ -1,4 +1,4 @@
-"""Say what the control role needs of a replicated log."""
+"""Interface of a replicated log, as the control role uses it."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
     @property
     def term(self) -> int:
-        """Give the newest term that this host knows."""
+        """Return the newest known term."""
 
     @property
     def leader(self) -> str:
-        """Give the node that is believed to lead, empty if unknown."""
+        """Return the node of the presumed leader, empty if unknown."""
 
     @property
     def commit_index(self) -> int:
-        """Give the index up to which entries are known committed."""
+        """Return the index of the last entry known to be committed."""
 
     @property
     def applied_index(self) -> int:
-        """Give the index that the machine's state is at."""
+        """Return the index of the last applied entry."""
 
     async def propose(self, command: bytes) -> proposing.ProposeResult:
-        """Replicate a command and give the machine's answer."""
+        """Replicate a command and return the machine's result."""
 
     async def read_barrier(self) -> int:
-        """Return once the local machine is known to be current."""
+        """Return once the local machine is linearizably current."""
 
     def has_lease(self) -> bool:
-        """Tell whether this host leads and knows that nobody else does."""
+        """Return whether this host holds the leader lease."""
