--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -1,4 +1,4 @@
-"""Run a control host: replicated groups, the feed's root and operations."""
+"""Run a control host: replicated groups, the feed's root and requests."""
 
 from __future__ import annotations
 
@@ -38,44 +38,44 @@
     relay,
 )
 
-# A control host serves few children of each zone; these serve the others.
-CHILDREN_IN_ZONE = 2
-CHILDREN = 64
-TEND_SECONDS = 1.0
-# Elections spread over this much more than the shortest silence; more would
-# outlast the nodes' leases, less would let candidates split the votes.
-ELECTION_SPREAD = 1.6
+# Feed children in total and per zone; these relay to the rest of their zone.
+MAX_CHILDREN_PER_ZONE = 2
+MAX_CHILDREN = 64
+POLL_SECONDS = 1.0
+# Ratio of the longest election timeout to the shortest: a larger one outlasts
+# the nodes' leases, a smaller one splits votes.
+ELECTION_TIMEOUT_RATIO = 1.6
 _log = logging.getLogger('tamarackthread.control')
 
 
 class Host:
-    """Hold the parts of a control host's process."""
+    """Build, run and stop the components of a control host."""
 
     def __init__(self, settings: generated.Settings) -> None:
-        """Build the parts; ``run`` starts them."""
+        """Build the components; ``run`` starts them."""
         assert settings.control is not None
         self._settings = settings
-        self._own = settings.control
+        self._control = settings.control
         self._node = settings.node.id
-        self._folder = folder.DataFolder(self._own.data_folder)
+        self._folder = folder.DataFolder(self._control.data_folder)
         self._place = process.take_place(settings)
         self._rng = random.Random()
         self._links = peers.Peers(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
-        self._machine = configuration.Configuration(self._own.audit_records)
-        self._config = self._group(request_handler.CONFIG, self._machine)
-        self._leading = leadership.Leadership(self._config)
+        self._machine = configuration.Configuration(self._control.audit_records)
+        self._config = self._build_group(request_handler.CONFIG, self._machine)
+        self._leadership = leadership.Leadership(self._config)
         self._feed = self._build_feed()
-        self._leading.on_other_leader(self._feed.retry_now)
+        self._leadership.on_other_leader(self._feed.retry_now)
         self._source = feed_source.ControlSource(
-            self._leading,
+            self._leadership,
             self._machine,
             self._feed,
-            self._own.timing.node_lease_seconds,
+            self._control.timing.node_lease_seconds,
         )
-        self._propose = config_proposer.ConfigProposer(self._config, time.time)
-        self._written = {
-            kind: target_documents.DocumentWriter(kind, self._propose)
+        self._proposer = config_proposer.ConfigProposer(self._config, time.time)
+        self._writers = {
+            kind: target_documents.DocumentWriter(kind, self._proposer)
             for kind in (documents.TARGET, documents.ENTRY)
         }
         self._sweeps = self._build_sweeps()
@@ -83,38 +83,41 @@
         self._listener = listener.Listener(self._place.options, self._handler)
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then hand over and end."""
+        """Run until SIGTERM or the failure of a group, then drain and stop.
+
+        Raises the failure of the group.
+        """
         address = await self._listener.start_on(self._place.bound)
         for group in self._groups.values():
             await group.start()
         self._feed.start()
         loop = asyncio.get_running_loop()
-        working = [
-            loop.create_task(self._leading.run()),
-            loop.create_task(self._tend()),
+        tasks = [
+            loop.create_task(self._leadership.run()),
+            loop.create_task(self._run_leader_tasks()),
         ]
         if announce is not None:
             announce({'link': address})
-        _log.info('control: listens on %s', address)
-        stopping = loop.create_task(process.stop_asked())
-        failing = loop.create_task(self._failure())
+        _log.info('control: listening on %s', address)
+        stop_requested = loop.create_task(process.stop_asked())
+        group_failed = loop.create_task(self._wait_for_failure())
         await asyncio.wait(
-            (stopping, failing),
+            (stop_requested, group_failed),
             return_when=asyncio.FIRST_COMPLETED,
         )
-        await self._leave()
-        for work in (*working, stopping):
-            work.cancel()
-        if failing.done():
-            raise failing.result()
-        failing.cancel()
+        await self._shut_down()
+        for task in (*tasks, stop_requested):
+            task.cancel()
+        if group_failed.done():
+            raise group_failed.result()
+        group_failed.cancel()
 
-    def _group(
+    def _build_group(
         self,
         name: str,
         machine: configuration.Configuration | claims.ClaimsMachine,
     ) -> consensus.Consensus:
-        members = {held.node: held.address for held in self._own.members}
+        members = {row.node: row.address for row in self._control.members}
         group = consensus.Consensus(
             group=name,
             node=self._node,
@@ -122,7 +125,7 @@
             disk=disk.FolderDisk(self._folder.group_path(name)),
             transport=transport.LinkTransport(self._links),
             members=members,
-            timing=timing_of(self._own),
+            timing=timing_of(self._control),
             rng=self._rng,
         )
         self._groups[name] = group
@@ -141,15 +144,15 @@
 
     def _build_sweeps(self) -> list[target_documents.LivenessSweep]:
         sweeps = []
-        for kind, written in self._written.items():
+        for kind, writer in self._writers.items():
             sweep = target_documents.LivenessSweep(
                 self._machine,
                 self._feed.below,
-                written,
+                writer,
                 kind,
-                self._own.timing.target_lease_seconds,
+                self._control.timing.target_lease_seconds,
             )
-            self._leading.on_lead(sweep.restart)
+            self._leadership.on_lead(sweep.restart)
             sweeps.append(sweep)
         return sweeps
 
@@ -160,27 +163,27 @@
             relay.FeedServer(
                 self._source,
                 self._feed.below,
-                relay.Limits(CHILDREN, CHILDREN_IN_ZONE),
+                relay.Limits(MAX_CHILDREN, MAX_CHILDREN_PER_ZONE),
                 self._rng,
             ),
         )
         handler.attach(
             self._machine,
-            self._leading,
+            self._leadership,
             operations.Operations(
                 operations.Dependencies(
                     machine=self._machine,
-                    leading=self._leading,
+                    leading=self._leadership,
                     origin=self._source,
                     below=self._feed.below,
-                    propose=self._propose,
+                    proposer=self._proposer,
                     targets=target_documents.TargetDocuments(
                         self._machine,
-                        self._written[documents.TARGET],
+                        self._writers[documents.TARGET],
                     ),
-                    entry_list=entry_registry.EntryRegistry(
+                    entries=entry_registry.EntryRegistry(
                         self._machine,
-                        self._written[documents.ENTRY],
+                        self._writers[documents.ENTRY],
                     ),
                     links=self._links,
                     own_node=self._node,
@@ -198,11 +201,11 @@
     def _build_claims(self) -> dict[str, claim_service.ClaimService]:
         incarnation = self._place.options.identity.incarnation
         services = {}
-        for name in shards.group_names(self._own.claim_shards):
+        for name in shards.group_names(self._control.claim_shards):
             machine = claims.ClaimsMachine()
             services[name] = claim_service.ClaimService(
                 machine,
-                self._group(name, machine),
+                self._build_group(name, machine),
                 f'{self._node}/{incarnation}',
             )
         return services
@@ -213,60 +216,59 @@
                 return member.address
         return ''
 
-    async def _failure(self) -> Exception:
-        """Wait until a group can't go on, and give the reason.
+    async def _wait_for_failure(self) -> Exception:
+        """Wait for a group to halt and return its failure.
 
-        A group that a fault has halted votes and answers no more, while its
-        process would look alive for ever.  Ending the process shows the
-        fault, and a start reads the disk anew.
+        The process exits with it, since it would look alive without serving
+        the group; a restart reloads the disk.
         """
         while True:
-            await asyncio.sleep(TEND_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             for group in self._groups.values():
                 if group.failure is not None:
                     return group.failure
 
-    async def _tend(self) -> None:
-        """Do the leader's regular work."""
+    async def _run_leader_tasks(self) -> None:
+        """Run the leader's periodic tasks."""
         while True:
-            await asyncio.sleep(TEND_SECONDS)
-            if not self._leading.leads():
+            await asyncio.sleep(POLL_SECONDS)
+            if not self._leadership.leads():
                 continue
             with contextlib.suppress(errors.CodedError):
                 await shards.create_documents(
                     self._machine,
-                    self._propose,
-                    self._own.claim_shards,
+                    self._proposer,
+                    self._control.claim_shards,
                 )
                 for sweep in self._sweeps:
                     await sweep.sweep()
 
-    async def _leave(self) -> None:
-        _log.info('control: leaves')
+    async def _shut_down(self) -> None:
+        _log.info('control: shutting down')
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._own.drain_seconds):
-                await self._hand_over()
+            async with asyncio.timeout(self._control.drain_seconds):
+                await self._drain()
         self._listener.close()
         self._links.close()
         self._folder.close()
 
-    async def _hand_over(self) -> None:
-        # Requests in flight end with the groups' answers; who asks anew is
-        # told to go elsewhere, because this host leads no more.
+    async def _drain(self) -> None:
+        # Requests in flight complete with their groups; new ones are refused
+        # with "not leader", so that clients try another host.
         self._listener.stop_accepting()
         await self._feed.stop()
-        stopping = [group.stop() for group in self._groups.values()]
-        await asyncio.gather(*stopping)
+        stops = [group.stop() for group in self._groups.values()]
+        await asyncio.gather(*stops)
 
 
 def timing_of(own: generated.Control) -> timing.Timing:
-    """Turn settings into the times of the replicated groups."""
-    given = own.timing
+    """Convert settings to the timing of the replicated groups."""
+    times = own.timing
     return timing.Timing(
-        heartbeat=given.heartbeat_seconds,
-        election_min=given.election_seconds,
-        election_max=given.election_seconds * ELECTION_SPREAD,
-        drift=1 - given.leader_lease_seconds / given.election_seconds,
+        heartbeat=times.heartbeat_seconds,
+        election_min=times.election_seconds,
+        election_max=times.election_seconds * ELECTION_TIMEOUT_RATIO,
+        drift=1 - times.leader_lease_seconds / times.election_seconds,
         snapshot_entries=own.snapshot_entries,
     )
 
@@ -275,5 +277,5 @@
     settings: generated.Settings,
     announce: process.Announce | None = None,
 ) -> None:
-    """Run a control host until SIGTERM; ``announce`` gets its address."""
+    """Run a control host until SIGTERM; report its address to ``announce``."""
     await Host(settings).run(announce)
--- a/tamarackthread/control/leases.py
+++ b/tamarackthread/control/leases.py
@@ -1,8 +1,7 @@
-"""Grant leases with fencing numbers.
+"""Grant leases with fencing tokens.
 
-Who holds a lease and its fencing number are replicated; renewals are not.
-The leader counts the time on its own clock, and a new leader gives every
-holder a full lease first, because it cannot know the last renewal.
+Holders and tokens are replicated, renewals are not: the leader keeps expiry
+times on its own clock, and a new leader first extends every lease in full.
 """
 
 from __future__ import annotations
@@ -20,21 +19,21 @@
 
 
 class LeaseTable:
-    """Hold who has each lease; part of the replicated state."""
+    """Replicated table of the holder and fencing token of each lease."""
 
     def __init__(self) -> None:
-        """Start with no leases."""
+        """Start empty."""
         self._records: dict[str, messages.LeaseRecord] = {}
 
     def get(self, name: str) -> messages.LeaseRecord | None:
-        """Find the record of a lease, held or released."""
+        """Return the record of a lease, held or released."""
         return self._records.get(name)
 
     def apply(self, request: messages.LeaseRequest) -> messages.LeaseReply:
-        """Hand a lease over if its fencing number is still the one given.
+        """Grant or release a lease if ``request.fence`` is still current.
 
-        The number grows by one for each new holder, and the comparison lets
-        only one of two racing hand-overs through.
+        This compare-and-set admits only one of two concurrent handovers; each
+        grant increments the token.
         """
         record = self._records.get(request.name)
         fence = 0 if record is None else record.fence
@@ -52,14 +51,14 @@
         return reply_to(record, request, granted=True)
 
     def everything(self) -> list[messages.LeaseRecord]:
-        """List all records."""
+        """Return all records."""
         return list(self._records.values())
 
     def replace(
         self,
         records: collections.abc.Iterable[messages.LeaseRecord],
     ) -> None:
-        """Take the records of a snapshot."""
+        """Replace all records by those of a snapshot."""
         self._records = {record.name: record for record in records}
 
     def _release(
@@ -76,19 +75,16 @@
 
 
 @attrs.define
-class _Term:
-    """The end of a lease on the leader's clock, for one fencing number."""
+class _Expiry:
+    """Expiry of a lease on the leader's clock, for one fencing token."""
 
     fence: int
-    ends_at: float
-    contested: bool = False
+    expires_at: float
+    in_handover: bool = False
 
 
 class LeaseManager:
-    """Count lease times on the clock of the leader.
-
-    ``propose`` commits a request to the table and gives the table's reply.
-    """
+    """Renew, grant and release leases as the leader."""
 
     def __init__(
         self,
@@ -99,24 +95,20 @@
         ],
         clock: collections.abc.Callable[[], float],
     ) -> None:
-        """Take the loop's clock; ``lead`` is called before any request.
+        """Commit with ``propose``; ``begin_term`` precedes any request.
 
-        ``table`` gives the table of the moment: a snapshot replaces it.
+        ``table`` returns the current table, which a snapshot may replace.
         """
         self._table = table
         self._propose = propose
         self._clock = clock
-        self._terms: dict[str, _Term] = {}
+        self._expiries: dict[str, _Expiry] = {}
 
     def begin_term(self) -> None:
-        """Give every holder a full lease from now on.
-
-        The leader before may have renewed any of them a moment ago.  Shorter
-        waits would let two holders act at once.
-        """
+        """Extend every lease in full, since its last renewal is unknown."""
         now = self._clock()
-        self._terms = {
-            record.name: _Term(record.fence, now + _seconds(record.lease_ms))
+        self._expiries = {
+            record.name: _Expiry(record.fence, now + _seconds(record.lease_ms))
             for record in self._table().everything()
         }
 
@@ -124,67 +116,68 @@
         self,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        """Renew, release or take over a lease, or say how long to wait."""
+        """Renew, release or grant a lease, or return how long to wait."""
         record = self._table().get(request.name)
         if record is None:
-            return await self._take(record, request)
-        term = self._term(record)
-        owns = _owns(record, request)
+            return await self._grant(record, request)
+        expiry = self._expiry_of(record)
+        is_holder = _is_holder(record, request)
         if request.release:
             return await self._release(record, request)
-        if owns and not term.contested:
-            return self._renew(record, term, request)
-        left = term.ends_at - self._clock()
-        if record.holder and left > 0:
-            wait_ms = int(left * MILLISECONDS) + 1
+        if is_holder and not expiry.in_handover:
+            return self._renew(record, expiry, request)
+        remaining = expiry.expires_at - self._clock()
+        if record.holder and remaining > 0:
+            wait_ms = int(remaining * MILLISECONDS) + 1
             return reply_to(record, request, granted=False, wait_ms=wait_ms)
-        return await self._take(record, request)
-
-    def _term(self, record: messages.LeaseRecord) -> _Term:
-        term = self._terms.get(record.name)
-        if term is None or term.fence != record.fence:
-            # The hand-over was committed but its answer is not processed
-            # yet, so that its time is not known here: count it from now.
-            ends_at = self._clock() + _seconds(record.lease_ms)
-            term = _Term(record.fence, ends_at)
-            self._terms[record.name] = term
-        return term
+        return await self._grant(record, request)
+
+    def _expiry_of(self, record: messages.LeaseRecord) -> _Expiry:
+        expiry = self._expiries.get(record.name)
+        if expiry is None or expiry.fence != record.fence:
+            # The handover is committed but its reply is not processed yet;
+            # the lease counts from now, which is later than granted.
+            expires_at = self._clock() + _seconds(record.lease_ms)
+            expiry = _Expiry(record.fence, expires_at)
+            self._expiries[record.name] = expiry
+        return expiry
 
     def _renew(
         self,
         record: messages.LeaseRecord,
-        term: _Term,
+        expiry: _Expiry,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        # Never longer than recorded: a new leader waits only that long.
-        lease_ms = min(_bounded(request.lease_ms), record.lease_ms)
-        term.ends_at = max(term.ends_at, self._clock() + _seconds(lease_ms))
+        # A new leader waits for the recorded duration only.
+        lease_ms = min(_clamp_ms(request.lease_ms), record.lease_ms)
+        expiry.expires_at = max(
+            expiry.expires_at, self._clock() + _seconds(lease_ms)
+        )
         reply = reply_to(record, request, granted=True)
         reply.lease_ms = lease_ms
         return reply
 
-    async def _take(
+    async def _grant(
         self,
         record: messages.LeaseRecord | None,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        wanted = messages.LeaseRequest(
+        proposal = messages.LeaseRequest(
             name=request.name,
             holder=request.holder,
-            lease_ms=_bounded(request.lease_ms),
+            lease_ms=_clamp_ms(request.lease_ms),
             fence=0 if record is None else record.fence,
             release=False,
         )
         if record is not None:
-            # From here on the hand-over may be committed at any time, also
-            # after a failed answer.  The old holder must not be renewed any
-            # more, or both would hold the lease.
-            self._term(record).contested = True
-        reply = await self._propose(wanted)
+            # The handover may commit even after an error, so the old holder
+            # must not be renewed again.
+            self._expiry_of(record).in_handover = True
+        reply = await self._propose(proposal)
         current = self._table().get(request.name)
         if reply.granted and current and current.fence == reply.fence:
-            ends_at = self._clock() + _seconds(reply.lease_ms)
-            self._terms[request.name] = _Term(reply.fence, ends_at)
+            expires_at = self._clock() + _seconds(reply.lease_ms)
+            self._expiries[request.name] = _Expiry(reply.fence, expires_at)
         return reply
 
     async def _release(
@@ -192,9 +185,9 @@
         record: messages.LeaseRecord,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
-        if not _owns(record, request):
+        if not _is_holder(record, request):
             return reply_to(record, request, granted=False)
-        self._term(record).contested = True
+        self._expiry_of(record).in_handover = True
         return await self._propose(request)
 
 
@@ -204,7 +197,7 @@
     granted: bool,
     wait_ms: int = 0,
 ) -> messages.LeaseReply:
-    """Describe a lease as it stands."""
+    """Build a reply with the current state of a lease."""
     return messages.LeaseReply(
         granted=granted,
         fence=0 if record is None else record.fence,
@@ -214,7 +207,7 @@
     )
 
 
-def _owns(
+def _is_holder(
     record: messages.LeaseRecord,
     request: messages.LeaseRequest,
 ) -> bool:
@@ -223,7 +216,7 @@
     )
 
 
-def _bounded(lease_ms: int | None) -> int:
+def _clamp_ms(lease_ms: int | None) -> int:
     return min(max(lease_ms or 0, MIN_LEASE_MS), MAX_LEASE_MS)
 
 
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -1,4 +1,4 @@
-"""Do what only the leader of the configuration group may do."""
+"""Handle requests that only the leader of the configuration group serves."""
 
 from __future__ import annotations
 
@@ -17,45 +17,51 @@
     target_documents,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, subtree
-from tamarackthread.shared import peers as dialling
+from tamarackthread.shared import errors, peers, subtree
 
-DRAIN_SECONDS = 1.0
+DRAIN_NOTICE_SECONDS = 1.0
 _log = logging.getLogger('tamarackthread.control')
 
 
 @attrs.frozen
 class Dependencies:
-    """What the leader's operations work on."""
+    """Components that the leader's operations use."""
 
     machine: configuration.Configuration
     leading: leadership.Leadership
     origin: feed_source.ControlSource
     below: subtree.Subtree
-    propose: config_proposer.ConfigProposer
+    proposer: config_proposer.ConfigProposer
     targets: target_documents.TargetDocuments
-    entry_list: entry_registry.EntryRegistry
-    links: dialling.Peers
+    entries: entry_registry.EntryRegistry
+    links: peers.Peers
     own_node: str
 
 
 class Operations:
-    """Answer each request that needs the leader."""
+    """Handle each kind of request that needs the leader."""
 
-    def __init__(self, parts: Dependencies) -> None:
-        """Hold soft state anew for each term that this host leads."""
-        self._parts = parts
-        self._keeper = parts.propose.lease_manager(parts.machine)
-        self._portioning = portion_allocator.PortionAllocator(parts.machine)
-        parts.leading.on_lead(self._keeper.begin_term)
-        parts.leading.on_lead(self._portioning.restart)
+    def __init__(self, dependencies: Dependencies) -> None:
+        """Reset unreplicated state at the start of each term as leader."""
+        self._dependencies = dependencies
+        self._lease_manager = dependencies.proposer.lease_manager(
+            dependencies.machine
+        )
+        self._portion_allocator = portion_allocator.PortionAllocator(
+            dependencies.machine
+        )
+        dependencies.leading.on_lead(self._lease_manager.begin_term)
+        dependencies.leading.on_lead(self._portion_allocator.restart)
 
     async def answer(
         self,
         request: messages.Request,
         node: str,
     ) -> messages.Reply:
-        """Answer a request that came from ``node``."""
+        """Handle a request sent by ``node``.
+
+        Raises ``RequestUnsupported`` for any other kind.
+        """
         if request.change is not None:
             change = await self._change(request.change, node)
             return messages.Reply(change=change)
@@ -66,11 +72,11 @@
         if request.status is not None:
             return messages.Reply(status=self._status(request.status))
         if request.portions is not None:
-            leased = self._portioning.answer(request.portions)
-            return messages.Reply(portions=leased)
-        return await self._answer_about_target(request, node)
+            portions_reply = self._portion_allocator.answer(request.portions)
+            return messages.Reply(portions=portions_reply)
+        return await self._handle_target_request(request, node)
 
-    async def _answer_about_target(
+    async def _handle_target_request(
         self,
         request: messages.Request,
         node: str,
@@ -79,19 +85,21 @@
             revision = await self._announce(request.announce, node)
             return messages.Reply(done=messages.Done(value=revision))
         if request.drain is not None:
-            revision = await self._parts.targets.drain(request.drain, node)
-            await self._tell_agent(request.drain)
+            revision = await self._dependencies.targets.drain(
+                request.drain, node
+            )
+            await self._notify_agent(request.drain)
             return messages.Reply(done=messages.Done(value=revision))
         raise errors.RequestUnsupported
 
     async def _announce(
         self,
-        announced: messages.Announcement,
+        announcement: messages.Announcement,
         node: str,
     ) -> int:
-        if announced.entry:
-            return await self._parts.entry_list.announce(announced, node)
-        return await self._parts.targets.announce(announced, node)
+        if announcement.entry:
+            return await self._dependencies.entries.announce(announcement, node)
+        return await self._dependencies.targets.announce(announcement, node)
 
     async def _change(
         self,
@@ -105,51 +113,53 @@
         change.name = change.name or ''
         change.based_on = change.based_on or 0
         change.body = change.body or ''
-        return await self._parts.propose.change(change)
+        return await self._dependencies.proposer.change(change)
 
     async def _lease(
         self,
         request: messages.LeaseRequest,
     ) -> messages.LeaseReply:
         request.fence = request.fence or 0
-        return await self._keeper.request(request)
+        return await self._lease_manager.request(request)
 
     async def _decide(
         self,
         request: messages.DecisionRequest,
     ) -> messages.Reply:
-        known = self._parts.machine.decisions.lookup(request)
-        if known.decision or not request.decision:
-            return messages.Reply(decision=known)
-        decided = await self._parts.propose.decide(request)
-        return messages.Reply(decision=decided)
+        recorded = self._dependencies.machine.decisions.lookup(request)
+        if recorded.decision or not request.decision:
+            return messages.Reply(decision=recorded)
+        committed = await self._dependencies.proposer.decide(request)
+        return messages.Reply(decision=committed)
 
     def _status(
         self,
         request: messages.StatusRequest,
     ) -> messages.StatusReply:
-        newest = self._parts.machine.documents.revision
+        latest_revision = self._dependencies.machine.documents.revision
         reply = rollout_status.build(
-            request.revision or newest,
-            newest,
-            self._parts.below,
-            self._parts.origin,
-            self._parts.leading.since,
+            request.revision or latest_revision,
+            latest_revision,
+            self._dependencies.below,
+            self._dependencies.origin,
+            self._dependencies.leading.since,
         )
-        reply.leader = self._parts.own_node
-        reply.term = self._parts.leading.term
+        reply.leader = self._dependencies.own_node
+        reply.term = self._dependencies.leading.term
         return reply
 
-    async def _tell_agent(self, request: messages.DrainRequest) -> None:
-        """Tell the agent at once; it also learns it from its documents."""
-        address = self._parts.targets.address_of(request.target)
+    async def _notify_agent(self, request: messages.DrainRequest) -> None:
+        """Notify the agent early; it also reads the mark in its documents."""
+        address = self._dependencies.targets.address_of(request.target)
         if not address:
             return
         try:
-            await self._parts.links.request(
+            await self._dependencies.links.request(
                 address,
                 messages.Request(drain=request),
-                DRAIN_SECONDS,
+                DRAIN_NOTICE_SECONDS,
             )
         except errors.CodedError as exc:
-            _log.info('control: agent at %s not told, %s', address, exc)
+            _log.info(
+                'control: drain notice to agent at %s failed, %s', address, exc
+            )
