--- a/tamarackthread/control/forwarding.py
+++ b/tamarackthread/control/forwarding.py
@@ -47,7 +47,7 @@
             return ''
         return self._address_of(leader)
 
-    async def ask(
+    async def forward(
         self,
         request: messages.Request,
         leads: collections.abc.Callable[[], bool],
@@ -60,13 +60,13 @@
             if leads():
                 return None
             try:
-                return await self._ask_leader(request)
+                return await self._forward_once(request)
             except _RETRYABLE as exc:
                 failure = exc
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         raise failure
 
-    async def _ask_leader(self, request: messages.Request) -> messages.Reply:
+    async def _forward_once(self, request: messages.Request) -> messages.Reply:
         address = self.leader_address()
         if not address:
             raise failures.NotLeader('no leader is known')
--- a/tamarackthread/control/leadership.py
+++ b/tamarackthread/control/leadership.py
@@ -11,7 +11,7 @@
 POLL_INTERVAL_SECONDS = 0.05
 _log = logging.getLogger('tamarackthread.control')
 
-OnLead = collections.abc.Callable[[], None]
+Listener = collections.abc.Callable[[], None]
 
 
 class Leadership:
@@ -25,8 +25,8 @@
         self._config = config
         self._term = 0
         self._since: float = 0
-        self._listeners: list[OnLead] = []
-        self._other_leader_listeners: list[OnLead] = []
+        self._listeners: list[Listener] = []
+        self._other_leader_listeners: list[Listener] = []
         self._known_leader = ''
 
     @property
@@ -39,11 +39,11 @@
         """Return the term that this host led last."""
         return self._term
 
-    def on_lead(self, listener: OnLead) -> None:
+    def on_lead(self, listener: Listener) -> None:
         """Call ``listener`` at the start of each term that this host leads."""
         self._listeners.append(listener)
 
-    def on_other_leader(self, listener: OnLead) -> None:
+    def on_other_leader(self, listener: Listener) -> None:
         """Call ``listener`` whenever another host becomes the known leader."""
         self._other_leader_listeners.append(listener)
 
--- a/tamarackthread/control/requests.py
+++ b/tamarackthread/control/requests.py
@@ -113,7 +113,7 @@
                 return await self._leader.answer(request, node)
             except (failures.NotLeader, failures.OutcomeUnknown):
                 _log.info('control: lost the lead, asks the next leader')
-        reply = await self._forwarder.ask(request, self._leading.leads)
+        reply = await self._forwarder.forward(request, self._leading.leads)
         if reply is None:
             return await self._leader.answer(request, node)
         return reply
--- a/tests/consensus_net.py
+++ b/tests/consensus_net.py
@@ -61,7 +61,7 @@
         self.machines: dict[str, typing.Any] = {}
         self._times = timing.Timing(**times)
 
-    async def start(self, *nodes: str, named: bool = True) -> None:
+    async def start(self, *nodes: str, configured: bool = True) -> None:
         """Start hosts, with or without each other in their settings."""
         for node in nodes:
             platter = self.platters.setdefault(node, disks.Platter(self.rng))
@@ -72,7 +72,7 @@
                 machine=self.machines[node],
                 disk=platter.mount(),
                 transport=self.network.transport(node),
-                members={name: name for name in NODES} if named else {},
+                members={name: name for name in NODES} if configured else {},
                 timing=self._times,
                 rng=self.rng,
             )
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -198,7 +198,7 @@
         self.run_paused(self._full_at_election())
 
     def test_wiped_disk_has_no_vote(self) -> None:
-        """Guards against a wiped voter that elects a leader with a stale log."""
+        """Guards against a wiped voter that elects a leader with an old log."""
         self.run_paused(self._wiped_vote())
 
     def test_second_host_lost_after_repair(self) -> None:
@@ -434,7 +434,7 @@
         await net.fill(leader, 100)
         lost = next(node for node in consensus_net.NODES if node != leader)
         net.kill(lost)
-        await net.start('h4', named=False)
+        await net.start('h4', configured=False)
         net.processes[leader].replace(lost, 'h4', 'h4')
         await net.until(lambda: net.processes['h4'].members())
         net.kill(leader)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -36,7 +36,7 @@
         async def scenario():
             group = types.SimpleNamespace(leader='old')
             pending = asyncio.ensure_future(
-                forwarder(group, 'old').ask(REQUEST, bool),
+                forwarder(group, 'old').forward(REQUEST, bool),
             )
             await asyncio.sleep(1)
             group.leader = 'new'
@@ -49,7 +49,7 @@
         async def scenario():
             group = types.SimpleNamespace(leader='')
             with self.assertRaises(failures.NotLeader):
-                await forwarder(group).ask(REQUEST, bool)
+                await forwarder(group).forward(REQUEST, bool)
 
         feed_net.run_paused(scenario)
 
@@ -57,7 +57,7 @@
         async def scenario():
             group = types.SimpleNamespace(leader='own')
             leads = iter((False, False, True))
-            request = forwarder(group).ask(REQUEST, lambda: next(leads))
+            request = forwarder(group).forward(REQUEST, lambda: next(leads))
             self.assertIsNone(await request)
 
         feed_net.run_paused(scenario)
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -173,7 +173,7 @@
         lost = next(node for node in consensus_net.NODES if node != leader)
         net.kill(lost)
         await asyncio.sleep(2)
-        await net.start('h4', named=False)
+        await net.start('h4', configured=False)
         await _join(net, leader, 'h4')
         wanted = {*consensus_net.NODES, 'h4'} - {lost}
         await net.until(lambda: _voters(net, leader) == wanted)
@@ -182,7 +182,7 @@
         net = consensus_net.Net(min_voters=3)
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
-        await net.start('h4', named=False)
+        await net.start('h4', configured=False)
         await _join(net, leader, 'h4')
         await net.until(lambda: len(_voters(net, leader)) == 4)
         gone = next(node for node in consensus_net.NODES if node != leader)
