--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -55,7 +55,7 @@
         """Start without calls; ``epoch`` names this start of the host."""
         self._epoch = epoch
         self._reports: dict[str, _EntryReport] = {}
-        self._sums: dict[str, CallTotals] = {}
+        self._totals: dict[str, CallTotals] = {}
         self._changed_at: dict[str, int] = {}
         self._serial = 0
         self._suspects_serial = 0
@@ -65,10 +65,7 @@
         entry: str,
         request: messages.SiteLoadRequest,
     ) -> messages.SiteLoadReply:
-        """Record an entry's calls and return the totals that have changed.
-
-        The totals include the calls just reported.
-        """
+        """Record an entry's calls; return changed totals, which include them."""
         now = asyncio.get_running_loop().time()
         rows = {
             row.id: CallTotals(row.calls, row.answered or 0, row.failed or 0)
@@ -88,7 +85,7 @@
             epoch=self._epoch,
             serial=self._serial,
             changed=[
-                _message(target, self._sums[target])
+                _message(target, self._totals[target])
                 for target, serial in self._changed_at.items()
                 if serial > known_serial
             ],
@@ -126,8 +123,8 @@
             if old == new:
                 continue
             self._serial += 1
-            summed = self._sums.get(target, _NO_CALLS)
-            self._sums[target] = summed.with_change(old, new)
+            totals = self._totals.get(target, _NO_CALLS)
+            self._totals[target] = totals.with_change(old, new)
             self._changed_at[target] = self._serial
 
     def _drop_silent(self, now: float) -> None:
@@ -137,10 +134,10 @@
                 self._reports.pop(entry)
 
 
-def _message(target: str, summed: CallTotals) -> messages.SiteCalls:
+def _message(target: str, totals: CallTotals) -> messages.SiteCalls:
     return messages.SiteCalls(
         id=target,
-        calls=summed.calls,
-        answered=summed.answered,
-        failed=summed.failed,
+        calls=totals.calls,
+        answered=totals.answered,
+        failed=totals.failed,
     )
--- a/tamarackthread/control/site/maps/demand.py
+++ b/tamarackthread/control/site/maps/demand.py
@@ -72,10 +72,7 @@
         counts_by_target: collections.abc.Mapping[str, ranks.Counts],
         now: float,
     ) -> None:
-        """Add the counts by target, as differences from the last reading.
-
-        Targets that were not part of the last reading add nothing.
-        """
+        """Add the choices of each target since its last reading."""
         increments: _Tokens = []
         for target, counts in counts_by_target.items():
             before = self._last_counts.get(target)
--- a/tamarackthread/control/site/maps/group_state.py
+++ b/tamarackthread/control/site/maps/group_state.py
@@ -20,7 +20,7 @@
 WATCH_SECONDS = 4.0
 # Fraction of a rank's slots above which the group counts as full: calls queue for
 # slots, and shorter steps raise its throughput.
-FULL_SHARE = 0.7
+FULL_FRACTION = 0.7
 # Minimum calls per rank for which a switch pays off.
 MIN_CALLS = 0.8
 # Fraction of the slack between a step and the callers' maximum pause that a reading
@@ -50,7 +50,7 @@
 class GroupState:
     """State of a group, from its reports, its counts and the owner's orders.
 
-    ``placement`` is the map of ``version`` in ``epoch``, and ``highest`` the
+    ``placement`` is the map of ``version`` in ``epoch``, and ``max_version`` the
     highest version issued, whether or not it came into force.  ``group`` is
     ``None`` while reports disagree; ``held`` is the group if found held.
     ``gap`` is the callers' maximum pause in seconds, 0 if unlimited.
@@ -67,7 +67,7 @@
     epoch: int = -1
     version: int = -1
     placement: ranks.GroupMap = ()
-    highest: int = 0
+    max_version: int = 0
     demand: demand.Demand = attrs.field(factory=demand.Demand)
     step_seconds: float = INITIAL_STEP_SECONDS
     copy_slack: float = COPY_SLACK
@@ -84,7 +84,7 @@
     def update(self, group: switching.Group, now: float) -> None:
         """Update the state from the reports of all ranks."""
         self.group = group
-        self.highest = max(self.highest, group.highest_version)
+        self.max_version = max(self.max_version, group.highest_version)
         reports = group.serving_reports
         self._time_step(group.epoch, reports[0].step, now)
         self.calls = sum(map(_calls_of, reports)) / len(reports)
@@ -102,8 +102,8 @@
     @property
     def is_full(self) -> bool:
         """Return whether calls queue for slots at the ranks."""
-        places = self.shape.slots
-        return bool(places) and self.calls >= FULL_SHARE * places
+        slot_count = self.shape.slots
+        return bool(slot_count) and self.calls >= FULL_FRACTION * slot_count
 
     @property
     def has_long_copies(self) -> bool:
@@ -138,14 +138,12 @@
 
     @property
     def read_spacing(self) -> float:
-        """Return the delay that keeps two readings out of the same step.
-
-        It is bounded, as the step time of an idle group is overestimated.
-        """
+        """Return the delay that keeps two readings out of the same step."""
+        # The step time of an idle group is overestimated.
         return min(self.step_seconds, self.gap)
 
     def needs_balancing(self, now: float) -> bool:
-        """Return whether steps were long under load within the last seconds."""
+        """Return whether steps were long under load recently."""
         if now < self._backoff_until:
             return False
         return now - self._loaded_at < WATCH_SECONDS
@@ -183,23 +181,20 @@
 
     def estimate_step(self, moment: float) -> int:
         """Estimate the step that the group will have begun by ``moment``."""
-        since = moment - self._step_at + REPORT_LAG_SECONDS
-        return self._step + int(since / self.step_seconds)
+        elapsed = moment - self._step_at + REPORT_LAG_SECONDS
+        return self._step + int(elapsed / self.step_seconds)
 
-    def next_version(self, least: int) -> int:
-        """Issue a version above ``least`` that no rank has had.
+    def next_version(self, floor: int) -> int:
+        """Issue a version above ``floor`` that no rank has had.
 
         Versions are unique across terms: ranks that had prepared another map
         under the same version would be armed for it.
         """
-        self.highest = max(self.highest, least) + 1
-        return self.highest
+        self.max_version = max(self.max_version, floor) + 1
+        return self.max_version
 
     def _update_load(self, calls: float, now: float) -> None:
-        """Update the load; a group without a map of its own always counts.
-
-        Its initial map is the most uneven and is replaced before steps are long.
-        """
+        """Note whether calls are delayed or the initial map is in force."""
         is_slow = self.step_seconds >= LONG_STEP_SECONDS or self.is_full
         # Long copies are started before the steps become long.
         is_slow |= self.has_long_copies
@@ -214,12 +209,14 @@
         scheduled far too late.
         """
         steps = step - self._step
-        since = now - self._step_at
+        elapsed = now - self._step_at
         if self._step_epoch == epoch:
-            is_soon = steps < MIN_TIMED_STEPS or since < REPORT_LAG_SECONDS
-            if steps <= 0 or (is_soon and since < MAX_TIMING_SECONDS):
+            is_too_close = (
+                steps < MIN_TIMED_STEPS or elapsed < REPORT_LAG_SECONDS
+            )
+            if steps <= 0 or (is_too_close and elapsed < MAX_TIMING_SECONDS):
                 return
-            self.step_seconds = max(self.min_step, since / steps)
+            self.step_seconds = max(self.min_step, elapsed / steps)
         self._step_epoch = epoch
         self._step = step
         self._step_at = now
--- a/tamarackthread/control/site/maps/map_change.py
+++ b/tamarackthread/control/site/maps/map_change.py
@@ -21,7 +21,7 @@
 SLOW_PREPARE_SECONDS = 0.15
 SLOW_LEAD_FACTOR = 1.2
 MAX_LEAD_SECONDS = 0.8
-# Attempts to hold; each one after a step that had already begun is a later step.
+# Attempts to hold; if a step has already begun, a later one is tried.
 HOLD_TRIES = 4
 MILLISECONDS = 1000
 _log = logging.getLogger('tamarackthread.control')
@@ -43,16 +43,16 @@
         self._state = state
         self._group = group
 
-    async def run(self, version: int, wanted: ranks.GroupMap) -> bool:
+    async def run(self, version: int, new_map: ranks.GroupMap) -> bool:
         """Switch the group; return ``False`` only if it may be left held."""
         loop = asyncio.get_running_loop()
         state = self._state
-        began = loop.time()
+        started_at = loop.time()
         await refresh_step_time(self._ranks, state, self._group)
-        if not await self._switcher.prepare(self._group, version, wanted):
+        if not await self._switcher.prepare(self._group, version, new_map):
             return True
-        prepare_seconds = loop.time() - began
-        copies = group_maps.max_copies(state.placement, wanted)
+        prepare_seconds = loop.time() - started_at
+        copies = group_maps.max_copies(state.placement, new_map)
         await asyncio.sleep(
             copies * state.shape.copy_seconds * state.copy_slack
         )
@@ -65,7 +65,7 @@
         ):
             state.back_off(loop.time())
             return False
-        state.record_switch(version, wanted, step, loop.time())
+        state.record_switch(version, new_map, step, loop.time())
         self._log_switch(version, step, prepare_seconds, loop.time() - held_at)
         return True
 
@@ -74,9 +74,9 @@
         loop = asyncio.get_running_loop()
         await refresh_step_time(self._ranks, self._state, self._group)
         lead = _lead_seconds(prepare_seconds)
-        for tries in range(HOLD_TRIES):
-            begun = self._state.estimate_step(loop.time() + lead)
-            step = begun + 1 + tries * 2
+        for attempt in range(HOLD_TRIES):
+            started_step = self._state.estimate_step(loop.time() + lead)
+            step = started_step + 1 + attempt * 2
             if await self._switcher.hold(self._group, step):
                 return step
         _log.info(
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -50,32 +50,36 @@
             return None
         tokens = state.demand.tokens
         paces = [report.pace for report in group.reports]
-        current = group_maps.skew(state.placement, tokens, paces)
-        figures.GROUP_SKEW.labels(group.name).set(current)
-        if current < MIN_SKEW:
+        current_skew = group_maps.skew(state.placement, tokens, paces)
+        figures.GROUP_SKEW.labels(group.name).set(current_skew)
+        if current_skew < MIN_SKEW:
             return None
-        wanted, planned = await self._balance(state, tokens, paces, current)
-        copies = group_maps.total_copies(state.placement, wanted)
-        max_per_rank = group_maps.max_copies(state.placement, wanted)
+        new_map, planned = await self._balance(
+            state, tokens, paces, current_skew
+        )
+        copies = group_maps.total_copies(state.placement, new_map)
+        max_per_rank = group_maps.max_copies(state.placement, new_map)
         log_events.tell(
             _log,
             log_events.Event.PLAN,
             'control: group %s is uneven by %.2f, a map of %d copies has %.2f',
             group.name,
-            current,
+            current_skew,
             copies,
             planned,
             group=group.name,
-            skew=round(current, 2),
+            skew=round(current_skew, 2),
             planned=round(planned, 2),
             copies=copies,
             most_copies=max_per_rank,
             step_ms=round(state.step_seconds * MILLISECONDS),
         )
-        saved = state.step_seconds * (1 - planned / current)
+        saved = state.step_seconds * (1 - planned / current_skew)
         is_worthwhile = state.is_full or saved >= MIN_SAVED_SECONDS
         return (
-            wanted if is_worthwhile and current - planned >= MIN_GAIN else None
+            new_map
+            if is_worthwhile and current_skew - planned >= MIN_GAIN
+            else None
         )
 
     async def _balance(
@@ -83,25 +87,25 @@
         state: group_state.GroupState,
         tokens: group_maps.Tokens,
         paces: group_maps.Paces,
-        current: float,
+        current_skew: float,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map with as few copies as needed; return it and its skew."""
         if state.has_long_copies:
             return await self._plan_staged(state, tokens, paces)
-        for least in (rebalancing.COARSE_MIN_GAIN, rebalancing.MIN_GAIN):
+        for min_gain in (rebalancing.COARSE_MIN_GAIN, rebalancing.MIN_GAIN):
             bounds = rebalancing.Bounds(
-                state.shape.places, state.shape.spare, least
+                state.shape.places, state.shape.spare, min_gain
             )
-            wanted = await self._work.run(
+            new_map = await self._work.run(
                 group_maps.plan, state.placement, tokens, bounds, paces
             )
-            planned = group_maps.skew(wanted, tokens, paces)
+            planned = group_maps.skew(new_map, tokens, paces)
             is_short = (
-                state.step_seconds * planned / current < SHORT_STEP_SECONDS
+                state.step_seconds * planned / current_skew < SHORT_STEP_SECONDS
             )
             if is_short and not state.is_full:
                 break
-        return wanted, planned
+        return new_map, planned
 
     async def _plan_staged(
         self,
@@ -111,7 +115,7 @@
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
         bounds = rebalancing.Bounds(state.shape.places, state.shape.spare)
-        wanted = await self._work.run(
+        new_map = await self._work.run(
             group_planning.plan,
             state.placement,
             tokens,
@@ -119,4 +123,4 @@
             paces,
             state.cost(asyncio.get_running_loop().time()),
         )
-        return wanted, group_maps.skew(wanted, tokens, paces)
+        return new_map, group_maps.skew(new_map, tokens, paces)
--- a/tamarackthread/control/site/maps/membership.py
+++ b/tamarackthread/control/site/maps/membership.py
@@ -22,10 +22,7 @@
 
 
 class Membership:
-    """Track the groups of services that have several.
-
-    A silent rank keeps its last group, since links may lose its reports.
-    """
+    """Track the groups of services; a silent rank keeps its last group."""
 
     def __init__(self) -> None:
         """Start without reports."""
--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -47,10 +47,7 @@
 
 
 class Owner:
-    """Discover the groups, release held ones and balance their maps.
-
-    Groups are reconciled independently, each by one task at a time.
-    """
+    """Release held groups and balance maps, for each group independently."""
 
     def __init__(
         self,
@@ -80,18 +77,17 @@
 
     @property
     def discovery_interval(self) -> float:
-        """Return the seconds until the next discovery.
-
-        It is short after a release: the group's demand is out of date.
-        """
-        usual, max_reports = self._base_interval()
-        return max(usual, self._report_count / max_reports)
+        """Return the seconds until the next discovery, few after a release."""
+        interval, max_reports = self._base_interval()
+        return max(interval, self._report_count / max_reports)
 
     def _base_interval(self) -> tuple[float, int]:
         """Return the interval and the maximum number of reports per second."""
-        owned = asyncio.get_running_loop().time() - self._started_at
-        is_fast = self._has_incomplete_service and owned < MAX_FAST_SECONDS
-        if self._has_released or is_fast or owned < MIN_FAST_SECONDS:
+        owned_seconds = asyncio.get_running_loop().time() - self._started_at
+        is_fast = (
+            self._has_incomplete_service and owned_seconds < MAX_FAST_SECONDS
+        )
+        if self._has_released or is_fast or owned_seconds < MIN_FAST_SECONDS:
             return FAST_INTERVAL_SECONDS, MAX_FAST_REPORTS_PER_SECOND
         if self._membership.has_closed_group:
             return CLOSED_DISCOVERY_SECONDS, MAX_FAST_REPORTS_PER_SECOND
@@ -195,15 +191,12 @@
         await readings.read_demand(self._ranks, state, group)
         if state.awaits_demand:
             self._expedite_others(state)
-        wanted = await self._planner.plan(state, group)
-        if wanted is not None:
-            await self._switch(state, group, wanted, term)
+        new_map = await self._planner.plan(state, group)
+        if new_map is not None:
+            await self._switch(state, group, new_map, term)
 
     def _expedite_others(self, shifted: group_state.GroupState) -> None:
-        """Let the service's other groups be read at once.
-
-        Calls are spread over all groups, so a shift affects them alike.
-        """
+        """Let other groups of the service be read at once: all demand shifts."""
         for state in self._states.values():
             if state is not shifted and state.service == shifted.service:
                 state.read_at = -math.inf
@@ -290,13 +283,13 @@
         self,
         state: group_state.GroupState,
         group: switching.Group,
-        wanted: ranks.GroupMap,
+        new_map: ranks.GroupMap,
         term: int,
     ) -> None:
         switcher = switching.Switcher(self._ranks, self._fences.current(term))
         change = map_change.MapChange(self._ranks, switcher, state, group)
         version = state.next_version(term * recovery.FENCES_PER_TERM)
-        is_safe = await change.run(version, wanted)
+        is_safe = await change.run(version, new_map)
         self._fences.observe(switcher)
         if not is_safe:
             # An unanswered arm order may still be carried out, and would switch
--- a/tamarackthread/control/site/maps/ranks.py
+++ b/tamarackthread/control/site/maps/ranks.py
@@ -79,10 +79,7 @@
 
 @attrs.frozen
 class Rank:
-    """Address of a rank, and whether it takes calls.
-
-    A rank in an evacuated zone takes no calls but still serves its experts.
-    """
+    """Address of a rank, which takes no calls while its zone is evacuated."""
 
     target: str
     address: str
--- a/tamarackthread/control/site/maps/readings.py
+++ b/tamarackthread/control/site/maps/readings.py
@@ -92,10 +92,11 @@
 ) -> int:
     """Return the size of the sample."""
     size = len(group.members)
-    wanted = max(MIN_UNSETTLED_RANKS, math.ceil(size * UNSETTLED_FRACTION))
+    sample_size = max(MIN_UNSETTLED_RANKS, math.ceil(size * UNSETTLED_FRACTION))
     if state.demand.is_settled:
-        wanted = math.ceil(size * SETTLED_FRACTION)
+        sample_size = math.ceil(size * SETTLED_FRACTION)
     numbers = state.shape.sets * state.shape.experts
     return min(
-        wanted, state.max_parallel_reads(client.stall_seconds(numbers)) or size
+        sample_size,
+        state.max_parallel_reads(client.stall_seconds(numbers)) or size,
     )
--- a/tamarackthread/control/site/maps/recovery.py
+++ b/tamarackthread/control/site/maps/recovery.py
@@ -78,6 +78,6 @@
         'control: the switch of group %s at step %d was %s',
         group.name,
         step,
-        'rolled back' if is_rolled_back else 'left to the next look',
+        'rolled back' if is_rolled_back else 'left to the next discovery',
     )
     return is_rolled_back
--- a/tamarackthread/control/site/maps/switching.py
+++ b/tamarackthread/control/site/maps/switching.py
@@ -64,8 +64,8 @@
     @property
     def serving(self) -> tuple[ranks.Rank, ...]:
         """Return the ranks that take calls, or all if none does."""
-        found = tuple(rank for rank in self.members if rank.takes_calls)
-        return found or self.members
+        outcome = tuple(rank for rank in self.members if rank.takes_calls)
+        return outcome or self.members
 
     @property
     def serving_reports(self) -> tuple[ranks.RankReport, ...]:
@@ -156,7 +156,7 @@
                 for rank in group.members[1:]
             )
         )
-        if all(found is ranks.Outcome.DONE for found in outcomes):
+        if all(outcome is ranks.Outcome.DONE for outcome in outcomes):
             return True
         _log_unprepared(group, version, outcomes)
         return False
@@ -164,8 +164,8 @@
     async def hold(self, group: Group, step: int) -> bool:
         """Hold a group at a step; return ``False`` if that had begun."""
         order = self._order(ranks.HOLD, group, step=step)
-        found = await self._send_until_answered(group.members[0], order)
-        return found is ranks.Outcome.DONE
+        outcome = await self._send_until_answered(group.members[0], order)
+        return outcome is ranks.Outcome.DONE
 
     async def fence(self, group: Group, step: int) -> bool:
         """Raise the fence on all ranks of a group that is held at a step.
@@ -181,7 +181,7 @@
                 )
             )
         )
-        return all(found is ranks.Outcome.DONE for found in outcomes)
+        return all(outcome is ranks.Outcome.DONE for outcome in outcomes)
 
     async def _hold_only_at(
         self,
@@ -218,14 +218,14 @@
                 for rank in group.members
             )
         )
-        if not all(found is ranks.Outcome.DONE for found in outcomes):
+        if not all(outcome is ranks.Outcome.DONE for outcome in outcomes):
             # Another owner has completed the switch, or the epoch is over.  In
             # any other case the group stays held, which is slow but safe.
             _log.warning(
                 'control: group %s was not armed for step %d, %s',
                 group.name,
                 armed.step,
-                [found.value for found in outcomes],
+                [outcome.value for outcome in outcomes],
             )
             return False
         return await self.release(group, armed.step, holding)
@@ -284,13 +284,13 @@
         tries: int,
     ) -> ranks.Outcome:
         """Send an order, again while the rank refuses it as not ready."""
-        found = await self._send_until_answered(rank, order)
+        outcome = await self._send_until_answered(rank, order)
         for _ in range(tries):
-            if found is not ranks.Outcome.REFUSED:
+            if outcome is not ranks.Outcome.REFUSED:
                 break
             await asyncio.sleep(PAUSE_SECONDS)
-            found = await self._send_until_answered(rank, order)
-        return found
+            outcome = await self._send_until_answered(rank, order)
+        return outcome
 
     async def _send_until_answered(
         self,
@@ -298,10 +298,7 @@
         order: ranks.Order,
         slots: contextlib.AbstractAsyncContextManager | None = None,
     ) -> ranks.Outcome:
-        """Send an order until the rank responds; orders are idempotent.
-
-        Each attempt holds one of ``slots``.
-        """
+        """Send an order until the rank responds, each time in one of ``slots``."""
         fast_order = order
         if order.operation != ranks.PREPARE:
             fast_order = attrs.evolve(
@@ -310,11 +307,13 @@
         for attempt in range(ORDER_TRIES):
             is_fast = attempt < FAST_TRIES
             async with slots or contextlib.nullcontext():
-                found = await self._send(rank, fast_order if is_fast else order)
-            if attempt and found is ranks.Outcome.REFUSED:
+                outcome = await self._send(
+                    rank, fast_order if is_fast else order
+                )
+            if attempt and outcome is ranks.Outcome.REFUSED:
                 return await self._resolve_refused_retry(rank, order)
-            if found is not ranks.Outcome.UNKNOWN:
-                return found
+            if outcome is not ranks.Outcome.UNKNOWN:
+                return outcome
             await asyncio.sleep(PAUSE_SECONDS)
         return ranks.Outcome.UNKNOWN
 
@@ -343,10 +342,10 @@
         order: ranks.Order,
     ) -> ranks.Outcome:
         """Send an order once."""
-        found = await self._ranks.order(rank, order)
-        if found is ranks.Outcome.OUTDATED:
+        outcome = await self._ranks.order(rank, order)
+        if outcome is ranks.Outcome.OUTDATED:
             self._is_outdated = True
-        return found
+        return outcome
 
 
 def _log_unprepared(
@@ -358,5 +357,5 @@
         'control: group %s did not prepare map %d, %s',
         group.name,
         version,
-        [found.value for found in outcomes],
+        [outcome.value for outcome in outcomes],
     )
--- a/tamarackthread/control/site/rejection_log.py
+++ b/tamarackthread/control/site/rejection_log.py
@@ -14,10 +14,7 @@
 
 
 class RejectionLog:
-    """Log each writer of invalid announcements once.
-
-    A writer that retries several times a second would flood the log.
-    """
+    """Log each writer of invalid announcements once, to not flood the log."""
 
     def __init__(self) -> None:
         """Start without writers."""
--- a/tamarackthread/control/site/site_directory.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -64,10 +64,10 @@
 
     def learn_target(self, announcement: announcements.Announcement) -> None:
         """Record an announcement unless a later one is known."""
-        held = self._announcements.get(announcement.target)
-        if not announcement.follows(held):
+        current = self._announcements.get(announcement.target)
+        if not announcement.follows(current):
             return
-        merged = announcement.after(held)
+        merged = announcement.after(current)
         if merged.state == announcements.State.READY:
             others = self._others_at(merged)
             if any(_is_superseded(merged, other) for other in others):
@@ -75,18 +75,15 @@
             # A newer target has replaced the others at its address.
             for other in others:
                 self._remove(other)
-        if held is not None:
-            self._remove(held)
+        if current is not None:
+            self._remove(current)
         self._announcements[merged.target] = merged
         self._by_address[merged.address][merged.target] = None
 
     def _others_at(
         self, announcement: announcements.Announcement
     ) -> list[announcements.Announcement]:
-        """List the other targets announced at the same address.
-
-        The index avoids a scan of all targets for each announcement.
-        """
+        """List the other targets at the same address, without a full scan."""
         return [
             self._announcements[name]
             for name in self._by_address.get(announcement.address, ())
@@ -100,7 +97,7 @@
         if not at_address:
             self._by_address.pop(announcement.address)
 
-    def learn_document(self, held: document.Document) -> None:
+    def learn_document(self, current: document.Document) -> None:
         """Ignore documents, which the replicated log carries."""
 
     def known_targets(self) -> list[announcements.Announcement]:
@@ -119,8 +116,8 @@
                 continue
             if announcement.state == announcements.State.GONE:
                 continue
-            held = by_address.get(announcement.address)
-            if held is None or _is_preferred(announcement, held):
+            current = by_address.get(announcement.address)
+            if current is None or _is_preferred(announcement, current):
                 by_address[announcement.address] = announcement
         return [
             ranks.Rank(
@@ -133,15 +130,15 @@
 
     def services(self) -> tuple[configuration.Service, ...]:
         """List the services of the current configuration."""
-        held = self._site.held
-        if not held.version:
+        current = self._site.held
+        if not current.version:
             return ()
         if (
             self._configuration is None
-            or self._configuration.version != held.version
+            or self._configuration.version != current.version
         ):
             try:
-                self._configuration = self._reader.read(held.body)
+                self._configuration = self._reader.read(current.body)
             except errors.CodedError as exc:
                 _log.error('control: cannot read the configuration, %s', exc)
                 return ()
@@ -158,20 +155,17 @@
     announcement: announcements.Announcement,
     other: announcements.Announcement,
 ) -> bool:
-    """Return whether a target that started later serves at the address.
-
-    A delayed announcement may arrive after its target was replaced.
-    """
+    """Return whether ``other``, started later, has replaced the target."""
     is_later = 0 < announcement.born < other.born
     return is_later and other.state == announcements.State.READY
 
 
 def _is_preferred(
     announcement: announcements.Announcement,
-    held: announcements.Announcement,
+    current: announcements.Announcement,
 ) -> bool:
-    """Return whether ``announcement`` is likelier than ``held`` at their address."""
+    """Return whether ``announcement`` is likelier than ``current`` at their address."""
     is_ready = announcement.state == announcements.State.READY
-    if is_ready != (held.state == announcements.State.READY):
+    if is_ready != (current.state == announcements.State.READY):
         return is_ready
-    return announcement.born >= held.born
+    return announcement.born >= current.born
--- a/tamarackthread/control/site/target_file.py
+++ b/tamarackthread/control/site/target_file.py
@@ -71,11 +71,11 @@
         ready = [
             announcement for announcement in known if _is_ready(announcement)
         ]
-        wanted = frozenset(
+        stored = frozenset(
             attrs.evolve(announcement, sequence=0, cold=0)
             for announcement in ready
         )
-        if wanted == self._written:
+        if stored == self._written:
             return
         body = json.dumps([_to_row(announcement) for announcement in ready])
         try:
@@ -84,7 +84,7 @@
             # The next start then waits for announcements, as without a file.
             _log.warning('control: cannot write the stored targets, %s', exc)
             return
-        self._written = wanted
+        self._written = stored
 
 
 def _is_ready(announcement: announcements.Announcement) -> bool:
--- a/tamarackthread/control/site/target_registry.py
+++ b/tamarackthread/control/site/target_registry.py
@@ -246,10 +246,7 @@
     held: announcements.Announcement,
     announcement: announcements.Announcement,
 ) -> bool:
-    """Return whether followers must see the change at once.
-
-    Sequence numbers don't matter; becoming cold or warm does.
-    """
+    """Return whether followers must learn of the change at once."""
     if announcement.cold > held.cold or (held.cold and not announcement.cold):
         return True
     return attrs.evolve(held, sequence=0, cold=0) != attrs.evolve(
