--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -47,10 +47,10 @@
             )
         )
 
-    async def request(self, address, asked, seconds):
+    async def request(self, address, request_message, seconds):
         await asyncio.sleep(0.002)
         reply = await self.feeds[address].answer(
-            self.current(address), asked.site
+            self.current(address), request_message.site
         )
         if address in self.silent:
             await asyncio.sleep(seconds)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -73,52 +73,52 @@
         self.run_paused(self._held())
 
     async def _silent(self):
-        asked = groups_of_ranks()
-        tasks = self._begin(asked)
+        rank_groups = groups_of_ranks()
+        tasks = self._begin(rank_groups)
         await asyncio.sleep(3)
-        broken, *others = asked.groups
+        silent_group, *others = rank_groups.groups
         before = [group.rows[0].version for group in others]
-        broken.lost = 1
-        for group in asked.groups:
+        silent_group.loss_rate = 1
+        for group in rank_groups.groups:
             group.set_favourite(5)
         await asyncio.sleep(2)
         for group, version in zip(others, before, strict=True):
             self.assertGreater(group.rows[0].version, version)
-        await self._end(asked, tasks)
+        await self._end(rank_groups, tasks)
 
     async def _held(self):
-        asked = groups_of_ranks()
-        steps = [asyncio.create_task(one.run()) for one in asked.groups]
+        rank_groups = groups_of_ranks()
+        steps = [asyncio.create_task(one.run()) for one in rank_groups.groups]
         await asyncio.sleep(1)
-        before = [one.step for one in asked.groups]
-        for held in asked.groups:
+        before = [one.step for one in rank_groups.groups]
+        for held in rank_groups.groups:
             held.rows[0].held = held.step + 1
-        owner_task = asyncio.create_task(self._owner_loop(asked).run())
+        owner_task = asyncio.create_task(self._owner_loop(rank_groups).run())
         await asyncio.sleep(1.2)
-        for group, step in zip(asked.groups, before, strict=True):
+        for group, step in zip(rank_groups.groups, before, strict=True):
             self.assertGreater(group.step, step)
-        await self._end(asked, [*steps, owner_task])
+        await self._end(rank_groups, [*steps, owner_task])
 
-    def _begin(self, asked):
-        work = [group.run() for group in asked.groups]
-        work.append(self._owner_loop(asked).run())
+    def _begin(self, rank_groups):
+        work = [group.run() for group in rank_groups.groups]
+        work.append(self._owner_loop(rank_groups).run())
         return [asyncio.create_task(one) for one in work]
 
-    def _owner_loop(self, asked):
+    def _owner_loop(self, rank_groups):
         return owner_loop.OwnerLoop(
             test_site_maps.FormerLeader(),
             GroupRecorder(),
             test_site_maps.OneServiceDirectory(),
-            test_site_maps.owner_of(asked),
+            test_site_maps.owner_of(rank_groups),
             outlives_lease=True,
         )
 
-    async def _end(self, asked, tasks):
+    async def _end(self, rank_groups, tasks):
         for task in tasks:
             task.cancel()
-        await asked.close()
-        for group in asked.groups:
-            self.assertEqual([], group.mixed)
+        await rank_groups.close()
+        for group in rank_groups.groups:
+            self.assertEqual([], group.mixed_steps)
 
 
 def uneven_demand():
@@ -198,30 +198,30 @@
             self.current, self.tokens, self.bounds, (), cost
         )
 
-    def lost(self, cost, before, wanted):
+    def lost(self, cost, before, new_map):
         return cost.relative_step_time(
             before,
-            group_maps.skew(wanted, self.tokens, ()),
-            group_maps.max_copies(self.current, wanted),
+            group_maps.skew(new_map, self.tokens, ()),
+            group_maps.max_copies(self.current, new_map),
         )
 
 
 class DurationCase(unittest.TestCase):
     def test_how_long_demand_lasts(self):
         """The expected remainder follows from the duration of earlier demands."""
-        known = demand.Demand()
+        state = demand.Demand()
         counts = [0, 0, 0, 0]
         for reading in range(60):
             now = reading / 10
             counts[int(now / SHIFT_SECONDS) % 4] += 50
-            known.add_counts({'t': ranks.Counts(1, (tuple(counts),))}, now)
+            state.add_counts({'t': ranks.Counts(1, (tuple(counts),))}, now)
         shifted_at = 2 * SHIFT_SECONDS
         self.assertAlmostEqual(
             SHIFT_SECONDS - 1,
-            known.remaining_seconds(shifted_at + 1),
+            state.remaining_seconds(shifted_at + 1),
             delta=0.2,
         )
-        self.assertGreater(known.remaining_seconds(shifted_at + 10), 0)
+        self.assertGreater(state.remaining_seconds(shifted_at + 10), 0)
 
 
 class MixedReadingCase(policy_case.PausedCase):
@@ -236,19 +236,19 @@
         planner = map_planner.MapPlanner(test_site_maps.timed_work.TimedWork(0))
         group = _group()
         for shape in (SHARED, attrs.evolve(SHARED, copy_seconds=0.001)):
-            known = group_state.GroupState(shape, version=1)
+            state = group_state.GroupState(shape, version=1)
             held, tokens = uneven_demand()
-            known.placement = held
-            known.step_seconds = 0.2
+            state.placement = held
+            state.step_seconds = 0.2
             counts = tokens
             for now, more in enumerate(
                 (tokens, tokens, tuple(reversed(tokens)))
             ):
                 counts = _added(counts, more)
-                known.demand.add_counts({'t0': ranks.Counts(1, counts)}, now)
-            self.assertTrue(known.demand.is_mixed)
-            wanted = await planner.plan(known, group)
-            self.assertEqual(shape is SHARED, wanted is None)
+                state.demand.add_counts({'t0': ranks.Counts(1, counts)}, now)
+            self.assertTrue(state.demand.is_mixed)
+            new_map = await planner.plan(state, group)
+            self.assertEqual(shape is SHARED, new_map is None)
 
 
 def _added(counts, more):
@@ -300,23 +300,23 @@
         self.run_paused(self._paused())
 
     async def _paused(self):
-        maps = SlowOwner()
+        slow_owner = SlowOwner()
         working = owner_loop.OwnerLoop(
             test_site_maps.FormerLeader(),
             GroupRecorder(),
             test_site_maps.OneServiceDirectory(),
-            maps,
+            slow_owner,
             outlives_lease=True,
         )
         owner_task = asyncio.create_task(working.run())
         await asyncio.sleep(5)
         owner_task.cancel()
-        self.assertGreater(len(maps.worked), 3)
+        self.assertGreater(len(slow_owner.worked), 3)
         pauses = [
             later[0] - earlier[1]
-            for earlier, later in itertools.pairwise(maps.worked)
+            for earlier, later in itertools.pairwise(slow_owner.worked)
         ]
-        self.assertGreaterEqual(min(pauses), maps.read_interval)
+        self.assertGreaterEqual(min(pauses), slow_owner.read_interval)
 
 
 class SlowOwner:
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -53,10 +53,10 @@
         group = NarrowLink()
         switcher = switching.Switcher(group, 1)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         self.assertTrue(await switcher.prepare(group.group(), 2, ()))
         self.assertEqual(group.SIZE, group.sent)
-        self.assertLess(loop.time() - began, 0.5)
+        self.assertLess(loop.time() - started_at, 0.5)
 
 
 class FullGroupCase(policy_case.PausedCase):
--- a/tests/test_many_targets.py
+++ b/tests/test_many_targets.py
@@ -47,32 +47,32 @@
 class SiteDirectoryCase(policy_case.PausedCase):
     def test_one_announcement(self):
         """Recording an announcement does not scan all targets."""
-        known = site_directory.SiteDirectory(machine.SiteMachine(), None)
+        directory = site_directory.SiteDirectory(machine.SiteMachine(), None)
         for number in range(TARGETS):
-            known.learn_target(announcement(number))
-        held = known._announcements
-        known._announcements = NoScanDict(held)
-        known.learn_target(announcement(7, sequence=2))
+            directory.learn_target(announcement(number))
+        held = directory._announcements
+        directory._announcements = NoScanDict(held)
+        directory.learn_target(announcement(7, sequence=2))
         moved = attrs.evolve(
             announcement(TARGETS), address=announcement(8).address
         )
-        known.learn_target(moved)
-        rest = dict.keys(known._announcements)
+        directory.learn_target(moved)
+        rest = dict.keys(directory._announcements)
         self.assertNotIn('t8', rest)
         self.assertIn(moved.target, rest)
 
     def test_address_that_changes(self):
         """A target is kept when another takes over its former address."""
-        known = site_directory.SiteDirectory(machine.SiteMachine(), None)
-        known.learn_target(announcement(1))
-        known.learn_target(
+        directory = site_directory.SiteDirectory(machine.SiteMachine(), None)
+        directory.learn_target(announcement(1))
+        directory.learn_target(
             attrs.evolve(announcement(1, 2), address=announcement(2).address)
         )
-        known.learn_target(announcement(3))
-        known.learn_target(
+        directory.learn_target(announcement(3))
+        directory.learn_target(
             attrs.evolve(announcement(4), address=announcement(1).address)
         )
-        names = sorted(row.target for row in known.known_targets())
+        names = sorted(row.target for row in directory.known_targets())
         self.assertEqual(['t1', 't3', 't4'], names)
 
 
@@ -93,7 +93,7 @@
         async def follow():
             serial = 0
             while True:
-                reply = await site_feed.answer(_peer(0), _asked(serial))
+                reply = await site_feed.answer(_peer(0), _request(serial))
                 serial = reply.serial
                 replies.append(len(reply.targets))
 
@@ -109,12 +109,12 @@
         loop = asyncio.get_running_loop()
         targets = target_registry.TargetRegistry(1.2)
         site_feed = self._feed_with_followers(targets, FOLLOWERS)
-        asking = asyncio.create_task(site_feed.answer(_peer(0), _asked(0)))
+        waiting = asyncio.create_task(site_feed.answer(_peer(0), _request(0)))
         await asyncio.sleep(0.1)
-        began = loop.time()
+        started_at = loop.time()
         targets.record_groups(1, [_group()])
-        await asking
-        self.assertEqual(began, loop.time())
+        await waiting
+        self.assertEqual(started_at, loop.time())
 
     def _feed_with_followers(self, targets, followers):
         site_feed = feed.Feed(machine.SiteMachine(), targets, list, 1)
@@ -129,10 +129,10 @@
     """Ranks that never respond, with a count of the queries."""
 
     def __init__(self):
-        self.asked = 0
+        self.query_count = 0
 
     async def report(self, rank):
-        self.asked += 1
+        self.query_count += 1
 
     async def counts(self, rank, sets):
         """Return nothing."""
@@ -140,7 +140,7 @@
     async def placement(self, rank):
         """Return nothing."""
 
-    async def order(self, rank, asked):
+    async def order(self, rank, silent_ranks):
         return ranks.Outcome.UNKNOWN
 
     def stall_seconds(self, numbers):
@@ -157,21 +157,24 @@
 
     async def _discovers(self):
         rows = [ranks.Rank(f't{number}', 'a') for number in range(TARGETS)]
-        asked = SilentRanks()
-        found = owner.Owner(
-            asked, lambda service: rows, print, test_large_maps.InlineOffload()
+        silent_ranks = SilentRanks()
+        map_owner = owner.Owner(
+            silent_ranks,
+            lambda service: rows,
+            print,
+            test_large_maps.InlineOffload(),
         )
-        found.reset()
+        map_owner.reset()
         shape = types.SimpleNamespace()
         service = configuration.Service(name=SERVICE, experts=shape)
-        await found.discover([service])
+        await map_owner.discover([service])
         self.assertGreaterEqual(
-            found.discovery_interval,
+            map_owner.discovery_interval,
             TARGETS / owner.MAX_FAST_REPORTS_PER_SECOND,
         )
 
 
-def _asked(serial):
+def _request(serial):
     return messages.SiteFeedRequest(
         epoch=1, serial=serial, version=0, zone_changes=0, wait_ms=5000
     )
--- a/tests/test_new_owner.py
+++ b/tests/test_new_owner.py
@@ -38,12 +38,12 @@
 class LossyRanks(test_site_maps.FakeGroup):
     """Lose a share of the responses; the orders are carried out."""
 
-    def __init__(self, generator, share):
+    def __init__(self, generator, loss_rate):
         super().__init__(generator)
-        self.share = share
+        self.loss_rate = loss_rate
 
     async def order(self, rank, asked):
-        if self.random.random() < self.share:
+        if self.random.random() < self.loss_rate:
             await asyncio.sleep(asked.timeout_seconds)
             return ranks.Outcome.UNKNOWN
         await asyncio.sleep(0.003)
@@ -104,8 +104,8 @@
         await asyncio.sleep(1)
         placement = (tuple(map(group._experts, range(test_site_maps.RANKS))),)
         switcher = switching.Switcher(group, 1)
-        held = test_site_maps.view_of(group)
-        self.assertEqual(takes, await switcher.prepare(held, 2, placement))
+        view = test_site_maps.view_of(group)
+        self.assertEqual(takes, await switcher.prepare(view, 2, placement))
         step_task.cancel()
 
     async def _found_soon(self):
@@ -122,7 +122,7 @@
     async def _ended_once(self):
         group = CountedGroup(random.Random(1))
         # Doubles the lag of the reports.
-        group.seen = [*group.seen, *group.seen]
+        group.past_reports = [*group.past_reports, *group.past_reports]
         step_task = asyncio.create_task(group.run())
         await asyncio.sleep(1)
         group.rows[0].held = group.step + 1
@@ -142,8 +142,8 @@
             row.highest = 1
         placement = (tuple(map(group._experts, range(test_site_maps.RANKS))),)
         switcher = switching.Switcher(group, 1)
-        held = test_site_maps.view_of(group)
-        self.assertTrue(await switcher.prepare(held, 2, placement))
+        view = test_site_maps.view_of(group)
+        self.assertTrue(await switcher.prepare(view, 2, placement))
         for number in range(1, test_site_maps.RANKS):
             self.assertEqual(1, group.orders[ranks.PREPARE, f'a{number}'])
         step_task.cancel()
@@ -157,32 +157,32 @@
                 ranks.Rank(f't{number}', f'a{number}')
                 for number in range(RANKS)
             )
-            held = switching.Group(
+            view = switching.Group(
                 name='g', epoch=1, members=members, reports=()
             )
-            began = loop.time()
+            started_at = loop.time()
             switcher = switching.Switcher(group, 1)
             armed = ranks.Armed(1, 9)
-            self.assertTrue(await switcher.finish(held, armed, members[:1]))
-            durations.append(loop.time() - began)
+            self.assertTrue(await switcher.finish(view, armed, members[:1]))
+            durations.append(loop.time() - started_at)
         # With the usual timeout the mean is 0.82 s.
         self.assertLess(statistics.mean(durations), 0.45)
 
     def _begin(self, group):
-        owner_task = owner_loop.OwnerLoop(
+        loop = owner_loop.OwnerLoop(
             test_site_maps.FormerLeader(),
             test_site_maps.EmptyRegistry(),
             test_site_maps.OneServiceDirectory(),
             test_site_maps.owner_of(group),
             outlives_lease=True,
         )
-        return asyncio.create_task(owner_task.run())
+        return asyncio.create_task(loop.run())
 
     async def _end(self, group, step_task, owner_task):
         step_task.cancel()
         owner_task.cancel()
         await group.close()
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
 
 
 class ShiftCase(policy_case.PausedCase):
--- a/tests/test_reading_rest.py
+++ b/tests/test_reading_rest.py
@@ -112,6 +112,6 @@
         group = LargeGroup()
         state = group_state.GroupState(group.SHAPE, gap=0.15, step_seconds=4)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         await readings.read_placement(group, state, group.group())
-        self.assertLess(loop.time() - began, 1)
+        self.assertLess(loop.time() - started_at, 1)
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -66,15 +66,15 @@
         self.random = generator
         self.epoch = 1
         self.step = 0
-        self.mixed = []
-        self.lost = 0.0
-        self.late = 0.0
-        self.copying = 0.0
-        self.answering = 0.002
-        self.silent = ''
+        self.mixed_steps = []
+        self.loss_rate = 0.0
+        self.delay_rate = 0.0
+        self.max_copy_seconds = 0.0
+        self.answer_seconds = 0.002
+        self.silent_address = ''
         self.slow_address = ''
         self.held_steps = 0
-        self.seen = []
+        self.past_reports = []
         self._tasks = set()
         self._counted = [0 for _ in range(8)]
         self._favoured = 0
@@ -92,7 +92,7 @@
                 self.held_steps += 1
             else:
                 self._begin()
-            self.seen = [*self.seen[1:], self._reports()]
+            self.past_reports = [*self.past_reports[1:], self._reports()]
 
     def restart(self):
         """End the epoch, as the restart of a rank does."""
@@ -101,9 +101,12 @@
 
     async def report(self, rank):
         await asyncio.sleep(0.002)
-        if rank.address == self.silent or self.random.random() < self.lost:
+        if (
+            rank.address == self.silent_address
+            or self.random.random() < self.loss_rate
+        ):
             return None
-        return self.seen[0][int(rank.address[1:])]
+        return self.past_reports[0][int(rank.address[1:])]
 
     async def counts(self, rank, sets):
         for expert in range(8):
@@ -124,13 +127,13 @@
     async def order(self, rank, asked):
         row = int(rank.address[1:])
         draw = self.random.random()
-        if draw < self.lost:
+        if draw < self.loss_rate:
             return ranks.Outcome.UNKNOWN
-        if draw < self.lost + self.late:
+        if draw < self.loss_rate + self.delay_rate:
             task = asyncio.create_task(self._later(row, asked))
             self._tasks.add(task)
             return ranks.Outcome.UNKNOWN
-        await asyncio.sleep(self.answering)
+        await asyncio.sleep(self.answer_seconds)
         if rank.address == self.slow_address:
             await asyncio.sleep(RESEND_SECONDS)
         if asked.fence < self.rows[row].fence:
@@ -152,7 +155,7 @@
     def _restart(self):
         self.rows = [_Rank() for _ in range(RANKS)]
         lag = range(int(LAG_SECONDS / STEP_SECONDS))
-        self.seen = [self._reports() for _ in lag]
+        self.past_reports = [self._reports() for _ in lag]
 
     def _experts(self, number):
         return (number, number + RANKS)
@@ -168,7 +171,7 @@
                 row.armed = None
         versions = {rank.version for rank in self.rows}
         if len(versions) > 1:
-            self.mixed.append((self.step, versions))
+            self.mixed_steps.append((self.step, versions))
 
     def _carry_out(self, rank, asked):
         if asked.epoch != self.epoch or asked.fence < rank.fence:
@@ -200,7 +203,7 @@
             return False
         rank.prepared = asked.version
         rank.highest = asked.version
-        copying = self.random.uniform(0, self.copying)
+        copying = self.random.uniform(0, self.max_copy_seconds)
         rank.copied_at = asyncio.get_running_loop().time() + copying
         return True
 
@@ -344,29 +347,29 @@
     async def _history(self, seed):
         generator = random.Random(seed)
         group = FakeGroup(generator)
-        group.lost = generator.choice((0, 0.1, 0.3))
-        group.late = generator.choice((0, 0.1, 0.3))
-        group.copying = generator.choice((0, 0.1, 1))
+        group.loss_rate = generator.choice((0, 0.1, 0.3))
+        group.delay_rate = generator.choice((0, 0.1, 0.3))
+        group.max_copy_seconds = generator.choice((0, 0.1, 1))
         step_task = asyncio.create_task(group.run())
         for fence in range(1, 6):
             await self._run_owner(group, generator, fence)
             if generator.random() < 0.2:
                 group.restart()
-        group.lost = 0
-        group.late = 0
-        calm = owner_of(group)
+        group.loss_rate = 0
+        group.delay_rate = 0
+        last_owner = owner_of(group)
         before = group.step
         for _ in range(6):
-            await asyncio.wait_for(discover_and_reconcile(calm, 9), 60)
+            await asyncio.wait_for(discover_and_reconcile(last_owner, 9), 60)
             await asyncio.sleep(1)
         await asyncio.sleep(7)
-        await calm.discover_and_release(
+        await last_owner.discover_and_release(
             [configuration.Service(name='s', experts=SHAPE)], 9
         )
         await asyncio.sleep(1)
         step_task.cancel()
         await group.close()
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
         self.assertGreater(group.step, before + 20)
 
     async def _run_owner(self, group, generator, fence):
@@ -391,38 +394,38 @@
     async def _late_arm(self):
         group = FakeGroup(random.Random(1))
         step_task = asyncio.create_task(group.run())
-        old = switching.Switcher(group, 1)
+        former = switching.Switcher(group, 1)
         placement = (tuple(map(group._experts, range(RANKS))),)
-        await old.prepare(view_of(group), 1, placement)
+        await former.prepare(view_of(group), 1, placement)
         step = group.step + 20
-        hold = old._order(ranks.HOLD, view_of(group), step=step)
+        hold = former._order(ranks.HOLD, view_of(group), step=step)
         await group.order(group.members('s')[0], hold)
-        arm = old._order(ranks.ARM, view_of(group), version=1, step=step)
+        arm = former._order(ranks.ARM, view_of(group), version=1, step=step)
 
         async def late():
             await asyncio.sleep(2)
             group._carry_out(group.rows[2], arm)
 
-        arriving = asyncio.create_task(late())
+        late_arm = asyncio.create_task(late())
         await asyncio.sleep(1.5)
         await owner_of(group).discover_and_release(
             [configuration.Service(name='s', experts=SHAPE)], 2
         )
-        await arriving
+        await late_arm
         await asyncio.sleep(1)
         step_task.cancel()
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
         self.assertGreater(group.step, step)
 
     async def _long_copies(self, copying):
         group = FakeGroup(random.Random(1))
-        group.copying = copying
+        group.max_copy_seconds = copying
         step_task = asyncio.create_task(group.run())
         map_owner = owner_of(group)
         for _ in range(4):
             await discover_and_reconcile(map_owner, 1)
         step_task.cancel()
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
         self.assertGreater(group.step, 15)
         versions = {row.version for row in group.rows}
         self.assertEqual(1, len(versions))
@@ -434,19 +437,19 @@
         map_owner = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
         await map_owner.discover_and_release([service], 1)
-        group.silent = 'a3'
+        group.silent_address = 'a3'
         for _ in range(3):
             await discover_and_reconcile(map_owner, 1)
         step_task.cancel()
         self.assertLess(0, group.rows[0].version)
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
 
     async def _two_holds(self):
         group = FakeGroup(random.Random(1))
         step_task = asyncio.create_task(group.run())
-        old = switching.Switcher(group, 1)
+        former = switching.Switcher(group, 1)
         placement = (tuple(map(group._experts, range(RANKS))),)
-        await old.prepare(view_of(group), 1, placement)
+        await former.prepare(view_of(group), 1, placement)
         for row in group.rows:
             row.held = group.step + 3
             row.armed = ranks.Armed(1, group.step + 3)
@@ -458,7 +461,7 @@
         )
         await asyncio.sleep(2)
         step_task.cancel()
-        self.assertEqual([], group.mixed)
+        self.assertEqual([], group.mixed_steps)
         self.assertGreater(group.step, before + 20)
 
     async def _lost_orders(self):
@@ -479,14 +482,14 @@
 
     async def _late_report(self):
         group = FakeGroup(random.Random(1))
-        group.answering = 0.05
+        group.answer_seconds = 0.05
         step_task = asyncio.create_task(group.run())
         map_owner = owner_of(group)
         service = configuration.Service(name='s', experts=SHAPE)
         await map_owner.discover_and_release([service], 1)
         while map_owner._states['g'].version <= 0:
             await map_owner.reconcile_all(1)
-        while group.seen[0][0].held is None:
+        while group.past_reports[0][0].held is None:
             await asyncio.sleep(0.01)
         self.assertIsNone(group.rows[0].held)
         before = group.step
@@ -523,7 +526,7 @@
             self.assertEqual(outlives_lease, maps.is_outdated)
             for task in tasks:
                 task.cancel()
-            self.assertEqual([], group.mixed)
+            self.assertEqual([], group.mixed_steps)
 
     async def _without_hold(self):
         group = FakeGroup(random.Random(1))
@@ -537,17 +540,17 @@
         await group.order(group.members('s')[1], arm)
         await asyncio.sleep(1)
         step_task.cancel()
-        self.assertTrue(group.mixed)
+        self.assertTrue(group.mixed_steps)
 
 
 class GroupStateCase(unittest.TestCase):
     def test_copy_time_is_bounded(self):
         """The copy time allowed after failed switches is bounded."""
-        known = group_state.GroupState(SHAPE)
+        state = group_state.GroupState(SHAPE)
         for _ in range(20):
-            known.back_off(0)
-        self.assertLess(known.copy_slack, 10 * group_state.COPY_SLACK)
-        self.assertGreater(known.copy_slack, group_state.COPY_SLACK)
+            state.back_off(0)
+        self.assertLess(state.copy_slack, 10 * group_state.COPY_SLACK)
+        self.assertGreater(state.copy_slack, group_state.COPY_SLACK)
 
 
 class RebalanceCase(unittest.TestCase):
@@ -619,41 +622,41 @@
     """Follow demand that shifts abruptly."""
 
     def setUp(self):
-        self.known = demand.Demand()
+        self.state = demand.Demand()
         self._sums = [0, 0, 0]
 
     def choose(self, *more):
         """Add choices of one rank to its counts."""
         for expert, count in enumerate(more):
             self._sums[expert] += count
-        self.known.add_counts({'t': ranks.Counts(2, (tuple(self._sums),))}, 0)
+        self.state.add_counts({'t': ranks.Counts(2, (tuple(self._sums),))}, 0)
 
     def test_restart_is_no_demand(self):
         """Counts that restart with an epoch are not taken for choices."""
-        self.known.add_counts({'t': ranks.Counts(1, ((900, 900, 9),))}, 0)
+        self.state.add_counts({'t': ranks.Counts(1, ((900, 900, 9),))}, 0)
         self.choose(5, 0, 0)
-        self.assertEqual([], self.known.tokens)
+        self.assertEqual([], self.state.tokens)
         for _ in range(2):
             self.choose(2, 1, 0)
-        self.assertTrue(self.known.is_settled)
-        self.assertEqual([[3.4, 1.7, 0]], self.known.tokens)
+        self.assertTrue(self.state.is_settled)
+        self.assertEqual([[3.4, 1.7, 0]], self.state.tokens)
 
     def test_shift_is_taken_at_once(self):
         """Demand from before a shift is dropped at the next reading."""
         for _ in range(9):
             self.choose(90, 10, 0)
         self.choose(0, 10, 90)
-        self.assertTrue(self.known.is_settled)
-        self.assertEqual([[0, 10, 90]], self.known.tokens)
+        self.assertTrue(self.state.is_settled)
+        self.assertEqual([[0, 10, 90]], self.state.tokens)
 
     def test_small_shift_is_taken_at_the_second_reading(self):
         """A slightly different reading counts once a second one confirms it."""
         for _ in range(9):
             self.choose(90, 10, 0)
         self.choose(90, 10, 60)
-        self.assertFalse(self.known.is_settled)
+        self.assertFalse(self.state.is_settled)
         self.choose(90, 10, 60)
-        self.assertEqual([[90, 10, 60]], self.known.tokens)
+        self.assertEqual([[90, 10, 60]], self.state.tokens)
 
     def test_odd_reading_is_no_shift(self):
         """A single outlier does not change the demand."""
@@ -661,8 +664,8 @@
             self.choose(90, 10, 0)
         self.choose(90, 10, 60)
         self.choose(90, 10, 0)
-        self.assertTrue(self.known.is_settled)
-        self.assertEqual(0, self.known.tokens[0][2])
+        self.assertTrue(self.state.is_settled)
+        self.assertEqual(0, self.state.tokens[0][2])
 
     def test_rank_that_was_not_read(self):
         """Counts are compared only with the reading just before.
@@ -671,7 +674,7 @@
         """
         for _ in range(3):
             self.choose(10, 0, 0)
-        before = [list(row) for row in self.known.tokens]
-        self.known.add_counts({'u': ranks.Counts(2, ((0, 0, 900),))}, 0)
-        self.known.add_counts({'t': ranks.Counts(2, ((900, 0, 0),))}, 0)
-        self.assertEqual(before, self.known.tokens)
+        before = [list(row) for row in self.state.tokens]
+        self.state.add_counts({'u': ranks.Counts(2, ((0, 0, 900),))}, 0)
+        self.state.add_counts({'t': ranks.Counts(2, ((900, 0, 0),))}, 0)
+        self.assertEqual(before, self.state.tokens)
