--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -88,7 +88,7 @@
     def learn_zones(self, rows):
         """Ignore zones."""
 
-    def learn_target(self, said):
+    def learn_target(self, announcement):
         """Ignore targets."""
 
     def learn_document(self, held):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -45,7 +45,7 @@
 
 
 class MachineCase(unittest.TestCase):
-    def test_held_up_copy(self):
+    def test_delayed_copy(self):
         """A delayed copy of a command does not undo a newer request."""
         site = machine.SiteMachine()
         late = command('east', 0)
@@ -55,14 +55,14 @@
         self.assertEqual(machine.SUPERSEDED, site.apply(3, late))
         self.assertFalse(site.zones.is_evacuated('east'))
 
-    def test_sent_again(self):
+    def test_repeated_request(self):
         """A repeated request is accepted and changes nothing."""
         site = machine.SiteMachine()
         site.apply(1, command('east', 0))
-        told = []
-        site.on_change(lambda: told.append(1))
+        notifications = []
+        site.on_change(lambda: notifications.append(1))
         self.assertEqual(machine.APPLIED, site.apply(2, command('east', 1)))
-        self.assertEqual([], told)
+        self.assertEqual([], notifications)
         self.assertEqual(1, site.zones.changes)
 
     def test_snapshot(self):
@@ -92,12 +92,12 @@
     def apply(self, index, command):
         if not command.startswith(machine._ZONE_PREFIX):
             return super().apply(index, command)
-        asked = machine._read_zone(command)
-        held = self.zones.get(asked.name).revision
+        proposed = machine._read_zone(command)
+        held = self.zones.get(proposed.name).revision
         return super().apply(
             index,
             machine.zone_command(
-                zones.Zone(asked.name, asked.is_evacuated, held)
+                zones.Zone(proposed.name, proposed.is_evacuated, held)
             ),
         )
 
@@ -231,11 +231,11 @@
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
         follower = next(node for node in consensus_net.NODES if node != leader)
-        asked = evacuation.Evacuation(
+        requests = evacuation.Evacuation(
             net.processes[follower], net.machines[follower], ZONES
         )
-        await asked.request('east', AUTHOR, is_evacuated=True)
-        await asked.request('east', AUTHOR, is_evacuated=True)
+        await requests.request('east', AUTHOR, is_evacuated=True)
+        await requests.request('east', AUTHOR, is_evacuated=True)
         self.assertTrue(net.machines[leader].zones.is_evacuated('east'))
         net.kill(*consensus_net.NODES)
         await net.start(*consensus_net.NODES)
@@ -250,9 +250,9 @@
         )
 
     async def _unknown(self):
-        asked = evacuation.Evacuation(None, machine.SiteMachine(), ZONES)
+        requests = evacuation.Evacuation(None, machine.SiteMachine(), ZONES)
         with self.assertRaises(evacuation.ZoneUnknown):
-            await asked.request('north', AUTHOR, is_evacuated=True)
+            await requests.request('north', AUTHOR, is_evacuated=True)
         self.assertEqual(422, evacuation.ZoneUnknown.status)
 
     async def _without_quorum(self):
@@ -260,14 +260,14 @@
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
         cut = next(node for node in consensus_net.NODES if node != leader)
-        asked = evacuation.Evacuation(
+        requests = evacuation.Evacuation(
             net.processes[cut], net.machines[cut], ZONES
         )
-        await asked.request('east', AUTHOR, is_evacuated=True)
+        await requests.request('east', AUTHOR, is_evacuated=True)
         await net.until(lambda: net.machines[cut].zones.changes)
         net.isolate(cut)
         with self.assertRaises(committing.ChangeUnsettled):
-            await asked.request('east', AUTHOR, is_evacuated=True)
+            await requests.request('east', AUTHOR, is_evacuated=True)
 
 
 class FeedCase(policy_case.PausedCase):
@@ -281,27 +281,27 @@
         peer = types.SimpleNamespace(
             peer=types.SimpleNamespace(role=messages.Role.ENTRY, address='e')
         )
-        asked = messages.SiteFeedRequest(
+        request = messages.SiteFeedRequest(
             version=0, epoch=11, serial=0, wait_ms=60_000, zone_changes=0
         )
-        waiting = asyncio.create_task(followers.answer(peer, asked))
+        waiting = asyncio.create_task(followers.answer(peer, request))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
         site.apply(1, command('east', 0))
         reply = await waiting
         rows = zones.of_messages(reply.zones)
         self.assertEqual([zones.Zone('east', True, 1)], rows)
-        asked.zone_changes = 1
-        asked.wait_ms = 0
-        self.assertIsNone((await followers.answer(peer, asked)).zones)
+        request.zone_changes = 1
+        request.wait_ms = 0
+        self.assertIsNone((await followers.answer(peer, request)).zones)
 
 
 class EntryCase(policy_case.PausedCase):
-    def test_targets_get_nothing(self):
+    def test_evacuated_zone_gets_no_calls(self):
         """Targets in an evacuated zone are never chosen, even the nearest."""
         self.run_paused(self._nothing())
 
-    def test_older_word(self):
+    def test_older_revision(self):
         """An older revision from a lagging control host is ignored."""
         self.run_paused(self._older())
 
@@ -379,10 +379,10 @@
 
 class OperatorCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.asked = FakeEvacuation()
+        self.fake_evacuation = FakeEvacuation()
         self.listener = listener.Listener(
             test_operator.options('c1'),
-            handler.SiteHandler(None, None, None, self.asked),
+            handler.SiteHandler(None, None, None, self.fake_evacuation),
         )
         self.address = await self.listener.start('127.0.0.1', 0)
 
@@ -397,7 +397,7 @@
             [('east', True), ('west', False)],
             [(row.name, row.is_evacuated) for row in rows],
         )
-        self.assertEqual(['ann at desk'], self.asked.authors)
+        self.assertEqual(['ann at desk'], self.fake_evacuation.authors)
 
     async def test_refused(self):
         """An unknown zone and a peer that is no operator are rejected."""
@@ -407,7 +407,7 @@
         ):
             with self.assertRaises(errors.CodedError):
                 await self.ask(role, zone)
-        self.assertEqual([], self.asked.authors)
+        self.assertEqual([], self.fake_evacuation.authors)
 
     async def ask(self, role, zone):
         dialled = peers.Peers(test_operator.options('o', role))
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -142,7 +142,7 @@
         self.tokens = tokens
         self.bounds = rebalancing.Bounds(PLACES, SPARE)
 
-    def test_short_while(self):
+    def test_short_lived_demand(self):
         """For short-lived demand a few copies cost callers less time."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
@@ -150,29 +150,29 @@
             stable_seconds=SHIFT_SECONDS / 2,
         )
         before = group_maps.skew(self.current, self.tokens, ())
-        evenest = group_maps.plan(self.current, self.tokens, self.bounds, ())
+        balanced = group_maps.plan(self.current, self.tokens, self.bounds, ())
         staged = self.plan(cost)
         self.assertLess(
-            self.lost(cost, before, staged), self.lost(cost, before, evenest)
+            self.lost(cost, before, staged), self.lost(cost, before, balanced)
         )
         self.assertLess(
             self.lost(cost, before, staged),
             cost.relative_step_time(before, before, 0),
         )
 
-    def test_time_enough(self):
+    def test_lasting_demand(self):
         """For lasting demand the map is as even as possible."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS, switch_seconds=0, stable_seconds=1000
         )
-        evenest = group_maps.plan(self.current, self.tokens, self.bounds, ())
+        balanced = group_maps.plan(self.current, self.tokens, self.bounds, ())
         self.assertAlmostEqual(
-            group_maps.skew(evenest, self.tokens, ()),
+            group_maps.skew(balanced, self.tokens, ()),
             group_maps.skew(self.plan(cost), self.tokens, ()),
             delta=0.05,
         )
 
-    def test_no_time(self):
+    def test_demand_too_short(self):
         """No copies are planned for demand that ends before they are done."""
         cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
@@ -181,7 +181,7 @@
         )
         self.assertEqual(self.current, self.plan(cost))
 
-    def test_bound_of_a_rank(self):
+    def test_copies_per_rank(self):
         """No rank copies more than the bound over all sets."""
         stages = group_planning.StagedRebalancer(
             self.current, self.tokens, self.bounds
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -26,13 +26,13 @@
         self.sent = 0
         self._free_at = 0
 
-    async def order(self, rank, asked):
+    async def order(self, rank, order):
         loop = asyncio.get_running_loop()
         self.sent += 1
         self._free_at = max(loop.time(), self._free_at) + MAP_SECONDS
         seconds = self._free_at - loop.time()
-        await asyncio.sleep(min(seconds, asked.timeout_seconds))
-        if seconds > asked.timeout_seconds:
+        await asyncio.sleep(min(seconds, order.timeout_seconds))
+        if seconds > order.timeout_seconds:
             return ranks.Outcome.UNKNOWN
         return ranks.Outcome.DONE
 
--- a/tests/test_lossy_ranks.py
+++ b/tests/test_lossy_ranks.py
@@ -28,7 +28,7 @@
 
     def __init__(self, generator):
         super().__init__(generator)
-        self.asked = 0
+        self.query_count = 0
 
     async def placement(self, rank):
         return await self._unless_lost((3, ((1, 2), (3, 4))))
@@ -37,7 +37,7 @@
         return await self._unless_lost(report_of(int(rank.address)))
 
     async def _unless_lost(self, answer):
-        self.asked += 1
+        self.query_count += 1
         if self.random.random() < LOSS_RATE:
             await asyncio.sleep(ranks.ANSWER_TIMEOUT_SECONDS)
             return None
@@ -62,9 +62,9 @@
         """A new owner reads the map of all ranks despite lost responses."""
         self.run_paused(self._learns())
 
-    def test_few_are_asked_again(self):
+    def test_only_silent_ranks_are_retried(self):
         """Only silent ranks are queried again."""
-        self.run_paused(self._asks_few())
+        self.run_paused(self._retries_few())
 
     async def _learns(self):
         known = 0
@@ -75,10 +75,10 @@
             )
         self.assertGreaterEqual(known, MIN_KNOWN_FRACTION * TRIES)
 
-    async def _asks_few(self):
+    async def _retries_few(self):
         lossy = LossyRanks(random.Random(1))
         await group_discovery.fetch_reports(lossy, _group().members)
-        self.assertLess(lossy.asked, RANKS * (1 + 3 * LOSS_RATE))
+        self.assertLess(lossy.query_count, RANKS * (1 + 3 * LOSS_RATE))
 
 
 def _group_state():
--- a/tests/test_new_owner.py
+++ b/tests/test_new_owner.py
@@ -30,9 +30,9 @@
         super().__init__(generator)
         self.orders = collections.Counter()
 
-    async def order(self, rank, asked):
-        self.orders[asked.operation, rank.address] += 1
-        return await super().order(rank, asked)
+    async def order(self, rank, order):
+        self.orders[order.operation, rank.address] += 1
+        return await super().order(rank, order)
 
 
 class LossyRanks(test_site_maps.FakeGroup):
@@ -42,9 +42,9 @@
         super().__init__(generator)
         self.loss_rate = loss_rate
 
-    async def order(self, rank, asked):
+    async def order(self, rank, order):
         if self.random.random() < self.loss_rate:
-            await asyncio.sleep(asked.timeout_seconds)
+            await asyncio.sleep(order.timeout_seconds)
             return ranks.Outcome.UNKNOWN
         await asyncio.sleep(0.003)
         return ranks.Outcome.DONE
@@ -58,14 +58,14 @@
         self.takes = takes
         self.copies = 0
 
-    async def order(self, rank, asked):
-        if rank.address != 'a2' or asked.operation != ranks.PREPARE:
-            return await super().order(rank, asked)
+    async def order(self, rank, order):
+        if rank.address != 'a2' or order.operation != ranks.PREPARE:
+            return await super().order(rank, order)
         self.copies += 1
         if self.copies > 1:
             return ranks.Outcome.REFUSED
         if self.takes:
-            await super().order(rank, asked)
+            await super().order(rank, order)
         return ranks.Outcome.UNKNOWN
 
 
@@ -78,9 +78,9 @@
         """A new owner finds a held group although the first reports are older."""
         self.run_paused(self._found_soon())
 
-    def test_hold_is_ended_once(self):
+    def test_hold_is_released_once(self):
         """Late reports of a hold do not make the owner hold the group again."""
-        self.run_paused(self._ended_once())
+        self.run_paused(self._released_once())
 
     def test_prepare_waits_for_the_step(self):
         """Only one rank is polled while the ranks are armed for another switch."""
@@ -119,7 +119,7 @@
         self.assertGreater(group.step, before)
         await self._end(group, step_task, owner_task)
 
-    async def _ended_once(self):
+    async def _released_once(self):
         group = CountedGroup(random.Random(1))
         # Doubles the lag of the reports.
         group.past_reports = [*group.past_reports, *group.past_reports]
--- a/tests/test_reading_rest.py
+++ b/tests/test_reading_rest.py
@@ -61,7 +61,7 @@
     async def report(self, rank):
         """Return nothing."""
 
-    async def order(self, rank, asked):
+    async def order(self, rank, order):
         """Return nothing."""
 
     async def close(self):
@@ -81,11 +81,11 @@
     pause.
     """
 
-    def test_read_from_afar(self):
+    def test_reads_within_slack(self):
         """Concurrent reads stay within the slack of a step."""
-        self.run_paused(self._read_from_afar())
+        self.run_paused(self._reads_within_slack())
 
-    def test_any_size(self):
+    def test_any_step_time(self):
         """The bound holds for any step time, and one rank is always read."""
         state = group_state.GroupState(LargeGroup.SHAPE, gap=0.15)
         for milliseconds in range(10, 300, 10):
@@ -99,7 +99,7 @@
         """An idle group's overestimated step time does not delay its first map."""
         self.run_paused(self._idle_group())
 
-    async def _read_from_afar(self):
+    async def _reads_within_slack(self):
         group = LargeGroup()
         state = group_state.GroupState(group.SHAPE, gap=0.15, step_seconds=0.1)
         await readings.read_placement(group, state, group.group())
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -64,7 +64,7 @@
 
 
 class FollowsCase(unittest.TestCase):
-    def test_farewell_is_final(self):
+    def test_late_announcement(self):
         """A late announcement does not revive a target that is leaving."""
         leaving = announcement(State.LEAVING, sequence=5)
         self.assertFalse(announcement(sequence=9).follows(leaving))
@@ -72,7 +72,7 @@
         gone = announcement(State.GONE, sequence=0)
         self.assertFalse(announcement(State.LEAVING, sequence=9).follows(gone))
 
-    def test_overtaken(self):
+    def test_higher_sequence_wins(self):
         """Of two hosts' announcements the higher sequence wins."""
         self.assertFalse(
             announcement(sequence=4).follows(announcement(sequence=5))
@@ -121,10 +121,10 @@
         registry = target_registry.TargetRegistry(1)
         registry.record(announcement())
         followers = feed.Feed(machine.SiteMachine(), registry, list, 11)
-        asked = messages.SiteFeedRequest(
+        request = messages.SiteFeedRequest(
             version=0, epoch=11, serial=registry.serial, wait_ms=60_000
         )
-        waiting = asyncio.create_task(followers.answer(_Peer(), asked))
+        waiting = asyncio.create_task(followers.answer(_Peer(), request))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
         registry.mark_gone('t1')
@@ -133,22 +133,22 @@
 
 
 class GroupCase(consensus_net.PausedCase):
-    def test_joining_takes_a_silent_place(self):
+    def test_joining_host_replaces_voter(self):
         """A joining host replaces a lost voter.
 
         As a fourth voter beside a lost one it would not raise availability.
         """
         self.run_paused(self._joining())
 
-    def test_silent_voter_is_let_go(self):
+    def test_lost_voter_is_removed(self):
         """A fourth voter that was lost is removed."""
-        self.run_paused(self._let_go())
+        self.run_paused(self._voter_removed())
 
     def test_read_after_suspension(self):
         """A suspended leader with a seemingly valid lease serves no reads."""
         self.run_paused(self._suspended())
 
-    def test_change_is_taken_through_any_host(self):
+    def test_change_through_any_host(self):
         """A follower forwards a change and acknowledges it, also on a retry."""
         self.run_paused(self._any_host())
 
@@ -168,7 +168,7 @@
         wanted = {*consensus_net.NODES, 'h4'} - {lost}
         await net.until(lambda: _voters(net, leader) == wanted)
 
-    async def _let_go(self):
+    async def _voter_removed(self):
         net = consensus_net.Net(voters_least=3)
         await net.start(*consensus_net.NODES)
         leader = await net.leader()
@@ -235,12 +235,12 @@
 
 
 async def _join(net, leader, node):
-    asked = messages.MemberRequest(
+    request = messages.MemberRequest(
         group=consensus_net.GROUP,
         action='join',
         node=node,
         address=node,
         replaces='',
     )
-    reply = await net.processes[leader].handle(messages.Request(member=asked))
+    reply = await net.processes[leader].handle(messages.Request(member=request))
     assert reply.failure is None, reply.failure
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -124,21 +124,21 @@
         number = int(rank.address[1:])
         return self.rows[number].version, (self._experts(number),)
 
-    async def order(self, rank, asked):
+    async def order(self, rank, order):
         row = int(rank.address[1:])
         draw = self.random.random()
         if draw < self.loss_rate:
             return ranks.Outcome.UNKNOWN
         if draw < self.loss_rate + self.delay_rate:
-            task = asyncio.create_task(self._later(row, asked))
+            task = asyncio.create_task(self._later(row, order))
             self._tasks.add(task)
             return ranks.Outcome.UNKNOWN
         await asyncio.sleep(self.answer_seconds)
         if rank.address == self.slow_address:
             await asyncio.sleep(RESEND_SECONDS)
-        if asked.fence < self.rows[row].fence:
+        if order.fence < self.rows[row].fence:
             return ranks.Outcome.OUTDATED
-        found = self._carry_out(self.rows[row], asked)
+        found = self._carry_out(self.rows[row], order)
         return ranks.Outcome.DONE if found else ranks.Outcome.REFUSED
 
     def record_pace(self, target, pace):
@@ -148,9 +148,9 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _later(self, row, asked):
+    async def _later(self, row, order):
         await asyncio.sleep(self.random.uniform(0.1, 6))
-        self._carry_out(self.rows[row], asked)
+        self._carry_out(self.rows[row], order)
 
     def _restart(self):
         self.rows = [_Rank() for _ in range(RANKS)]
@@ -173,36 +173,36 @@
         if len(versions) > 1:
             self.mixed_steps.append((self.step, versions))
 
-    def _carry_out(self, rank, asked):
-        if asked.epoch != self.epoch or asked.fence < rank.fence:
+    def _carry_out(self, rank, order):
+        if order.epoch != self.epoch or order.fence < rank.fence:
             return False
-        rank.fence = asked.fence
-        if asked.operation == ranks.PREPARE:
-            return self._prepare(rank, asked)
-        if asked.operation == ranks.ARM:
-            return self._arm(rank, asked)
-        if asked.operation == ranks.HOLD:
-            return self._hold(rank, asked)
-        if asked.operation == ranks.DISARM:
-            return self._disarm(rank, asked)
-        if rank.held == asked.step:
+        rank.fence = order.fence
+        if order.operation == ranks.PREPARE:
+            return self._prepare(rank, order)
+        if order.operation == ranks.ARM:
+            return self._arm(rank, order)
+        if order.operation == ranks.HOLD:
+            return self._hold(rank, order)
+        if order.operation == ranks.DISARM:
+            return self._disarm(rank, order)
+        if rank.held == order.step:
             rank.held = None
         return True
 
-    def _disarm(self, rank, asked):
-        if rank.version == asked.version:
+    def _disarm(self, rank, order):
+        if rank.version == order.version:
             return False
-        if rank.armed is not None and rank.armed.version == asked.version:
+        if rank.armed is not None and rank.armed.version == order.version:
             rank.armed = None
         return True
 
-    def _prepare(self, rank, asked):
-        if rank.prepared == asked.version:
+    def _prepare(self, rank, order):
+        if rank.prepared == order.version:
             return True
-        if asked.version <= rank.highest or rank.armed is not None:
+        if order.version <= rank.highest or rank.armed is not None:
             return False
-        rank.prepared = asked.version
-        rank.highest = asked.version
+        rank.prepared = order.version
+        rank.highest = order.version
         copying = self.random.uniform(0, self.max_copy_seconds)
         rank.copied_at = asyncio.get_running_loop().time() + copying
         return True
@@ -210,23 +210,23 @@
     def _has_copied(self, rank):
         return asyncio.get_running_loop().time() >= rank.copied_at
 
-    def _arm(self, rank, asked):
-        wanted = ranks.Armed(asked.version, asked.step)
+    def _arm(self, rank, order):
+        wanted = ranks.Armed(order.version, order.step)
         if rank.armed == wanted:
             return True
-        if asked.step <= self.step or rank.prepared != asked.version:
+        if order.step <= self.step or rank.prepared != order.version:
             return False
         if not self._has_copied(rank):
             return False
         rank.armed = wanted
         return True
 
-    def _hold(self, rank, asked):
-        if rank.held == asked.step:
+    def _hold(self, rank, order):
+        if rank.held == order.step:
             return True
-        if asked.step <= self.step or rank.held is not None:
+        if order.step <= self.step or rank.held is not None:
             return False
-        rank.held = asked.step
+        rank.held = order.step
         return True
 
     def _reports(self):
--- a/tests/test_step_times.py
+++ b/tests/test_step_times.py
@@ -34,7 +34,7 @@
         self.state.update_from(report(0, 100), 1.0)
         self.state.update_from(report(0, 105), 1.0 + 5 * STEP)
 
-    def test_usual(self):
+    def test_two_reports(self):
         """Two reports of one rank, far enough apart, give the step time."""
         self.assertAlmostEqual(STEP, self.state.step_seconds)
 
@@ -46,12 +46,12 @@
         self.state.update(group(105, 109), 1.312)
         self.assertAlmostEqual(STEP, self.state.step_seconds)
 
-    def test_report_made_anew(self):
+    def test_reports_close_in_time(self):
         """Two reports close in time do not shorten the step time."""
         self.state.update_from(report(0, 109), 1.312)
         self.assertAlmostEqual(STEP, self.state.step_seconds)
 
-    def test_least(self):
+    def test_minimum(self):
         """The step time is at least that of a group without calls."""
         self.state.update_from(report(0, 205), 2.0)
         self.assertAlmostEqual(EMPTY, self.state.step_seconds)
--- a/tests/test_target_file.py
+++ b/tests/test_target_file.py
@@ -27,15 +27,15 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.platter = disks.Platter(random.Random(3))
 
-    def test_after_power(self):
+    def test_power_failure(self):
         """Stored targets survive a power failure."""
         self.run_paused(self._after_power())
 
-    def test_newer_word_counts(self):
+    def test_newer_state_wins(self):
         """A stored target does not override a later state of the same start."""
         self.run_paused(self._newer())
 
-    def test_forgotten(self):
+    def test_restored_target_turns_silent(self):
         """A restored target turns silent unless it announces itself.
 
         It may have left when no host could store that.
@@ -86,7 +86,10 @@
         )
         await asyncio.sleep(BEAT * 1.3)
         running.cancel()
-        states = {said.target: said.state for said in registry.changed_since(0)}
+        states = {
+            announcement.target: announcement.state
+            for announcement in registry.changed_since(0)
+        }
         self.assertEqual(announcements.State.SILENT, states['t1'])
         self.assertEqual(announcements.State.READY, states['t2'])
 
@@ -106,7 +109,7 @@
 
 
 class _FullDisk:
-    """Disk that is full until told otherwise."""
+    """Disk that is full until ``is_full`` is cleared."""
 
     def __init__(self, files):
         self._files = files
