--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -12,13 +12,13 @@
 )
 from tamarackthread.shared import offload
 from tamarackthread.shared.site import configuration
-from tests import policy_case, test_reading_rest
+from tests import policy_case, test_read_stalls
 
 # A map of 26 KB on a link of 100 Mbit/s.
 MAP_SECONDS = 0.0021
 
 
-class NarrowLink(test_reading_rest.LargeGroup):
+class NarrowLink(test_read_stalls.LargeGroup):
     """Send all orders over one slow link, one after the other."""
 
     def __init__(self):
