--- a/tamarackthread/control/site/committing.py
+++ b/tamarackthread/control/site/committing.py
@@ -7,8 +7,7 @@
 from tamarackthread.control import consensus, failures
 from tamarackthread.shared import errors
 
-# Below the second after which an operator tries another host, and longer than most
-# leader elections.
+# Less than the second after which an operator tries another host.
 TIMEOUT_SECONDS = 0.85
 RETRY_PAUSE_SECONDS = 0.04
 
--- a/tamarackthread/control/site/http_errors.py
+++ b/tamarackthread/control/site/http_errors.py
@@ -10,7 +10,7 @@
 
 from tamarackthread.shared import errors
 
-Answer = collections.abc.Callable[
+PartHandler = collections.abc.Callable[
     [typing.Any, web.Request],
     collections.abc.Awaitable[web.StreamResponse],
 ]
@@ -20,18 +20,18 @@
 ]
 
 
-def bind(answer: Answer, part: typing.Any) -> Handler:
+def bind(handler: PartHandler, part: typing.Any) -> Handler:
     """Bind a request handler to ``part`` and convert its coded errors."""
-    return functools.partial(_handle, answer, part)
+    return functools.partial(_handle, handler, part)
 
 
 async def _handle(
-    answer: Answer,
+    handler: PartHandler,
     part: typing.Any,
     request: web.Request,
 ) -> web.StreamResponse:
     try:
-        return await answer(part, request)
+        return await handler(part, request)
     except errors.CodedError as exc:
         body = {'error': {'code': exc.code, 'message': str(exc)}}
         return web.json_response(body, status=exc.status)
--- a/tamarackthread/control/site/joining.py
+++ b/tamarackthread/control/site/joining.py
@@ -69,7 +69,9 @@
             try:
                 await self._request_join_from(address)
             except (errors.CodedError, TimeoutError) as exc:
-                _log.debug('control: %s rejected the join, %s', address, exc)
+                _log.debug(
+                    'control: could not join through %s, %s', address, exc
+                )
                 continue
             _log.info('control: %s accepted the join', address)
             return
--- a/tamarackthread/control/site/target_registry.py
+++ b/tamarackthread/control/site/target_registry.py
@@ -14,16 +14,16 @@
 
 # Missed announcements after which a target counts as silent: one may be late and
 # one lost with the host it was sent to.
-MAX_MISSED_BEATS = 3.5
+MAX_MISSED_INTERVALS = 3.5
 # Announcement intervals for which a target restored from disk counts as ready; the
 # first announcement may be lost.
-RESTORED_BEATS = 1.9
+RESTORED_INTERVALS = 1.9
 # Announcement intervals for which targets that left are remembered, longer than an
 # announcement may be delayed.
-RETENTION_BEATS = 50
+RETENTION_INTERVALS = 50
 # Announcement intervals after which an unchanged target is published again, so that
 # it overrides an older silent state published by another host.
-REFRESH_BEATS = 2.5
+REFRESH_INTERVALS = 2.5
 SWEEP_SECONDS = 0.25
 # Paces below the first are normal variation; relative changes below the second are
 # not published.
@@ -68,9 +68,9 @@
     announcements within one interval of a restart.
     """
 
-    def __init__(self, beat_seconds: float) -> None:
-        """Start empty; targets announce themselves every ``beat_seconds``."""
-        self._beat = beat_seconds
+    def __init__(self, interval_seconds: float) -> None:
+        """Start empty; targets announce themselves every ``interval_seconds``."""
+        self._interval = interval_seconds
         self._rows: dict[str, _Entry] = {}
         self._paces: dict[str, _PaceRecord] = {}
         self._serial = 0
@@ -132,7 +132,7 @@
         row.announcement = announcement
         if (
             is_significant
-            or now - row.published_at > self._beat * REFRESH_BEATS
+            or now - row.published_at > self._interval * REFRESH_INTERVALS
         ):
             self._publish(row, now)
 
@@ -145,14 +145,14 @@
         if announcement.target in self._rows:
             return
         now = asyncio.get_running_loop().time()
-        elapsed = (MAX_MISSED_BEATS - RESTORED_BEATS) * self._beat
+        elapsed = (MAX_MISSED_INTERVALS - RESTORED_INTERVALS) * self._interval
         self._publish(_Entry(announcement, now - elapsed, now, 0), now)
 
     def mark_gone(self, target: str, born: int = 0) -> None:
         """Record that a start of a target takes no more calls.
 
         Without ``born`` the last known start is meant: ignoring the message
-        would lose calls, while obeying it in error only delays them.
+        would lose calls, while obeying it in error only withholds them.
         """
         row = self._rows.get(target)
         if row is None:
@@ -214,11 +214,11 @@
         now = asyncio.get_running_loop().time()
         for target, row in tuple(self._rows.items()):
             silence = now - row.received_at
-            if silence > self._beat * RETENTION_BEATS:
+            if silence > self._interval * RETENTION_INTERVALS:
                 self._rows.pop(target)
                 continue
             is_ready = row.announcement.state == announcements.State.READY
-            if is_ready and silence > self._beat * MAX_MISSED_BEATS:
+            if is_ready and silence > self._interval * MAX_MISSED_INTERVALS:
                 row.announcement = attrs.evolve(
                     row.announcement, state=announcements.State.SILENT
                 )
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -136,7 +136,7 @@
     def test_joining_host_replaces_voter(self):
         """A joining host replaces a lost voter.
 
-        As a fourth voter beside a lost one it would not raise availability.
+        Four voters, one of them lost, would lose the quorum with one more.
         """
         self.run_paused(self._joining())
 
--- a/tests/test_target_file.py
+++ b/tests/test_target_file.py
@@ -18,7 +18,7 @@
 READY = announcements.Announcement(
     target='t1', service='s', address='10.0.0.1:80', zone='a', slots=6
 )
-BEAT = 1.0
+INTERVAL_SECONDS = 1.0
 
 
 class TargetFileCase(policy_case.PausedCase):
@@ -75,16 +75,16 @@
             self.assertFalse(found[0].follows(held))
 
     async def _forgotten(self):
-        registry = target_registry.TargetRegistry(BEAT)
+        registry = target_registry.TargetRegistry(INTERVAL_SECONDS)
         registry.restore(READY)
         registry.restore(attrs.evolve(READY, target='t2'))
         running = asyncio.create_task(registry.run())
-        await asyncio.sleep(BEAT * 0.9)
+        await asyncio.sleep(INTERVAL_SECONDS * 0.9)
         registry.record(attrs.evolve(READY, target='t2', sequence=1))
         self.assertEqual(
             announcements.State.READY, registry.changed_since(0)[0].state
         )
-        await asyncio.sleep(BEAT * 1.3)
+        await asyncio.sleep(INTERVAL_SECONDS * 1.3)
         running.cancel()
         states = {
             announcement.target: announcement.state
