--- a/tamarackthread/control/site/loads.py
+++ b/tamarackthread/control/site/loads.py
@@ -98,7 +98,7 @@
         """Merge the suspected poison requests of all entries but one."""
         now = asyncio.get_running_loop().time()
         rows = (
-            poison_calls.of_message(row).older(now - report.suspects_at)
+            poison_calls.from_message(row).aged(now - report.suspects_at)
             for other, report in self._reports.items()
             if other != entry
             for row in report.suspects
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -1,11 +1,4 @@
-"""Let calls wait here while the ranks of their group have enough of them.
-
-The failure: demand shifts, and until the experts are even again each call takes
-its group twice as long.  Ranks that are given every call then make passes longer
-than callers take a pause for, all their streams are late, and what has piled up
-keeps passes long for seconds after the map is even.  A call that waits here is
-late alone, and those that can still be in time go first.
-"""
+"""Queue calls in the entry while the ranks of their group are at capacity."""
 
 from __future__ import annotations
 
@@ -19,250 +12,249 @@
 from tamarackthread.policy import concurrency, outages
 from tamarackthread.shared.site import configuration
 
-# A call comes within one pass, its prompt is read in the next, at the end of which
-# its first piece comes; and there is the way to the rank and back.
-PASSES_TO_FIRST = 2.2
-# An answer's usual length counts the last ones, the newest by this much.
-NEWEST_SHARE = 0.1
-# A call that is refused since it can't be answered in time gets no better answer
-# for coming back at once.
+# The rest of the current pass, one pass for the prompt, and the round trip.
+PASSES_TO_FIRST_PIECE = 2.2
+# Weight of the newest sample in the moving average of answer times.
+EWMA_WEIGHT = 0.1
+# An immediate retry would be refused for the same reason.
 RETRY_AFTER_SECONDS = 0.5
 
-Entries = collections.abc.Callable[[], int]
+EntryCount = collections.abc.Callable[[], int]
 
 
 @attrs.define(eq=False)
-class _Waiting:
-    """A call that waits; ``granted`` ends its wait."""
+class _Waiter:
+    """A queued call; ``granted`` resolves when it is admitted."""
 
     call: calls.Call
     granted: asyncio.Future[None]
 
 
+# A rank over its limit makes every stream of its group late; a queued call
+# delays only itself.
 class AdmissionQueue:
-    """Let the calls of one service wait for room at its ranks.
-
-    Each entry knows all calls as of the last exchange with the others.  What is
-    free is shared: an entry takes its part of it between two exchanges, and a
-    place for each call of its own that ends.
-    """
+    """Queue the calls of one service until its ranks have a free slot."""
 
     def __init__(
         self,
         service: str,
-        bound: concurrency.ConcurrencyLimit,
-        known: targets.Targets,
-        entries: Entries,
+        limit: concurrency.ConcurrencyLimit,
+        all_targets: targets.Targets,
+        entries: EntryCount,
     ) -> None:
-        """Bound the calls that ``known`` counts by ``bound``."""
+        """Limit the concurrency that ``all_targets`` reports by ``limit``."""
         self._service = service
-        self._bound = bound
-        self._known = known
+        self._limit = limit
+        self._targets = all_targets
         self._entries = entries
-        self._opening = outages.OutageDetector()
-        self._waiting: list[_Waiting] = []
-        self._part: float = 0
+        self._group_state = outages.OutageDetector()
+        self._waiting: list[_Waiter] = []
+        self._quota: float = 0
         self._answer_seconds: float = 0
 
     @property
-    def bound(self) -> concurrency.ConcurrencyLimit:
-        """Return what bounds the calls."""
-        return self._bound
+    def limit(self) -> concurrency.ConcurrencyLimit:
+        """Return the concurrency limit."""
+        return self._limit
 
-    @bound.setter
-    def bound(self, fresh: concurrency.ConcurrencyLimit) -> None:
-        self._bound = fresh
+    @limit.setter
+    def limit(self, limit: concurrency.ConcurrencyLimit) -> None:
+        self._limit = limit
 
     def __len__(self) -> int:
-        """Count the calls that wait."""
+        """Return the number of queued calls."""
         return len(self._waiting)
 
     async def admit(self, call: calls.Call) -> None:
-        """Wait until the ranks have room for a call.
+        """Wait until the ranks have a free slot for a call.
 
-        Raises ``NoRoomInTime`` as soon as an answer can't be whole in time.
+        Raises ``NoRoomInTime`` as soon as the deadline can no longer be met.
         """
-        if not self._waiting and self._takes_place():
+        if not self._waiting and self._take_slot():
             return
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(call, loop.create_future())
-        self._waiting.append(waiting)
+        waiter = _Waiter(call, loop.create_future())
+        self._waiting.append(waiter)
         try:
             async with asyncio.timeout_at(call.deadline - self._answer_seconds):
-                await waiting.granted
+                await waiter.granted
         except TimeoutError as exc:
             raise failures.NoRoomInTime(
                 retry_after=RETRY_AFTER_SECONDS
             ) from exc
         finally:
-            self._waiting.remove(waiting)
+            self._waiting.remove(waiter)
 
-    def answered(self, seconds: float) -> None:
-        """Note that a call was answered so long after it had been sent."""
+    def record_answer(self, seconds: float) -> None:
+        """Update the average answer time, in seconds from send to end."""
         if not self._answer_seconds:
             self._answer_seconds = seconds
-        self._answer_seconds += NEWEST_SHARE * (seconds - self._answer_seconds)
+        self._answer_seconds += EWMA_WEIGHT * (seconds - self._answer_seconds)
 
-    def left(self) -> None:
-        """Note that a call of this entry has left its rank."""
-        if 0 < self._free() < math.inf:
-            self._part += 1
+    def release(self) -> None:
+        """Return the slot of a call that has left its target."""
+        if 0 < self._free_slots() < math.inf:
+            self._quota += 1
         self._grant()
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether targets have only refused calls of late."""
-        return self._opening.is_closed(asyncio.get_running_loop().time())
-
-    def heard(self) -> None:
-        """Note that a target has sent a piece of an answer."""
-        self._opening.heard(asyncio.get_running_loop().time())
-
-    def refused(self, target: str) -> None:
-        """Note that a target has refused a call unrun."""
-        self._opening.refused(target, asyncio.get_running_loop().time())
+        """Tell whether targets have recently only refused calls."""
+        return self._group_state.is_down(asyncio.get_running_loop().time())
 
-    def note_pause(self, seconds: float) -> None:
-        """Take the time between two pieces of an answer."""
-        self._bound.note(seconds, asyncio.get_running_loop().time())
+    def note_piece(self) -> None:
+        """Record that a target has sent a piece of an answer."""
+        self._group_state.record_output(asyncio.get_running_loop().time())
 
-    def share(self) -> None:
-        """Take this entry's part of what is free, after an exchange.
-
-        Who has no call that waits leaves its part unused, so that each takes
-        one place at least; together they are over the bound by no more than
-        one for each entry, and only until the next exchange.
+    def note_refusal(self, target: str) -> None:
+        """Record that a target has refused a call without running it."""
+        self._group_state.record_refusal(
+            target, asyncio.get_running_loop().time()
+        )
 
-        An entry without a call has seen no pass of late.  It may have one in any
-        case: else it could not learn that there is room.
-        """
-        crowd = self._crowd()
-        free = self._free_of(crowd)
-        self._part = 0 if crowd.own else 1
+    def note_gap(self, seconds: float) -> None:
+        """Record the time between two pieces of an answer, in seconds."""
+        self._limit.record_pass(seconds, asyncio.get_running_loop().time())
+
+    def refill(self) -> None:
+        """Reset this entry's quota of free slots after an exchange."""
+        load = self._load()
+        free = self._free_slots_of(load)
+        # An entry without calls may send one: it needs an answer to measure the
+        # pass time, and so to learn of free slots.
+        self._quota = 0 if load.own else 1
         if 0 < free < math.inf:
-            self._part = max(1, free / max(1, self._entries()))
+            # One slot at least, since idle entries leave theirs unused.
+            # Together the entries exceed the limit by one call each at most.
+            self._quota = max(1, free / max(1, self._entries()))
         self._grant()
 
-    def _crowd(self) -> concurrency.GroupLoad:
-        return self._known.crowd(self._service, self._entries())
+    def _load(self) -> concurrency.GroupLoad:
+        return self._targets.group_load(self._service, self._entries())
 
-    def _free(self) -> float:
-        """Return how many calls more the ranks may have."""
-        return self._free_of(self._crowd())
+    def _free_slots(self) -> float:
+        """Return how many more calls the ranks may take."""
+        return self._free_slots_of(self._load())
 
-    def _free_of(self, crowd: concurrency.GroupLoad) -> float:
+    def _free_slots_of(self, load: concurrency.GroupLoad) -> float:
         now = asyncio.get_running_loop().time()
-        return self._bound.most(crowd, now) - crowd.calls
+        return self._limit.max_calls(load, now) - load.calls
 
-    def _takes_place(self) -> bool:
-        if math.isinf(self._free()):
+    def _take_slot(self) -> bool:
+        if math.isinf(self._free_slots()):
             return True
-        if self._part < 1:
+        if self._quota < 1:
             return False
-        self._part -= 1
+        self._quota -= 1
         return True
 
     def _grant(self) -> None:
-        """Let calls go as long as there is room, those in time first."""
+        """Admit calls while slots are free, first those that can be in time."""
         now = asyncio.get_running_loop().time()
-        lead = PASSES_TO_FIRST * self._bound.usual(now)
-        rows = [row for row in self._waiting if not row.granted.done()]
-        rows.sort(key=lambda row: _urgency(row.call, now + lead))
-        for row in rows:
-            if not self._takes_place():
+        lead = PASSES_TO_FIRST_PIECE * self._limit.median_pass(now)
+        waiters = [
+            waiter for waiter in self._waiting if not waiter.granted.done()
+        ]
+        waiters.sort(
+            key=lambda waiter: _admission_order(waiter.call, now + lead)
+        )
+        for waiter in waiters:
+            if not self._take_slot():
                 return
-            row.granted.set_result(None)
+            waiter.granted.set_result(None)
 
 
 class AdmissionControl:
-    """Hold a line for each service whose targets advance together."""
+    """Hold an admission queue for each service whose ranks run in lockstep."""
 
     def __init__(
         self,
-        known: targets.Targets,
-        entries: Entries,
+        all_targets: targets.Targets,
+        entries: EntryCount,
     ) -> None:
-        """Begin without a service."""
-        self._known = known
+        """Start without queues."""
+        self._targets = all_targets
         self._entries = entries
-        self._lines: dict[str, AdmissionQueue] = {}
-        self._held: dict[str, tuple[configuration.Passes, float]] = {}
+        self._queues: dict[str, AdmissionQueue] = {}
+        self._settings: dict[str, tuple[configuration.Passes, float]] = {}
 
-    def learn(self, held: configuration.Configuration) -> None:
-        """Take what a configuration tells of services and their callers."""
-        for service in held.services:
+    def learn(self, config: configuration.Configuration) -> None:
+        """Create and update queues from a configuration."""
+        for service in config.services:
             if service.passes is None:
                 continue
-            found = (service.passes, held.gap_of(service.name))
-            if not found[1] or self._held.get(service.name) == found:
+            settings = (service.passes, config.gap_of(service.name))
+            if not settings[1] or self._settings.get(service.name) == settings:
                 continue
-            self._held[service.name] = found
-            self._bind(
+            self._settings[service.name] = settings
+            self._set_limit(
                 service.name,
-                concurrency.LatencyLimit(found[1], service.passes.empty),
+                concurrency.LatencyLimit(settings[1], service.passes.empty),
             )
 
-    def _bind(self, service: str, bound: concurrency.ConcurrencyLimit) -> None:
-        """Bound the calls of a service; those that wait stay in their line."""
-        line = self._lines.get(service)
-        if line is not None:
-            line.bound = bound
+    def _set_limit(
+        self, service: str, limit: concurrency.ConcurrencyLimit
+    ) -> None:
+        """Set the limit of a service's queue, keeping the calls in it."""
+        queue = self._queues.get(service)
+        if queue is not None:
+            queue.limit = limit
             return
-        self._lines[service] = AdmissionQueue(
-            service, bound, self._known, self._entries
+        self._queues[service] = AdmissionQueue(
+            service, limit, self._targets, self._entries
         )
 
     async def admit(self, call: calls.Call) -> None:
-        """Wait until the targets of a call have room for it."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            await line.admit(call)
-
-    def answered(self, call: calls.Call, seconds: float) -> None:
-        """Note that a call was answered so long after it had been sent."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.answered(seconds)
-
-    def left(self, call: calls.Call) -> None:
-        """Note that a call has left its target."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.left()
-
-    def heard(self, call: calls.Call) -> None:
-        """Note that a target has sent a piece of an answer."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.heard()
-
-    def refused(self, call: calls.Call, target: str) -> None:
-        """Note that a target has refused a call unrun."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.refused(target)
+        """Wait until the targets of a call's service have a free slot."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            await queue.admit(call)
+
+    def record_answer(self, call: calls.Call, seconds: float) -> None:
+        """Update the average answer time of a call's service, in seconds."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.record_answer(seconds)
+
+    def release(self, call: calls.Call) -> None:
+        """Return the slot of a call that has left its target."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.release()
+
+    def note_piece(self, call: calls.Call) -> None:
+        """Record that a target has sent a piece of an answer."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_piece()
+
+    def note_refusal(self, call: calls.Call, target: str) -> None:
+        """Record that a target has refused a call without running it."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_refusal(target)
 
     def is_closed(self, call: calls.Call) -> bool:
-        """Tell whether the targets of a call make no passes now."""
-        line = self._lines.get(call.service)
-        return line is not None and line.is_closed
-
-    def note_pause(self, call: calls.Call, seconds: float) -> None:
-        """Take the time between two pieces of a call's answer."""
-        line = self._lines.get(call.service)
-        if line is not None:
-            line.note_pause(seconds)
-
-    def share(self) -> None:
-        """Share what is free, after an exchange with the other entries."""
-        for line in self._lines.values():
-            line.share()
-
-
-def _urgency(call: calls.Call, first_at: float) -> tuple[bool, int, float]:
-    """Rank calls: those that can be in time, the urgent, the oldest first.
-
-    Where not all can be in time, going by age alone makes all of them late.
-    """
-    aim_at = call.arrived + call.route.aim
+        """Tell whether a call's group currently makes no passes."""
+        queue = self._queues.get(call.service)
+        return queue is not None and queue.is_closed
+
+    def note_gap(self, call: calls.Call, seconds: float) -> None:
+        """Record the time between two pieces of a call's answer, in seconds."""
+        queue = self._queues.get(call.service)
+        if queue is not None:
+            queue.note_gap(seconds)
+
+    def refill(self) -> None:
+        """Reset the quotas after an exchange with the other entries."""
+        for queue in self._queues.values():
+            queue.refill()
+
+
+def _admission_order(
+    call: calls.Call, first_at: float
+) -> tuple[bool, int, float]:
+    """Sort by whether the aim can be met, then by priority, then by age."""
+    aim_at = call.arrived_at + call.route.aim
+    # By age alone every call would be late once some are.
     return first_at > aim_at, call.priority, aim_at
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -1,4 +1,4 @@
-"""Log how calls ended: every bad end, a sample of good ones, and the sums."""
+"""Log how calls ended: every failure, a sample of successes, and totals."""
 
 from __future__ import annotations
 
@@ -11,41 +11,38 @@
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
-SUM_SECONDS = 10.0
-# One of so many ordinary answers is logged by itself.  At 32 calls a second,
-# an entry's part of the size that we design for, that is a line every 1.5 s.
-SAMPLE = 50
+SUMMARY_SECONDS = 10.0
+# One of this many ordinary answers gets a log line.
+SAMPLE_INTERVAL = 50
 _Event = log_events.Event
 _log = logging.getLogger('tamarackthread.entry')
 
 
 class CallLog:
-    """Tell of each call's end within the request's own log context.
-
-    What is ordinary is only counted, so that the volume under load is bounded
-    by what goes wrong; the sums say how many lines were left out.
-    """
+    """Log the outcome of each call within the request's log context."""
 
+    # Ordinary answers are sampled and counted, so that the log volume is
+    # bounded by the number of failures.
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with all counters at zero."""
         self._counts: collections.Counter[str] = collections.Counter()
         self._answered = 0
 
-    def answered(
+    def log_answered(
         self,
         call: calls.Call,
         version: int,
-        pieces: stream_timing.StreamTiming,
+        timing: stream_timing.StreamTiming,
     ) -> None:
-        """Note a whole answer; it is logged if it was late, or by sample."""
+        """Record a complete answer; log it if it is late or sampled."""
         now = asyncio.get_running_loop().time()
-        took = now - call.arrived
+        took = now - call.arrived_at
         figures.CALLS.labels(call.service, 'answered').inc()
         figures.CALL_SECONDS.labels(call.service).observe(took)
         self._counts['answered'] += 1
         self._answered += 1
-        is_late = _is_late(call, took, pieces)
-        if not is_late and self._answered % SAMPLE:
+        is_late = _is_late(call, took, timing)
+        if not is_late and self._answered % SAMPLE_INTERVAL:
             self._counts['left_out'] += 1
             return
         log_events.tell(
@@ -59,23 +56,23 @@
             organisation=call.organisation,
             version=version,
             is_late=is_late,
-            target=pieces.target,
-            first_ms=_milliseconds(max(0, pieces.first_at - call.arrived)),
-            pause_ms=_milliseconds(pieces.pause),
+            target=timing.target,
+            first_ms=_milliseconds(max(0, timing.first_at - call.arrived_at)),
+            pause_ms=_milliseconds(timing.longest_pause),
             since_pause_ms=_milliseconds(
-                now - pieces.paused_until if pieces.pause else 0
+                now - timing.longest_pause_end if timing.longest_pause else 0
             ),
         )
 
-    def ended(
+    def log_failed(
         self,
         failure: errors.CodedError,
         call: calls.Call | None,
         version: int,
         has_started: bool,
     ) -> None:
-        """Log a call that has no whole answer, with what it is told."""
-        event = _event_of(failure, has_started)
+        """Log a call without a complete answer, with its error."""
+        event = _event_for(failure, has_started)
         service = '' if call is None else call.service
         figures.CALLS.labels(service, event.value).inc()
         self._counts[event.value] += 1
@@ -85,7 +82,7 @@
             'retry_after_ms': round(failure.retry_after * 1000),
         }
         if call is not None:
-            took = asyncio.get_running_loop().time() - call.arrived
+            took = asyncio.get_running_loop().time() - call.arrived_at
             fields['took_ms'] = round(took * 1000)
             fields['route'] = call.route.name
             fields['service'] = call.service
@@ -93,27 +90,27 @@
         log_events.tell(
             _log,
             event,
-            'entry: call ended, %s %s',
+            'entry: call failed, %s %s',
             failure.code,
             failure,
             **fields,
         )
 
-    def left(self, out: sink.HttpSink) -> None:
+    def log_disconnected(self, out: sink.HttpSink) -> None:
         """Log that the caller has closed its connection."""
         self._counts[_Event.CALLER_LEFT.value] += 1
         figures.CALLS.labels('', _Event.CALLER_LEFT.value).inc()
         log_events.tell(
             _log,
             _Event.CALLER_LEFT,
-            'entry: caller left before its answer was whole',
+            'entry: caller disconnected before its answer was complete',
             has_started=out.has_started,
         )
 
     async def run(self) -> None:
-        """Log the sums for ever, while there is something to sum."""
+        """Log and reset the counters periodically."""
         while True:
-            await asyncio.sleep(SUM_SECONDS)
+            await asyncio.sleep(SUMMARY_SECONDS)
             if not self._counts:
                 continue
             log_events.tell(
@@ -121,7 +118,7 @@
                 _Event.CALLS_SUMMED,
                 'entry: %d calls answered in %d s',
                 self._counts['answered'],
-                SUM_SECONDS,
+                SUMMARY_SECONDS,
                 **self._counts,
             )
             self._counts.clear()
@@ -130,21 +127,21 @@
 def _is_late(
     call: calls.Call,
     took: float,
-    pieces: stream_timing.StreamTiming,
+    timing: stream_timing.StreamTiming,
 ) -> bool:
-    """Tell whether an answer came too late, or a stream paused too long."""
-    if not pieces.first_at:
+    """Tell whether the first piece or a later one came too late."""
+    if not timing.first_at:
         return 0 < call.route.aim < took
-    if 0 < call.route.aim < pieces.first_at - call.arrived:
+    if 0 < call.route.aim < timing.first_at - call.arrived_at:
         return True
-    return 0 < call.route.gap < pieces.pause
+    return 0 < call.route.gap < timing.longest_pause
 
 
 def _milliseconds(seconds: float) -> int:
     return round(seconds * 1000)
 
 
-def _event_of(failure: errors.CodedError, has_started: bool) -> _Event:
+def _event_for(failure: errors.CodedError, has_started: bool) -> _Event:
     if has_started:
         return _Event.CALL_BROKEN
     if failure.ran == messages.Ran.NOT_RUN:
--- a/tamarackthread/entry/direct/demands.py
+++ b/tamarackthread/entry/direct/demands.py
@@ -1,4 +1,4 @@
-"""Work out how much of a service's calls one entry has."""
+"""Estimate the share of a service's calls that one entry has."""
 
 from __future__ import annotations
 
@@ -8,20 +8,25 @@
 from tamarackthread.policy import rate_limit
 
 
-def of(
+def of_entry(
     known: collections.abc.Sequence[instances.TargetInstance],
     entries: int,
     now: float,
 ) -> rate_limit.Demand | None:
-    """Return this entry's part of the calls at a service's targets.
+    """Return this entry's share of calls, ``None`` without a rate limit.
 
-    ``entries`` counts those whose calls are known, this one included.  ``None``
-    where no target asks for a limit: nobody needs it then.
+    ``entries`` counts the entries whose calls are known, this one included.
     """
     if all(target.limit.rate is None for target in known):
         return None
-    own = sum(target.own + target.record.own(now).calls for target in known)
-    others = sum(target.others + target.record.others.calls for target in known)
+    own = sum(
+        target.own_calls + target.outcomes.own_counts(now).calls
+        for target in known
+    )
+    others = sum(
+        target.other_calls + target.outcomes.other_counts.calls
+        for target in known
+    )
     if not own + others:
         return rate_limit.Demand(share=1 / entries, entries=entries)
     return rate_limit.Demand(share=own / (own + others), entries=entries)
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -1,4 +1,4 @@
-"""One start of a target as an entry sees it."""
+"""Track one running instance of a target, from its start to its restart."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tamarackthread.shared import errors
 from tamarackthread.shared.site import announcements
 
-# Time out of the choice after a connection could not be made, doubled up to
-# the most: a restart takes about a second, a cut some seconds.
-FIRST_PAUSE_SECONDS = 0.3
-MOST_PAUSE_SECONDS = 4.0
-# Used where neither announcement nor answer tells how many run at once.
-ASSUMED_SLOTS = 6
+# Exponential backoff after a failed connection: a restart takes about a second,
+# a network partition several.
+INITIAL_BACKOFF_SECONDS = 0.3
+MAX_BACKOFF_SECONDS = 4.0
+# Concurrency of a target that does not announce it.
+DEFAULT_SLOTS = 6
 
 
 class StartOver(errors.CodedError):
-    """Target has started again since it was given the call."""
+    """Target has restarted since it was given the call."""
 
     code = 'TT7224'
     status = 502
@@ -30,125 +30,115 @@
 
 @attrs.define(eq=False)
 class TargetInstance:
-    """One start of a target.
-
-    ``own`` counts this entry's calls there and ``others`` those that other
-    entries told of.  A ``pace`` of 2 means that it takes twice its usual time.
-    ``group`` names the group whose passes it shares, empty if unknown.
-    ``asked`` is what its last answer to this entry asked for, and
-    ``leaving_at`` when an answer first said that it leaves, 0 if none has.
-    """
-
-    said: announcements.Announcement
-    heard_at: float
-    own: int = 0
-    others: int = 0
-    paused_until: float = 0
-    pause: float = 0
+    """The state of one running instance of a target."""
+
+    announcement: announcements.Announcement
+    announced_at: float
+    # Open calls of this entry, and of the others as of the last exchange.
+    own_calls: int = 0
+    other_calls: int = 0
+    backoff_until: float = 0
+    backoff: float = 0
+    # Relative step time: 2 means twice the usual time.
     pace: float = 1
+    # Empty if unknown.
     group: str = ''
-    record: outlier_detection.OutcomeHistory = attrs.field(
+    outcomes: outlier_detection.OutcomeHistory = attrs.field(
         factory=outlier_detection.OutcomeHistory
     )
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     cold_until: float = 0
-    asked: backpressure.Backpressure = backpressure.NONE
-    rest: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
-    leaving_at: float = 0
-    _lifetimes: set[asyncio.Timeout] = attrs.field(factory=set)
+    # What the last response to this entry asked for.
+    last_backpressure: backpressure.Backpressure = backpressure.NONE
+    cooldown: backpressure.Cooldown = attrs.field(factory=backpressure.Cooldown)
+    # When a response first announced a drain, 0 if none has.
+    draining_since: float = 0
+    _scopes: set[asyncio.Timeout] = attrs.field(factory=set)
 
     @property
     def name(self) -> str:
         """Return the target's name."""
-        return self.said.target
+        return self.announcement.target
 
     @property
     def slots(self) -> int:
-        """Return how many calls the target runs at once."""
-        return self.said.slots or ASSUMED_SLOTS
+        """Return how many calls the target runs concurrently."""
+        return self.announcement.slots or DEFAULT_SLOTS
 
     @property
     def load(self) -> float:
-        """Return what one call more would make of the target's load.
-
-        Ranks advance together, so a slow one holds up all calls of its group
-        by what it has to do itself: at twice the time it gets half the calls.
-        """
-        return (self.own + self.others + 1) * self.pace / self.slots
+        """Return the relative load of the target with one more call."""
+        # Ranks run in lockstep, so a rank at half speed gets half the calls.
+        return (self.own_calls + self.other_calls + 1) * self.pace / self.slots
 
     @property
-    def is_leaving(self) -> bool:
-        """Tell whether the target has said that it leaves, in any way.
-
-        Its answers bind this entry also where its announcements do not come:
-        an entry that is cut off from control hears of no farewell.
-        """
-        return self.said.is_leaving or self.leaving_at > 0
+    def is_draining(self) -> bool:
+        """Tell whether an announcement or a response has announced a drain."""
+        # An entry that is cut off from control gets no announcements.
+        return self.announcement.is_leaving or self.draining_since > 0
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether the target is surely up."""
-        is_up = self.said.state == announcements.State.READY
-        return is_up and self.paused_until <= now
+        """Tell whether the target is ready and not in backoff."""
+        is_up = self.announcement.state == announcements.State.READY
+        return is_up and self.backoff_until <= now
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the target takes only so many calls a second."""
-        return now < max(self.cold_until, self.heard_at + self.said.cold)
-
-    def begin(self, now: float) -> None:
-        """Count a call that goes there."""
-        self.own += 1
-        self.sent.note(now)
-        self.rest.sent(now)
-
-    def hear(
+        """Tell whether the target is cold, which limits its call rate."""
+        return now < max(
+            self.cold_until, self.announced_at + self.announcement.cold
+        )
+
+    def begin_call(self, now: float) -> None:
+        """Count a call that is sent to the target."""
+        self.own_calls += 1
+        self.sent.record(now)
+        self.cooldown.record_sent(now)
+
+    def apply_backpressure(
         self,
-        asked: backpressure.Backpressure,
+        requested: backpressure.Backpressure,
         now: float,
         *,
         is_taken: bool,
     ) -> None:
-        """Take what an answer asks for; ``is_taken`` unless it is a refusal."""
-        self.asked = asked
-        self.limit.hear(asked.rate, now)
-        if asked.is_leaving:
-            self.leaving_at = self.leaving_at or now
-        if asked.rest:
-            self.rest.ask(asked.rest, now)
+        """Apply a response's backpressure; ``is_taken`` unless it refused."""
+        self.last_backpressure = requested
+        self.limit.update(requested.rate, now)
+        if requested.is_leaving:
+            self.draining_since = self.draining_since or now
+        if requested.rest:
+            self.cooldown.start(requested.rest, now)
         elif is_taken:
-            self.rest.taken(now)
+            self.cooldown.record_accepted(now)
 
-    def asking(self, now: float) -> list[str]:
-        """Name what the target's answers ask for now, for people."""
-        found = {
-            'rest': self.rest.left(now) > 0,
+    def active_backpressure(self, now: float) -> list[str]:
+        """Name the kinds of backpressure in effect, for logs and metrics."""
+        kinds = {
+            'rest': self.cooldown.remaining(now) > 0,
             'limit': self.limit.rate is not None,
-            'no calls': self.leaving_at > 0,
+            'no calls': self.draining_since > 0,
         }
-        return [name for name, is_asked in found.items() if is_asked]
+        return [name for name, is_active in kinds.items() if is_active]
 
-    def failed(self, now: float) -> None:
-        """Keep calls away for a while after one could not be delivered."""
-        doubled = min(MOST_PAUSE_SECONDS, 2 * self.pause)
-        self.pause = max(FIRST_PAUSE_SECONDS, doubled)
-        self.paused_until = now + self.pause
+    def back_off(self, now: float) -> None:
+        """Start or double the backoff after a failed connection."""
+        doubled = min(MAX_BACKOFF_SECONDS, 2 * self.backoff)
+        self.backoff = max(INITIAL_BACKOFF_SECONDS, doubled)
+        self.backoff_until = now + self.backoff
 
-    def answered(self) -> None:
-        """Note that the target has answered."""
-        self.pause = 0
-        self.paused_until = 0
+    def reset_backoff(self) -> None:
+        """End the backoff after an answer."""
+        self.backoff = 0
+        self.backoff_until = 0
 
     @contextlib.asynccontextmanager
     async def lifetime(self) -> collections.abc.AsyncIterator[None]:
-        """Do what needs this start; raise ``StartOver`` once it has ended.
-
-        The failure: a target's host loses power and the target starts again
-        under its name.  Nothing closes the connection to the earlier start,
-        and the caller would wait out its deadline for an answer that nobody
-        makes.  The later start's word is proof that the earlier one is gone.
-        """
+        """Run a block; raise ``StartOver`` if the target restarts meanwhile."""
+        # After a power loss nothing closes the connection to the old instance,
+        # and its calls would wait until their deadlines.
         scope = asyncio.timeout(None)
-        self._lifetimes.add(scope)
+        self._scopes.add(scope)
         try:
             async with scope:
                 yield
@@ -157,10 +147,10 @@
                 raise StartOver(self.name) from exc
             raise
         finally:
-            self._lifetimes.discard(scope)
+            self._scopes.discard(scope)
 
-    def end(self) -> None:
-        """End all that needs this start: a later one has announced itself."""
+    def cancel_calls(self) -> None:
+        """End the open calls after a newer instance has announced itself."""
         now = asyncio.get_running_loop().time()
-        for scope in self._lifetimes:
+        for scope in self._scopes:
             scope.reschedule(now)
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -1,4 +1,4 @@
-"""Keep calls that crash targets from the targets, by what entries have seen."""
+"""Refuse poison requests: calls that have crashed several targets."""
 
 from __future__ import annotations
 
@@ -18,113 +18,112 @@
 from tamarackthread.shared import errors, log_events
 from tamarackthread.shared.site import figures
 
-MARK_BYTES = 16
-# A call that is refused is not tried before what is known of it is forgotten.
+FINGERPRINT_BYTES = 16
+# A retry within the time to live of the suspect would be refused again.
 RETRY_AFTER_SECONDS = 30.0
 _log = logging.getLogger('tamarackthread.entry')
 
 
 class PoisonRequests:
-    """Look at calls before they are sent, and at how their tries end.
-
-    A call is known by what makes it the same: a hash of its path, its caller and
-    its body.  It is worked out for calls whose target was lost, and for others
-    only while such calls are known.
-    """
+    """Check calls before they are sent, and track those that crash targets."""
 
+    # A hash of request, organisation and body identifies repetitions; it is
+    # computed only after a target was lost, and while there are suspects.
     def __init__(self) -> None:
-        """Begin without suspects."""
-        self._known = poison_calls.PoisonCalls()
+        """Start without suspects."""
+        self._suspects = poison_calls.PoisonCalls()
 
     def check(self, call: calls.Call) -> None:
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
         if self._verdict(call) is not poison_calls.Verdict.REFUSED:
             return
         figures.CALLS_SUSPECTED.labels('refused').inc()
-        self._tell(call, 'refused')
+        self._log_suspect(call, 'refused')
         raise failures.CallCrashes(
-            call.asked.path, retry_after=RETRY_AFTER_SECONDS
+            call.request.path, retry_after=RETRY_AFTER_SECONDS
         )
 
     def may_repeat(self, call: calls.Call) -> bool:
-        """Tell whether this entry may try a call once more by itself."""
-        return self._verdict(call) is poison_calls.Verdict.FREE
+        """Tell whether this entry may retry a call."""
+        return self._verdict(call) is poison_calls.Verdict.ALLOWED
 
-    def failed(
+    def note_failure(
         self,
         call: calls.Call,
         target: instances.TargetInstance,
         failure: errors.CodedError,
     ) -> None:
-        """Note how a try has failed.
-
-        Only a target that was lost before it answered tells against the call: a
-        stream that breaks off later was run by one that bore it.
-        """
+        """Record a failed try, if the target was lost before it answered."""
+        # A target that had begun to answer survived running the call.
         if not isinstance(failure, target_client.Unanswered):
             return
         now = asyncio.get_running_loop().time()
-        start = f'{target.name}/{target.said.born}'
-        self._known.lost(mark_of(call), start, now)
+        instance = f'{target.name}/{target.announcement.born}'
+        self._suspects.record_crash(fingerprint(call), instance, now)
         figures.CALLS_SUSPECTED.labels('lost').inc()
-        self._tell(call, 'lost')
+        self._log_suspect(call, 'lost')
 
-    def answered(self, call: calls.Call) -> None:
-        """Note that a target has answered a call."""
-        if self._known:
+    def note_answer(self, call: calls.Call) -> None:
+        """Record that a target has answered a call."""
+        if self._suspects:
             now = asyncio.get_running_loop().time()
-            self._known.answered(mark_of(call), now)
+            self._suspects.record_answer(fingerprint(call), now)
 
     @property
     def serial(self) -> int:
-        """Return a number that grows with each change of ``own``."""
-        return self._known.serial
+        """Return a number that grows with each change of ``own_rows``."""
+        return self._suspects.serial
 
-    def own(self) -> list[messages.SiteSuspect]:
-        """List what other entries have to know."""
+    def own_rows(self) -> list[messages.SiteSuspect]:
+        """List the suspects that this entry reports to the others."""
         now = asyncio.get_running_loop().time()
-        return [poison_calls.to_message(row) for row in self._known.own(now)]
+        return [
+            poison_calls.to_message(row)
+            for row in self._suspects.histories(now)
+        ]
 
-    def share(
+    def set_shared_rows(
         self,
         rows: collections.abc.Iterable[messages.SiteSuspect],
     ) -> None:
-        """Take what all other entries know."""
+        """Replace the suspects reported by the other entries."""
         now = asyncio.get_running_loop().time()
-        self._known.share([poison_calls.of_message(row) for row in rows], now)
+        self._suspects.merge(
+            [poison_calls.from_message(row) for row in rows], now
+        )
 
     def _verdict(self, call: calls.Call) -> poison_calls.Verdict:
-        if not self._known:
-            return poison_calls.Verdict.FREE
+        if not self._suspects:
+            return poison_calls.Verdict.ALLOWED
         now = asyncio.get_running_loop().time()
-        return self._known.verdict(mark_of(call), now)
+        return self._suspects.verdict(fingerprint(call), now)
 
-    def _tell(self, call: calls.Call, verdict: str) -> None:
-        mark = mark_of(call)
+    def _log_suspect(self, call: calls.Call, verdict: str) -> None:
+        mark = fingerprint(call)
         now = asyncio.get_running_loop().time()
-        losses = self._known.losses(mark, now)
+        losses = self._suspects.crash_count(mark, now)
         log_events.tell(
             _log,
             log_events.Event.SUSPECT,
-            'entry: call %s of organisation %s was %s, %d targets lost by it',
+            'entry: call %s of organisation %s was %s, %d targets crashed by it',
             mark.hex(),
             call.organisation or '-',
             verdict,
             losses,
             level=logging.WARNING,
             mark=mark.hex(),
-            path=call.asked.path,
+            path=call.request.path,
             organisation=call.organisation,
             verdict=verdict,
             losses=losses,
         )
 
 
-def mark_of(call: calls.Call) -> bytes:
-    """Return what is the same of calls that are the same."""
-    digest = hashlib.blake2b(digest_size=MARK_BYTES)
-    head = (call.asked.method, call.asked.host, call.asked.path)
-    for part in (*head, call.organisation):
+def fingerprint(call: calls.Call) -> bytes:
+    """Return a hash that is equal for repetitions of a call."""
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
+    fields = (call.request.method, call.request.host, call.request.path)
+    for part in (*fields, call.organisation):
         digest.update(part.encode())
         digest.update(b'\0')
     digest.update(call.body)
--- a/tamarackthread/entry/direct/sink.py
+++ b/tamarackthread/entry/direct/sink.py
@@ -1,4 +1,4 @@
-"""Write an answer to a caller over HTTP."""
+"""Write a response to a caller over HTTP."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class CallerDisconnected(Exception):
-    """Caller has closed its connection; nobody waits for an answer."""
+    """Caller has closed its connection and gets no response."""
 
 
 class Sink(abc.ABC):
-    """Take one answer, piece by piece."""
+    """Write one response, whole or in pieces."""
 
     @property
     @abc.abstractmethod
     def has_started(self) -> bool:
-        """Tell whether the caller has seen any of an answer."""
+        """Tell whether any part of the response was sent."""
 
     @property
     @abc.abstractmethod
-    def tempo(self) -> stream_timing.StreamTiming:
-        """Return when the pieces of the body left."""
+    def timing(self) -> stream_timing.StreamTiming:
+        """Return the times at which pieces of the body were sent."""
 
     @abc.abstractmethod
     async def start(self, head: target_client.ResponseHead) -> None:
@@ -38,47 +38,47 @@
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """End the response as complete."""
 
     @abc.abstractmethod
     async def whole(
         self, head: target_client.ResponseHead, body: bytes
     ) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
 
 
 class HttpSink(Sink):
-    """Write to an HTTP caller."""
+    """Write a response to an HTTP caller."""
 
     def __init__(
         self,
         request: web.BaseRequest,
-        is_last: collections.abc.Callable[[], bool],
+        is_closing: collections.abc.Callable[[], bool],
     ) -> None:
-        """Send nothing yet; ``is_last`` asks the caller to reconnect."""
+        """Send nothing yet; ``is_closing`` says whether to close afterwards."""
         self._request = request
-        self._is_last = is_last
+        self._is_closing = is_closing
         self._response: web.StreamResponse | None = None
-        self._tempo = stream_timing.StreamTiming()
+        self._timing = stream_timing.StreamTiming()
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the head has left."""
+        """Tell whether the head was sent."""
         return self._response is not None
 
     @property
-    def tempo(self) -> stream_timing.StreamTiming:
-        """Return when the pieces of a stream left."""
-        return self._tempo
+    def timing(self) -> stream_timing.StreamTiming:
+        """Return the times at which pieces of a stream were sent."""
+        return self._timing
 
     @property
     def response(self) -> web.StreamResponse:
-        """Give the response that the server must return."""
+        """Return the response that the HTTP server expects from its handler."""
         assert self._response is not None
         return self._response
 
     async def start(self, head: target_client.ResponseHead) -> None:
-        """Send the head; the body goes out in chunks."""
+        """Send the head; the body follows in chunks."""
         response = web.StreamResponse(status=head.status)
         self._fill(response, head)
         if self._request.method != 'HEAD':
@@ -90,15 +90,15 @@
             raise CallerDisconnected from exc
 
     async def write(self, piece: bytes) -> None:
-        """Send a piece and wait while the caller's window is closed."""
-        self._tempo.note(asyncio.get_running_loop().time())
+        """Send a piece, waiting while the caller's receive window is full."""
+        self._timing.note(asyncio.get_running_loop().time())
         try:
             await self.response.write(piece)
         except OSError as exc:
             raise CallerDisconnected from exc
 
     async def finish(self) -> None:
-        """Send the closing chunk, which tells the caller that all came."""
+        """Send the last chunk, which marks the response as complete."""
         try:
             await self.response.write_eof()
         except OSError as exc:
@@ -107,7 +107,7 @@
     async def whole(
         self, head: target_client.ResponseHead, body: bytes
     ) -> None:
-        """Send head and body with their length."""
+        """Send head and body with a Content-Length."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall('Content-Type', None)
         self._fill(response, head)
@@ -118,18 +118,14 @@
         except OSError as exc:
             raise CallerDisconnected from exc
 
-    def end_connection(self) -> None:
-        """Let no further request come on this connection."""
+    def close_after_response(self) -> None:
+        """Close the connection after this response."""
         if self._response is not None:
             self._response.force_close()
 
-    def break_off(self) -> None:
-        """Cut the connection, so that the answer can't be taken for whole.
-
-        Ended in good order, an answer that lacks its last part would look
-        complete to a caller that reads to the end.  Without the closing chunk
-        every HTTP client reports an error.
-        """
+    def abort(self) -> None:
+        """Abort the connection, so that the response is seen as incomplete."""
+        # Without the last chunk every HTTP client reports an error.
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -138,5 +134,5 @@
     ) -> None:
         for name, value in head.headers:
             response.headers.add(name, value)
-        if self._is_last():
+        if self._is_closing():
             response.force_close()
--- a/tamarackthread/entry/rate_leases.py
+++ b/tamarackthread/entry/rate_leases.py
@@ -51,7 +51,7 @@
             limit = details.requests_per_second
             if limit:
                 rates[name] = portions.safe_share(limit, self._entries)
-        self._portions.follow(rates, now)
+        self._portions.set_caps(rates, now)
 
     async def run(self) -> None:
         """Renew the leases of organisations with recent calls."""
--- a/tamarackthread/platform/door.py
+++ b/tamarackthread/platform/http_api.py
@@ -1,4 +1,4 @@
-"""Serve the platform's operators and targets at a control host."""
+"""Serve the platform's HTTP API for operators and targets at a control host."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from tamarackthread.shared.site import announcements
 
 MILLISECONDS = 1000
-# The most that an operator's configuration may have.
-BODY_BYTES = 8 << 20
+# Size limit of a configuration.
+MAX_BODY_BYTES = 8 << 20
 _State = announcements.State
 _STATES = types.MappingProxyType(
     {'ready': _State.READY, 'draining': _State.LEAVING},
 )
 
 
-class PlatformDoor(host.HttpServer):
-    """Translate between the platform's paths and the product's calls."""
+class PlatformApi(host.HttpServer):
+    """Map the platform's HTTP paths to control's functions."""
 
     def __init__(self) -> None:
-        """Serve nothing until ``open``."""
+        """Prepare the API; ``open`` starts serving."""
         self._runner: web.AppRunner | None = None
 
     async def open(
@@ -42,7 +42,7 @@
         zones: evacuation.Evacuation,
     ) -> str:
         """Serve at HOST:PORT and return the address in use."""
-        app = web.Application(client_max_size=BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post(wire.REPLACE, http_errors.bind(_replace, site))
         app.router.add_get(wire.READ, http_errors.bind(_read, site))
         for path, is_evacuated in (
@@ -51,15 +51,19 @@
         ):
             handler = functools.partial(_set_zone, is_evacuated)
             app.router.add_post(path, http_errors.bind(handler, zones))
-        app.router.add_post(wire.ANNOUNCE, http_errors.bind(_announce, targets))
-        app.router.add_post(wire.FAREWELL, http_errors.bind(_farewell, targets))
+        app.router.add_post(
+            wire.HEARTBEAT, http_errors.bind(_heartbeat, targets)
+        )
+        app.router.add_post(
+            wire.DEREGISTER, http_errors.bind(_deregister, targets)
+        )
         self._runner = web.AppRunner(
             app, access_log=None, handle_signals=False, shutdown_timeout=0.5
         )
         await self._runner.setup()
-        bound, _, port = address.rpartition(':')
-        site_of = web.TCPSite(self._runner, bound, int(port), backlog=1024)
-        await site_of.start()
+        bind_host, _, port = address.rpartition(':')
+        tcp_site = web.TCPSite(self._runner, bind_host, int(port), backlog=1024)
+        await tcp_site.start()
         bound_host, bound_port = self._runner.addresses[0][:2]
         return f'{bound_host}:{bound_port}'
 
@@ -95,35 +99,35 @@
     return web.json_response({})
 
 
-async def _announce(
+async def _heartbeat(
     targets: target_registry.TargetRegistry,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.validating(_writer(request)):
-        said = read_announcement(request.match_info['target'], body)
-        targets.record(said)
+    with targets.validating(_sender(request)):
+        announcement = read_announcement(request.match_info['target'], body)
+        targets.record(announcement)
     return web.json_response({})
 
 
-async def _farewell(
+async def _deregister(
     targets: target_registry.TargetRegistry,
     request: web.Request,
 ) -> web.StreamResponse:
     body = await request.read()
-    with targets.validating(_writer(request)):
+    with targets.validating(_sender(request)):
         row = fields.parse(body) if body.strip() else {}
         born = fields.whole(row, wire.BORN, default=0)
         targets.mark_gone(request.match_info['target'], born)
     return web.json_response({})
 
 
-def _writer(request: web.Request) -> str:
+def _sender(request: web.Request) -> str:
     return f'{request.match_info["target"]} from {request.remote}'
 
 
 def read_announcement(target: str, body: bytes) -> announcements.Announcement:
-    """Read what a target says of itself; raise ``FieldInvalid``."""
+    """Parse a target's heartbeat; raise ``FieldInvalid``."""
     row = fields.parse(body)
     return announcements.Announcement(
         target=target,
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -17,15 +17,15 @@
 )
 from tamarackthread.policy import poison_calls
 from tamarackthread.shared.site import announcements, configuration
-from tests import direct_case, policy_case, test_admitting
-from tests import test_shared_calls as shared_calls
+from tests import direct_case, policy_case, test_admission_control
+from tests import test_load_exchange as shared_calls
 
 BAD = b'b'
 GOOD = b'g'
-FREE = poison_calls.Verdict.FREE
-WATCHED = poison_calls.Verdict.WATCHED
+FREE = poison_calls.Verdict.ALLOWED
+WATCHED = poison_calls.Verdict.NO_RETRY
 REFUSED = poison_calls.Verdict.REFUSED
-SETTLED = poison_calls.TOGETHER_SECONDS
+SETTLED = poison_calls.CORRELATED_LOSS_SECONDS
 SEED = 9
 ENTRIES = 6
 
@@ -40,7 +40,7 @@
         """The third target that is lost by a call is the last one."""
         found = []
         for number in range(3):
-            self.known.lost(BAD, f't{number}', 10.0 * number)
+            self.known.record_crash(BAD, f't{number}', 10.0 * number)
             found.append(self.known.verdict(BAD, 10.0 * number + SETTLED))
         self.assertEqual([FREE, WATCHED, REFUSED], found)
 
@@ -48,9 +48,9 @@
         """An ordinary call ran on the same target, and is answered elsewhere."""
         for number in range(3):
             moment = 10.0 * number
-            self.known.lost(BAD, f't{number}', moment)
-            self.known.lost(GOOD, f't{number}', moment)
-            self.known.answered(GOOD, moment + 1)
+            self.known.record_crash(BAD, f't{number}', moment)
+            self.known.record_crash(GOOD, f't{number}', moment)
+            self.known.record_answer(GOOD, moment + 1)
             self.assertEqual(FREE, self.known.verdict(GOOD, moment + 2))
         self.assertEqual(REFUSED, self.known.verdict(BAD, 30))
 
@@ -60,9 +60,11 @@
         Many targets are lost at once, which tells nothing of any call.
         """
         for number in range(3):
-            for target in range(poison_calls.TOGETHER_TARGETS):
+            for target in range(poison_calls.CORRELATED_LOSS_TARGETS):
                 mark = BAD if target == 0 else bytes([target])
-                self.known.lost(mark, f't{number}-{target}', 10.0 * number)
+                self.known.record_crash(
+                    mark, f't{number}-{target}', 10.0 * number
+                )
         self.assertEqual(FREE, self.known.verdict(BAD, 21))
 
     def test_failing_target(self):
@@ -71,22 +73,26 @@
         It has not crashed: it is the same start of it all the while.
         """
         for number in range(9):
-            self.known.lost(BAD, 't0', 10.0 * number)
+            self.known.record_crash(BAD, 't0', 10.0 * number)
         self.assertEqual(FREE, self.known.verdict(BAD, 90))
 
     def test_forgotten(self):
         """A call is let through after a minute, and known again by its losses."""
         for number in range(3):
-            self.known.lost(BAD, f't{number}', 10.0 * number)
-        later = 20 + poison_calls.REMEMBERED_SECONDS + 1
+            self.known.record_crash(BAD, f't{number}', 10.0 * number)
+        later = 20 + poison_calls.HISTORY_TTL_SECONDS + 1
         self.assertEqual(FREE, self.known.verdict(BAD, later))
         self.assertFalse(self.known)
 
     def test_bounded(self):
         """Calls without end are lost; so many are remembered and no more."""
-        for number in range(10 * poison_calls.MOST_CALLS):
-            self.known.lost(number.to_bytes(4), f't{number}', number / 100)
-        self.assertLessEqual(len(self.known.own(13)), poison_calls.MOST_CALLS)
+        for number in range(10 * poison_calls.MAX_CALLS):
+            self.known.record_crash(
+                number.to_bytes(4), f't{number}', number / 100
+            )
+        self.assertLessEqual(
+            len(self.known.histories(13)), poison_calls.MAX_CALLS
+        )
 
     def test_ordinary_losses(self):
         """Targets crash at random; no call of thousands is refused for it.
@@ -100,15 +106,17 @@
             mark = number.to_bytes(4)
             while generator.random() < 0.03:
                 start = f't{generator.randrange(60)}/{int(now)}'
-                self.known.lost(mark, start, now)
+                self.known.record_crash(mark, start, now)
                 now += 0.3
                 self.assertNotEqual(REFUSED, self.known.verdict(mark, now))
-            self.known.answered(mark, now)
+            self.known.record_answer(mark, now)
 
 
 def start_of(name):
     said = announcements.Announcement(
-        target=name, service=test_admitting.SERVICE, address=f'{name}:80'
+        target=name,
+        service=test_admission_control.SERVICE,
+        address=f'{name}:80',
     )
     return instances.TargetInstance(said, 0)
 
@@ -175,11 +183,11 @@
     async def _any(self):
         hosts = {'h0': loads.Loads(1)}
         entries = await self._crashed(hosts)
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
                 entry.crashing.check(call)
-        other = test_admitting.call_of(call_id='other')
+        other = test_admission_control.call_of(call_id='other')
         entries[-1].crashing.check(_with_body(other, b'another'))
 
     async def _lost_host(self):
@@ -189,7 +197,7 @@
             entry.links.cut.add('h0')
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _restarted(self):
         hosts = {'h0': loads.Loads(1)}
@@ -199,17 +207,17 @@
         await _exchange(entries)
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
-                entry.crashing.check(test_admitting.call_of())
+                entry.crashing.check(test_admission_control.call_of())
 
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
-        for _ in range(int(2 * poison_calls.REMEMBERED_SECONDS)):
+        call = test_admission_control.call_of()
+        for _ in range(int(2 * poison_calls.HISTORY_TTL_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
-            self.assertEqual([], entry.crashing.own())
+            self.assertEqual([], entry.crashing.own_rows())
 
     async def _told_once(self):
         hosts = {'h0': Counting(1)}
@@ -228,23 +236,23 @@
         await _exchange(entries)
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _answered(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
-        entries[-1].crashing.answered(call)
+        call = test_admission_control.call_of()
+        entries[-1].crashing.note_answer(call)
         await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
 
     async def _crashed(self, hosts):
         entries = [Entry(f'e{number}', hosts) for number in range(ENTRIES)]
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
-            entry.crashing.failed(call, start_of(f't{number}'), lost)
+            entry.crashing.note_failure(call, start_of(f't{number}'), lost)
             await asyncio.sleep(1)
             await _exchange(entries)
         return entries
@@ -256,14 +264,16 @@
         self.run_paused(self._same())
 
     async def _same(self):
-        call = test_admitting.call_of(call_id='one')
-        again = test_admitting.call_of(call_id='two')
+        call = test_admission_control.call_of(call_id='one')
+        again = test_admission_control.call_of(call_id='two')
         self.assertEqual(
-            poison_requests.mark_of(call), poison_requests.mark_of(again)
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(again),
         )
         other = _with_body(again, b'another')
         self.assertNotEqual(
-            poison_requests.mark_of(call), poison_requests.mark_of(other)
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(other),
         )
 
 
@@ -280,18 +290,18 @@
         self.assertEqual(502, status)
         fake.close()
         # What was lost with it is known at once, so that the loss counts.
-        with mock.patch.object(poison_calls, 'TOGETHER_SECONDS', 0):
-            rows = self.crashing.own()
+        with mock.patch.object(poison_calls, 'CORRELATED_LOSS_SECONDS', 0):
+            rows = self.crashing.own_rows()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
-        self.crashing.share(rows)
+        self.crashing.set_shared_rows(rows)
         sound = await self.add(direct_case.whole('yes'))
         status, body, headers = await self.ask(body=b'bad')
         self.assertEqual(503, status)
         self.assertIn(b'TT7213', body)
         self.assertGreater(float(headers['Retry-After']), 1)
         self.assertEqual([], sound.heads)
-        self.known.get(fake.name).failed(asyncio.get_running_loop().time())
+        self.known.get(fake.name).back_off(asyncio.get_running_loop().time())
         status, _, _ = await self.ask(body=b'good')
         self.assertEqual(200, status)
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -168,7 +168,7 @@
             return
 
     async def _check(self, name):
-        async with asyncio.timeout(consensus_net.PATIENCE_SECONDS):
+        async with asyncio.timeout(consensus_net.WAIT_TIMEOUT_SECONDS):
             while True:
                 node = self.random.choice(sorted(self.net.processes))
                 try:
@@ -310,21 +310,21 @@
         known.learn_zones([zones.Zone('east', True, 1)])
         for _ in range(20):
             chosen = known.choose(SERVICE, ())
-            self.assertEqual('west', chosen.said.zone)
-            chosen.own += 1
+            self.assertEqual('west', chosen.announcement.zone)
+            chosen.own_calls += 1
         self.assertEqual('w1', known.choose(SERVICE, ('w0',)).name)
-        crowd = known.crowd(SERVICE, 1)
+        crowd = known.group_load(SERVICE, 1)
         self.assertEqual((2, 4), (crowd.ranks, crowd.places))
         known.learn_zones([zones.Zone('west', True, 1)])
         self.assertIsNone(known.choose(SERVICE, ()))
-        self.assertEqual(0, known.crowd(SERVICE, 1).ranks)
+        self.assertEqual(0, known.group_load(SERVICE, 1).ranks)
 
     async def _older(self):
         known = self.known()
         known.learn_zones([zones.Zone('east', True, 3)])
         known.learn_zones([zones.Zone('east', False, 2)])
         self.assertEqual(3, known.zone_changes)
-        self.assertEqual('west', known.choose(SERVICE, ()).said.zone)
+        self.assertEqual('west', known.choose(SERVICE, ()).announcement.zone)
 
     def known(self):
         known = targets.Targets('east', 1.0, random.Random(5))
--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -1,15 +1,15 @@
-"""Prove that orders, leases and maps pass over real links."""
+"""Test orders, leases and maps over real links."""
 
 import unittest
 
 from bench.engines import fake_control, group
 from tamarackthread.agent import (
     control_client,
-    group_part,
-    maps,
+    group_runtime,
+    map_cache,
     order_errors,
     order_state,
-    ranks,
+    rank_transport,
     switch_record,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -28,10 +28,10 @@
 
 
 class _Handler(link.Handler):
-    """Answer as a control host and as the agent of rank 0."""
+    """Stand in for a control host and for the agent of rank 0."""
 
-    def __init__(self, part: group_part.GroupPart) -> None:
-        self._part = part
+    def __init__(self, runtime: group_runtime.GroupRuntime) -> None:
+        self._runtime = runtime
         self._control = fake_control.Control()
 
     async def on_request(
@@ -39,7 +39,7 @@
         held: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Take what the group's parts send."""
+        """Dispatch leases, decisions and orders."""
         if request.lease is not None:
             reply = await self._control.lease(request.lease)
             return messages.Reply(lease=reply)
@@ -47,39 +47,41 @@
             reply = await self._control.decide(request.decision)
             return messages.Reply(decision=reply)
         return messages.Reply(
-            order=await self._part.handle_order(request.order)
+            order=await self._runtime.handle_order(request.order)
         )
 
     async def on_stream(
         self, held: link.Link, call: object, opening: object
     ) -> None:
-        """Take no calls."""
+        """Reject streams."""
         raise errors.RequestUnsupported
 
 
 class TestLinks(unittest.IsolatedAsyncioTestCase):
-    """Use the product's transports on loopback."""
+    """Use the transports on loopback."""
 
     async def asyncSetUp(self) -> None:
         """Listen as control and rank 0; dial as rank 1."""
         self._map = expert_map.cold_start(SHAPE)
         self._peers = peers.Peers(_options('rank-1'))
-        transport = ranks.PeersTransport(self._peers, list, dict)
+        transport = rank_transport.LinkTransport(self._peers, list, dict)
         lockstep = group.LockStepGroup(self._map.slots[..., 0, 0], 1)
-        settings = group_part.GroupSettings(
+        settings = group_runtime.GroupSettings(
             GROUP,
             0,
             'rank-0',
             self._map,
             candidate=False,
         )
-        part = group_part.GroupPart(
+        runtime = group_runtime.GroupRuntime(
             settings,
             fake_control.LocalControl(fake_control.Control()),
             transport,
             group.RankEngine(0, lockstep),
         )
-        self._listener = listener.Listener(_options('rank-0'), _Handler(part))
+        self._listener = listener.Listener(
+            _options('rank-0'), _Handler(runtime)
+        )
         self._address = await self._listener.start('127.0.0.1', 0)
 
     async def asyncTearDown(self) -> None:
@@ -88,11 +90,11 @@
         self._listener.close()
 
     async def test_control(self) -> None:
-        """A silent control host is passed over; records come back whole."""
-        dead = '127.0.0.1:1'
-        control = control_client.LinkControl(
+        """An unreachable control host is skipped; records round-trip."""
+        unreachable = '127.0.0.1:1'
+        control = control_client.LinkControlClient(
             self._peers,
-            [dead, self._address],
+            [unreachable, self._address],
         )
         request = messages.LeaseRequest(
             name=GROUP,
@@ -116,27 +118,27 @@
         self.assertEqual(await control.latest(GROUP), intent)
 
     async def test_no_control(self) -> None:
-        """Without any control host the caller gets one coded error."""
-        control = control_client.LinkControl(self._peers, ['127.0.0.1:1'])
+        """Without a reachable control host a single coded error is raised."""
+        control = control_client.LinkControlClient(self._peers, ['127.0.0.1:1'])
         with self.assertRaises(order_errors.ControlUnreachable):
             await control.fence(GROUP)
 
     async def test_map_of_full_size(self) -> None:
-        """A rank without memory gets a map of 58 layers from a peer."""
-        transport = ranks.PeersTransport(
+        """A map of 58 layers is fetched from a peer."""
+        transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
         )
-        source = ranks.PeerMaps(GROUP, transport)
+        source = rank_transport.PeerMapSource(GROUP, transport)
         fetched = await source.fetch(self._map.digest())
         self.assertEqual(fetched.digest(), self._map.digest())
         with self.assertRaises(order_errors.MapUnknown):
-            await maps.MapBook(self._map, source).get('unknown')
+            await map_cache.MapCache(self._map, source).get('unknown')
 
     async def test_refusal(self) -> None:
-        """An order that the desk refuses comes back with its code."""
-        transport = ranks.PeersTransport(
+        """A refused order returns its error code."""
+        transport = rank_transport.LinkTransport(
             self._peers,
             lambda: [0, 1],
             lambda: {0: self._address},
