--- a/tamarackthread/policy/portions.py
+++ b/tamarackthread/policy/portions.py
@@ -1,8 +1,7 @@
-"""Split an organisation's cap among the entries that see its calls.
+"""Lease portions of an organisation's rate cap to entries.
 
-Control leases each entry a portion.  What is leased out never adds up to more
-than the cap, so a portion shrinks at once and grows only once the others have
-renewed or lost theirs.
+Leased portions never sum to more than the cap: a portion shrinks at once, and
+grows only after others have been renewed or have expired.
 """
 
 from __future__ import annotations
@@ -11,10 +10,9 @@
 
 import attrs
 
-# Shared evenly, so that an entry where demand appears has something to start
-# with before its first report.
+# Split evenly, so that an entry has capacity before it reports any demand.
 EVEN_SHARE = 0.1
-# Kept back for entries whose portion has lapsed.
+# Reserved for entries whose lease has expired.
 RESERVE_SHARE = 0.1
 
 
@@ -22,7 +20,7 @@
     cap: float,
     demands: collections.abc.Mapping[str, float],
 ) -> dict[str, float]:
-    """Split a cap in units a second by demand in the same units."""
+    """Split a cap by demand; both are in units a second."""
     total = sum(demands.values())
     return {
         node: portion_of(cap, demand, total, len(demands))
@@ -36,7 +34,7 @@
     total: float,
     nodes: int,
 ) -> float:
-    """Give one of ``nodes`` its part of a cap, by its part of the demand."""
+    """Return the portion of one of ``nodes`` by its share of the demand."""
     leased = cap * (1 - RESERVE_SHARE)
     even = leased * EVEN_SHARE / nodes
     weight = demand / total if total > 0 else 1 / nodes
@@ -44,7 +42,7 @@
 
 
 def safe_share(cap: float, entries: int) -> float:
-    """Give the rate that an entry may use once its portion has lapsed."""
+    """Return the rate of an entry whose lease has expired."""
     return cap * RESERVE_SHARE / max(entries, 1)
 
 
@@ -56,64 +54,63 @@
 
 
 class _Organisation:
-    """Hold one organisation's portions and their sums.
+    """Hold one organisation's leases and their running sums.
 
-    Portions all run equally long, so the order of renewal is the order of
-    their ends.  The sums are kept, because adding up hundreds of entries at
-    each of their requests would grow with their square.
+    All leases have the same length, so insertion order is expiry order.
+    Running sums keep a round of renewals linear in the number of entries.
     """
 
     def __init__(self) -> None:
-        self._leased: dict[str, _Lease] = {}
+        self._leases: dict[str, _Lease] = {}
         self._demand: float = 0
         self._rate: float = 0
 
     def expire(self, now: float) -> None:
-        """Drop what has ended."""
-        while self._leased:
-            node = next(iter(self._leased))
-            if self._leased[node].ends_at > now:
+        """Drop the leases that have expired."""
+        while self._leases:
+            node = next(iter(self._leases))
+            if self._leases[node].ends_at > now:
                 return
             self.drop(node)
 
     def drop(self, node: str) -> None:
-        """Drop a node's portion, if it has one."""
-        old = self._leased.pop(node, None)
+        """Drop a node's lease, if it has one."""
+        old = self._leases.pop(node, None)
         if old is None:
             return
         self._demand -= old.demand
         self._rate -= old.rate
-        if not self._leased:
-            # Sums of many small steps drift; an empty table is exactly none.
+        if not self._leases:
+            # Resets the rounding errors of the running sums.
             self._demand = 0
             self._rate = 0
 
-    def put(self, node: str, leased: _Lease) -> None:
-        """Lease a node its portion, as the newest one."""
-        self._leased[node] = leased
+    def add(self, node: str, leased: _Lease) -> None:
+        """Add a lease, the last one to expire."""
+        self._leases[node] = leased
         self._demand += leased.demand
         self._rate += leased.rate
 
     def portion_for(self, cap: float, demand: float) -> float:
-        """Give what ``split`` gives a further node with this demand."""
+        """Return the portion of one more node with this demand."""
         return portion_of(
             cap,
             demand,
             self._demand + demand,
-            len(self._leased) + 1,
+            len(self._leases) + 1,
         )
 
     @property
     def rate(self) -> float:
-        """Give what is leased out, in units a second."""
+        """Return the sum of the leased rates, in units a second."""
         return self._rate
 
 
 class PortionTable:
-    """Hold the portions that are leased out; times are the caller's clock."""
+    """Hold the leased portions; times are on the caller's clock."""
 
     def __init__(self, lease_seconds: float, began_at: float) -> None:
-        """Start at ``began_at`` without knowing what was leased before."""
+        """Start at ``began_at`` without the leases of an earlier leader."""
         self._lease_seconds = lease_seconds
         self._began_at = began_at
         self._organisations: dict[str, _Organisation] = {}
@@ -127,17 +124,17 @@
         used: float,
         now: float,
     ) -> float:
-        """Lease a node its portion and give the rate in units a second.
+        """Lease a node its portion; return the rate in units a second.
 
-        In the first lease time nobody gets more than it has been using:
-        portions of the leader before are still in use.
+        Until leases of an earlier leader have expired, a node gets at most
+        the rate it has been using.
         """
         held = self._organisations.setdefault(organisation, _Organisation())
         held.expire(now)
         held.drop(node)
-        left = max(cap * (1 - RESERVE_SHARE) - held.rate, 0)
-        rate = min(held.portion_for(cap, demand), left)
+        unleased = max(cap * (1 - RESERVE_SHARE) - held.rate, 0)
+        rate = min(held.portion_for(cap, demand), unleased)
         if now < self._began_at + self._lease_seconds:
             rate = min(rate, used)
-        held.put(node, _Lease(demand, rate, now + self._lease_seconds))
+        held.add(node, _Lease(demand, rate, now + self._lease_seconds))
         return rate
--- a/tamarackthread/policy/queue_rates.py
+++ b/tamarackthread/policy/queue_rates.py
@@ -1,4 +1,4 @@
-"""Measure how fast a queue drains, and say when a refused caller may return."""
+"""Measure drain and arrival rates and schedule the retries of refused calls."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class RateSettings:
-    """Hold how the drain rate is smoothed, in seconds.
+    """Hold the smoothing of rates and the bounds of retries, in seconds.
 
-    ``prior_seconds`` is the weight of the capacity that the load reports
-    suggest, against the measured rate over ``window_seconds``.
+    ``prior_seconds`` weighs the capacity estimated from load reports against
+    the rate measured over ``window_seconds``.
     """
 
     window_seconds: float = 1.0
@@ -23,76 +23,76 @@
 
 
 class DrainMeter:
-    """Measure served cost a second over the time that a queue was waiting.
+    """Measure the cost served a second while a queue isn't empty.
 
-    Idle time isn't counted: it says nothing about how fast a queue drains.
+    Idle time is left out, as it doesn't show how fast the queue drains.
     """
 
     def __init__(self, settings: RateSettings | None = None) -> None:
-        """Start with nothing measured."""
+        """Start without measurements."""
         self._settings = settings or RateSettings()
-        self._busy: float = 0
-        self._served: float = 0
+        self._busy_seconds: float = 0
+        self._served_cost: float = 0
         self._is_waiting = False
         self._seen_at: float = 0
 
     def record_served(self, cost: float) -> None:
-        """Count the cost of a call that left the waiting queue; 0 unserved."""
-        self._served += cost
+        """Add the cost of a call that left the queue, 0 if it wasn't served."""
+        self._served_cost += cost
 
     def observe(self, is_waiting: bool, now: float) -> None:
-        """Note whether the queue waits from now on."""
+        """Record whether calls wait in the queue from now on."""
         passed = now - self._seen_at
         keep = max(0, 1 - passed / self._settings.window_seconds)
         if self._is_waiting:
-            self._busy += passed
-        self._busy *= keep
-        self._served *= keep
+            self._busy_seconds += passed
+        self._busy_seconds *= keep
+        self._served_cost *= keep
         self._is_waiting = is_waiting
         self._seen_at = now
 
     def rate(self, prior: float, now: float) -> float:
-        """Return cost a second; ``prior`` counts while little is measured."""
+        """Return the cost a second, blended with the rate ``prior``."""
         weight = self._settings.prior_seconds
-        busy = self._busy
+        busy = self._busy_seconds
         if self._is_waiting:
             busy += now - self._seen_at
-        return (self._served + prior * weight) / (busy + weight)
+        return (self._served_cost + prior * weight) / (busy + weight)
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing has waited for as long as it remembers."""
+        """Tell whether nothing has waited for a whole window."""
         if self._is_waiting:
             return False
         return now - self._seen_at > self._settings.window_seconds
 
 
 class ArrivalMeter:
-    """Measure asked cost a second, admitted or not, over the last seconds."""
+    """Measure the cost a second of arriving calls, decayed exponentially."""
 
     def __init__(self, window_seconds: float = 2.0) -> None:
-        """Start with nothing asked."""
+        """Start without arrivals."""
         self._window = window_seconds
         self._level: float = 0
         self._seen_at: float = 0
 
     def add(self, cost: float, now: float) -> None:
-        """Count a call."""
-        self._level = self._faded(now) + cost
+        """Add the cost of a call."""
+        self._level = self._decayed(now) + cost
         self._seen_at = now
 
     def rate(self, now: float) -> float:
-        """Return cost a second."""
-        return self._faded(now) / self._window
+        """Return the cost a second."""
+        return self._decayed(now) / self._window
 
-    def _faded(self, now: float) -> float:
+    def _decayed(self, now: float) -> float:
         return self._level * math.exp((self._seen_at - now) / self._window)
 
 
 class RetrySchedule:
-    """Tell refused callers when to come back.
+    """Spread the retries of refused calls over time.
 
-    Each refusal books the organisation's next free place at its share of the
-    drain rate.  One fixed time for all would bring the wave back as a wave.
+    Each refusal reserves a time slot at the organisation's share of the drain
+    rate; equal retry times would cause a retry storm.
     """
 
     def __init__(
@@ -100,10 +100,10 @@
         generator: random.Random,
         settings: RateSettings | None = None,
     ) -> None:
-        """Start with no places booked."""
+        """Start without reservations."""
         self._random = generator
         self._settings = settings or RateSettings()
-        self._next: dict[str, float] = {}
+        self._next_free_at: dict[str, float] = {}
 
     def reserve(
         self,
@@ -113,25 +113,25 @@
         wait: float,
         now: float,
     ) -> float:
-        """Return seconds until a refused call of ``cost`` should come back.
+        """Return the seconds after which a refused call should retry.
 
-        ``rate`` is the organisation's share of the drain rate and ``wait``
-        the expected wait of the queue now.
+        ``rate`` is the organisation's share of the drain rate, in cost a
+        second, ``wait`` the queue's expected wait in seconds.
         """
         settings = self._settings
         earliest = now + max(settings.least_retry, wait)
-        place = max(earliest, self._next.get(organisation, 0))
-        if place - now > settings.most_retry:
-            half = settings.most_retry / 2
-            return half + half * self._random.random()
-        self._next[organisation] = place + cost / max(rate, 0.01)
-        self._tidy(now)
-        spread = 1 + self._random.random() / 4
-        return (place - now) * spread
-
-    def _tidy(self, now: float) -> None:
-        if len(self._next) < 1024:
+        retry_at = max(earliest, self._next_free_at.get(organisation, 0))
+        if retry_at - now > settings.most_retry:
+            half_limit = settings.most_retry / 2
+            return half_limit + half_limit * self._random.random()
+        self._next_free_at[organisation] = retry_at + cost / max(rate, 0.01)
+        self._evict_expired(now)
+        jitter = 1 + self._random.random() / 4
+        return (retry_at - now) * jitter
+
+    def _evict_expired(self, now: float) -> None:
+        if len(self._next_free_at) < 1024:
             return
-        for organisation in list(self._next):
-            if self._next[organisation] < now:
-                self._next.pop(organisation)
+        for organisation in list(self._next_free_at):
+            if self._next_free_at[organisation] < now:
+                self._next_free_at.pop(organisation)
--- a/tamarackthread/policy/running_calls.py
+++ b/tamarackthread/policy/running_calls.py
@@ -1,4 +1,4 @@
-"""Watch the admitted calls: which gives way, and which is better off moved."""
+"""Track the admitted calls and choose those to pre-empt or to move."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class RunningCalls:
-    """Hold the tickets of one service that were not released."""
+    """Hold the unreleased tickets of one service."""
 
     def __init__(
         self,
-        place: allocator.Allocator,
+        capacity: allocator.Allocator,
         preempt: preemption.PreemptionPolicy,
         move: migration.MovePolicy,
     ) -> None:
         """Start empty."""
-        self._room = place
+        self._allocator = capacity
         self._preempt = preempt
         self._move = move
         self._tickets: dict[int, tickets.Ticket] = {}
@@ -31,35 +31,35 @@
         return len(self._tickets)
 
     def add(self, ticket: tickets.Ticket, now: float) -> None:
-        """Watch a call that was just admitted."""
+        """Track a call that was just admitted."""
         self._tickets[id(ticket)] = ticket
         self._move.admitted(now)
 
     def remove(self, ticket: tickets.Ticket) -> None:
-        """Stop watching a call that ended."""
+        """Stop tracking a call that ended."""
         self._tickets.pop(id(ticket), None)
 
     def preempt_one(self, urgent: calls.CallFacts, now: float) -> bool:
-        """Ask one call to give way; tell whether there was one."""
-        found = []
+        """Pre-empt one call for an urgent one; tell whether there was one."""
+        candidates = []
         for ticket in self._tickets.values():
             if not ticket.preempted.is_set():
-                found.append(ticket.describe())
-        chosen = self._preempt.choose(urgent, found, now)
+                candidates.append(ticket.describe())
+        chosen = self._preempt.choose(urgent, candidates, now)
         if chosen is None:
             return False
         self._tickets[chosen.key].preempted.set()
         return True
 
     def move_late_streams(self, now: float) -> None:
-        """Ask late streams to move."""
+        """Ask streams that would end late to move to another target."""
         for ticket in self._tickets.values():
             if not ticket.call.idempotent or ticket.preempted.is_set():
                 continue
-            place = migration.Comparison(
+            comparison = migration.Comparison(
                 step=ticket.step_seconds,
-                elsewhere=self._room.answer_seconds(ticket.resumed, now),
+                elsewhere=self._allocator.answer_seconds(ticket.resumed, now),
             )
             progress = ticket.progress
-            if self._move.should_move(ticket.call, progress, place, now):
+            if self._move.should_move(ticket.call, progress, comparison, now):
                 ticket.request_move()
--- a/tamarackthread/policy/sent_calls.py
+++ b/tamarackthread/policy/sent_calls.py
@@ -1,31 +1,31 @@
-"""Count the calls that were sent to one target of late."""
+"""Count the calls recently sent to one target."""
 
 from __future__ import annotations
 
 import collections
 
-# The longest time over which calls are counted.
+# Longest window that can be counted.
 MAX_WINDOW_SECONDS = 4.4
 
 
 class SentCalls:
-    """The moments at which calls were sent to one target."""
+    """A sliding window of the times at which calls were sent."""
 
     def __init__(self) -> None:
-        """Begin without any."""
-        self._moments: collections.deque[float] = collections.deque()
+        """Start empty."""
+        self._sent_at: collections.deque[float] = collections.deque()
 
     def record(self, now: float) -> None:
-        """Count a call."""
-        self._moments.append(now)
-        while now - self._moments[0] >= MAX_WINDOW_SECONDS:
-            self._moments.popleft()
+        """Record a call sent at ``now``, in seconds."""
+        self._sent_at.append(now)
+        while now - self._sent_at[0] >= MAX_WINDOW_SECONDS:
+            self._sent_at.popleft()
 
     def count_within(self, now: float, span: float) -> int:
-        """Return the calls of the last ``span`` seconds."""
-        found = 0
-        for moment in reversed(self._moments):
-            if now - moment >= span:
+        """Count the calls of the last ``span`` seconds."""
+        count = 0
+        for sent_at in reversed(self._sent_at):
+            if now - sent_at >= span:
                 break
-            found += 1
-        return found
+            count += 1
+        return count
--- a/tamarackthread/policy/tickets.py
+++ b/tamarackthread/policy/tickets.py
@@ -1,4 +1,4 @@
-"""Hold the permission to run a call."""
+"""Represent the permission to run an admitted call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Ticket:
-    """The permission to run one call at one target."""
+    """The permission to run one call at one target, until released."""
 
     def __init__(
         self,
@@ -40,34 +40,34 @@
 
     @property
     def start(self) -> int:
-        """Return at which event of the stream the call starts."""
+        """Return the number of the stream event to start with."""
         return self._call.start
 
     @property
     def step_seconds(self) -> float:
-        """Return the present time of a step at the target."""
+        """Return the target's current step time in seconds."""
         return self._placement.target.load.step_seconds
 
     @property
     def progress(self) -> migration.Progress:
-        """Return how far the stream is."""
+        """Return the progress of the stream."""
         return self._progress
 
     @property
     def preempted(self) -> asyncio.Event:
-        """Return the event that asks to give the place up.
+        """Return the event that is set when the call must give up its slot.
 
-        The holder cancels the call at its target, releases, and submits
-        ``resumed``, or tells the caller where it can't resume.
+        The holder then cancels the call at its target, releases the ticket
+        and submits ``resumed``, or fails the call if it can't resume.
         """
         return self._preempted
 
     @property
     def resumed(self) -> calls.CallFacts:
-        """Return the call as it is to be submitted at its present position.
+        """Return the call to submit to resume at the current position.
 
-        One that has begun to answer goes before the queue: refusing it now
-        would show its caller a broken stream.
+        A call that has begun to answer bypasses the queue, since a refusal
+        would break its stream.
         """
         events = self._progress.events
         return attrs.evolve(
@@ -79,17 +79,17 @@
         )
 
     def first_token(self) -> None:
-        """Note that the target began to answer."""
+        """Record that the target began to answer."""
         self.advance(1)
 
     def advance(self, events: int) -> None:
-        """Note that ``events`` more of the stream have arrived."""
+        """Record that ``events`` more of the stream have arrived."""
         now = _now()
         self._progress.advance(events, now)
         self._placement.advance(self._progress, now)
 
     def request_move(self) -> None:
-        """Ask the holder to go on at another target, ahead of the queue."""
+        """Ask the holder to resume at another target, bypassing the queue."""
         self._call = attrs.evolve(
             self._call,
             goes_first=True,
@@ -98,7 +98,7 @@
         self._preempted.set()
 
     def release(self) -> None:
-        """Give the place back, at the end or when the call was not sent."""
+        """Free the slot; idempotent."""
         if self._released:
             return
         self._released = True
@@ -106,7 +106,7 @@
         self._on_release(self)
 
     def describe(self) -> preemption.RunningCall:
-        """Tell the pre-emption policy about the call."""
+        """Return what the pre-emption policy needs to know."""
         return preemption.RunningCall(
             key=id(self),
             target=self.target,
