--- a/tamarackthread/policy/buckets.py
+++ b/tamarackthread/policy/buckets.py
@@ -1,8 +1,7 @@
-"""Limit organisations by leased portions of their caps.
+"""Limit the rate of organisations by leased portions of their caps.
 
-Control hosts split an organisation's cap among the entries and lease each
-its portion.  An entry never asks at a call.  A lapsed portion falls to a safe
-share, so that entries cut off from control together stay under the cap.
+Control leases each entry a portion.  After expiry an entry falls back to a
+safe rate, so that entries cut off from control together keep to the cap.
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 
 
 class TokenBucket:
-    """Allow ``rate`` units a second with a bounded burst."""
+    """A token bucket of ``rate`` units a second and a bounded burst."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
-        """Start full; ``burst`` is in units."""
+        """Start full; ``burst`` is the capacity in units."""
         self._rate = rate
         self._burst = burst
         self._level = burst
@@ -24,21 +23,21 @@
 
     @property
     def rate(self) -> float:
-        """Return the units that are allowed each second."""
+        """Return the rate in units a second."""
         return self._rate
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Change the rate from now on; what was saved up stays bounded."""
+        """Change the rate and the burst; excess tokens are dropped."""
         self._fill(now)
         self._rate = rate
         self._burst = burst
         self._level = min(self._level, burst)
 
     def take(self, cost: float, now: float) -> float:
-        """Take ``cost`` units; return 0, or the seconds until they are there.
+        """Take ``cost`` units; return 0, or the seconds until available.
 
-        A cost above the burst is let through by a full bucket, which then
-        owes the rest; otherwise it could never pass.
+        A full bucket allows a cost above the burst and goes negative;
+        otherwise the call could never pass.
         """
         self._fill(now)
         needed = min(cost, self._burst)
@@ -50,7 +49,7 @@
         return (needed - self._level) / self._rate
 
     def refund(self, cost: float) -> None:
-        """Return units of a call that was then not run."""
+        """Return the units of a call that did not run."""
         self._level = min(self._burst, self._level + cost)
 
     def _fill(self, now: float) -> None:
@@ -61,10 +60,10 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class PortionSettings:
-    """Hold how portions behave.
+    """Hold the burst and the smoothing of portions, in seconds and units.
 
-    ``burst_seconds`` is how much of its portion an entry may save up;
-    ``demand_seconds`` smooths the demand that it reports.
+    ``burst_seconds`` bounds the burst to that many seconds of the rate;
+    ``demand_seconds`` is the smoothing window of the reported demand.
     """
 
     burst_seconds: float = 1.0
@@ -73,7 +72,7 @@
 
 
 class Portion:
-    """Keep one entry's portion of one organisation's cap."""
+    """One entry's portion of one organisation's cap."""
 
     def __init__(
         self,
@@ -81,25 +80,25 @@
         now: float,
         settings: PortionSettings | None = None,
     ) -> None:
-        """Start on the safe share, in units a second."""
+        """Start at ``safe_rate``, in units a second."""
         self._settings = settings or PortionSettings()
         self._safe_rate = safe_rate
-        self._lease_until = now
+        self._lease_ends_at = now
         self._bucket = TokenBucket(safe_rate, self._burst(safe_rate), now)
-        self._asked: float = 0
+        self._demanded: float = 0
         self._used: float = 0
-        self._measured_at = now
+        self._last_measured_at = now
         self._demand: float = 0
         self._use: float = 0
 
     @property
     def rate(self) -> float:
-        """Return the rate in force as of the last call."""
+        """Return the current rate in units a second."""
         return self._bucket.rate
 
     @property
     def safe_rate(self) -> float:
-        """Return the rate to which a lapsed portion falls."""
+        """Return the rate after the lease has expired."""
         return self._safe_rate
 
     @safe_rate.setter
@@ -107,42 +106,41 @@
         self._safe_rate = rate
 
     def grant(self, rate: float, asked_at: float, lease: float) -> None:
-        """Take a leased portion; the lease counts from when it was asked for.
+        """Apply a lease of ``lease`` seconds, counted from the request.
 
-        Counting from the answer would let the entry use its portion after
-        control has given it to another.
+        Counted from the reply, it would outlast the lease held by control.
         """
-        self._lease_until = asked_at + lease
+        self._lease_ends_at = asked_at + lease
         self._bucket.set_rate(rate, self._burst(rate), asked_at)
 
     def take(self, cost: float, now: float) -> float:
-        """Take ``cost`` units; return 0, or the seconds until they are there."""
-        self._lapse(now)
-        self._asked += cost
+        """Take ``cost`` units; return 0, or the seconds until available."""
+        self._expire_lease(now)
+        self._demanded += cost
         wait = self._bucket.take(cost, now)
         if not wait:
             self._used += cost
         return wait
 
     def refund(self, cost: float) -> None:
-        """Return units of a call that was then not run."""
+        """Return the units of a call that did not run."""
         self._used -= cost
         self._bucket.refund(cost)
 
     def measure(self, now: float) -> tuple[float, float]:
-        """Return the smoothed demand and use since start, in units a second."""
-        passed = now - self._measured_at
+        """Return the smoothed demand and use, in units a second."""
+        passed = now - self._last_measured_at
         if passed > 0:
-            mix = min(1, passed / self._settings.demand_seconds)
-            self._demand += (self._asked / passed - self._demand) * mix
-            self._use += (self._used / passed - self._use) * mix
-            self._asked = 0
+            weight = min(1, passed / self._settings.demand_seconds)
+            self._demand += (self._demanded / passed - self._demand) * weight
+            self._use += (self._used / passed - self._use) * weight
+            self._demanded = 0
             self._used = 0
-            self._measured_at = now
+            self._last_measured_at = now
         return self._demand, self._use
 
-    def _lapse(self, now: float) -> None:
-        if now < self._lease_until or self._bucket.rate == self._safe_rate:
+    def _expire_lease(self, now: float) -> None:
+        if now < self._lease_ends_at or self._bucket.rate == self._safe_rate:
             return
         rate = min(self._safe_rate, self._bucket.rate)
         self._bucket.set_rate(rate, self._burst(rate), now)
@@ -153,15 +151,15 @@
 
 
 class Portions:
-    """Keep an entry's portions of all capped organisations."""
+    """One entry's portions of all capped organisations."""
 
     def __init__(self, settings: PortionSettings | None = None) -> None:
-        """Start without caps."""
+        """Start without any caps."""
         self._settings = settings or PortionSettings()
         self._portions: dict[str, Portion] = {}
 
     def set_cap(self, organisation: str, safe_rate: float, now: float) -> None:
-        """Cap an organisation; ``safe_rate`` is its cap split evenly."""
+        """Cap an organisation at ``safe_rate`` until a portion is leased."""
         self._portions[organisation] = Portion(safe_rate, now, self._settings)
 
     def set_caps(
@@ -169,9 +167,9 @@
         safe_rates: collections.abc.Mapping[str, float],
         now: float,
     ) -> None:
-        """Cap just these organisations; a portion that is leased stays."""
-        for gone in set(self._portions).difference(safe_rates):
-            self.remove_cap(gone)
+        """Replace the set of capped organisations; leased portions stay."""
+        for removed in set(self._portions).difference(safe_rates):
+            self.remove_cap(removed)
         for organisation, safe_rate in safe_rates.items():
             known = self._portions.get(organisation)
             if known is None:
@@ -180,7 +178,7 @@
                 known.safe_rate = safe_rate
 
     def remove_cap(self, organisation: str) -> None:
-        """Stop limiting an organisation."""
+        """Remove the cap of an organisation."""
         self._portions.pop(organisation, None)
 
     def organisations(self) -> list[str]:
--- a/tamarackthread/policy/fairness.py
+++ b/tamarackthread/policy/fairness.py
@@ -1,9 +1,7 @@
-"""Share a queue fairly among organisations.
+"""Share a queue among organisations by start-time fair queueing.
 
-Start-time fair queueing: each flow, an organisation, has a start tag in
-virtual time, and the flow with the lowest tag is served next.  One that sends
-ten times its share waits behind its own calls, and nobody else does.  Within
-a flow a lower rank goes first.
+Each organisation is a flow with a start tag in virtual time; the flow with
+the lowest tag is served next, and within it the item with the lowest rank.
 """
 
 from __future__ import annotations
@@ -15,17 +13,17 @@
 
 import attrs
 
-_MOST_REMEMBERED = 4096
+_MAX_IDLE_FLOWS = 4096
 
 _Item = typing.TypeVar('_Item')
 
 
 class Shares(abc.ABC):
-    """Say how much of a service belongs to each organisation."""
+    """Provide the fair-queueing weights of organisations."""
 
     @abc.abstractmethod
     def weight(self, organisation: str) -> float:
-        """Return the organisation's weight; twice as much is twice the share."""
+        """Return the organisation's weight; its share is proportional."""
 
 
 class EqualShares(Shares):
@@ -38,7 +36,7 @@
 
 @attrs.define(slots=True, eq=False)
 class Entry(typing.Generic[_Item]):
-    """One queued item; ``cost`` is in units of one plain call."""
+    """A queued item; ``cost`` is in units of one plain call."""
 
     item: _Item
     flow: str
@@ -49,7 +47,7 @@
 
     @property
     def sort_key(self) -> tuple[int, int]:
-        """Return what orders the item within its flow."""
+        """Return the sort key within the flow."""
         return self.rank, self.sequence
 
 
@@ -61,29 +59,27 @@
     backlog: float = 0
 
     def cost_before(self, rank: int) -> float:
-        """Return the cost queued in front of a new item of that rank."""
+        """Return the cost queued ahead of a new item of that rank."""
         return sum(entry.cost for entry in self.entries if entry.rank <= rank)
 
 
 class FairQueue(typing.Generic[_Item]):
-    """Queue items of many flows and serve them by weight.
+    """Queue the items of many flows and serve the flows by weight.
 
-    Choosing the next flow costs a pass over the flows that wait.  They are
-    bounded by the queue's length, and only served items pay for it.
+    Choosing the next flow is linear in the number of waiting flows.
     """
 
     def __init__(self, credit: float = 0) -> None:
         """Start empty at virtual time 0.
 
-        A flow that used less than its share may catch up by ``credit``, the
-        cost at weight 1.  Without it, a small flow with three calls at once
-        waits three turns although it is far under its share.
+        A flow below its share may catch up by ``credit``, the cost at weight
+        1, so that a small burst of it isn't spread over several rounds.
         """
         self._credit = credit
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._flows: dict[str, _Flow[_Item]] = {}
-        self._used: dict[str, float] = {}
-        self._virtual: float = 0
+        self._last_tags: dict[str, float] = {}
+        self._virtual_time: float = 0
         self._length = 0
         self._backlog: float = 0
 
@@ -98,29 +94,29 @@
 
     def flow_length(self, flow: str) -> int:
         """Count the queued items of one flow."""
-        known = self._flows.get(flow)
-        return len(known.entries) if known else 0
+        queued = self._flows.get(flow)
+        return len(queued.entries) if queued else 0
 
     def push(self, entry: Entry[_Item], weight: float) -> None:
         """Add an item behind those of its flow with the same rank."""
         flow = self._flows.get(entry.flow)
         if flow is None:
-            flow = _Flow(start=self._start(entry.flow), weight=weight)
+            flow = _Flow(start=self._start_tag(entry.flow), weight=weight)
             self._flows[entry.flow] = flow
-        entry.sequence = next(self._order)
-        bisect.insort(flow.entries, entry, key=_place)
+        entry.sequence = next(self._sequence)
+        bisect.insort(flow.entries, entry, key=_sort_key)
         flow.backlog += entry.cost
         self._length += 1
         self._backlog += entry.cost
 
     def head(self) -> Entry[_Item] | None:
-        """Return the next item without taking it."""
+        """Return the next item without removing it."""
         if not self._flows:
             return None
         return min(self._flows.values(), key=_start).entries[0]
 
     def first(self, count: int) -> list[Entry[_Item]]:
-        """List the next items in the order in which they'd be served."""
+        """List the next items in the order of service."""
         tagged = []
         for flow in self._flows.values():
             tag = flow.start
@@ -131,25 +127,25 @@
         return [row[2] for row in tagged[:count]]
 
     def dequeue(self, entry: Entry[_Item]) -> None:
-        """Take an item to serve it, which its flow pays for."""
+        """Remove an item that is served and charge its flow."""
         flow = self._flows[entry.flow]
         lowest = min(other.start for other in self._flows.values())
-        self._virtual = max(self._virtual, lowest)
+        self._virtual_time = max(self._virtual_time, lowest)
         flow.start += entry.cost / flow.weight
-        self._used[entry.flow] = flow.start
+        self._last_tags[entry.flow] = flow.start
         self.remove(entry)
-        self._tidy()
+        self._evict_idle()
         if not self._length:
-            self._restart()
+            self._reset()
 
     def remove(self, entry: Entry[_Item]) -> None:
-        """Take an item out unserved, which its flow doesn't pay for."""
+        """Remove an item that isn't served, at no charge; idempotent."""
         if entry.removed:
             return
         entry.removed = True
         flow = self._flows[entry.flow]
-        place = bisect.bisect_left(flow.entries, entry.sort_key, key=_place)
-        flow.entries.pop(place)
+        index = bisect.bisect_left(flow.entries, entry.sort_key, key=_sort_key)
+        flow.entries.pop(index)
         flow.backlog -= entry.cost
         self._length -= 1
         self._backlog -= entry.cost
@@ -157,10 +153,10 @@
             self._flows.pop(entry.flow)
 
     def cost_ahead(self, flow: str, weight: float, rank: int) -> float:
-        """Return the cost that is served before a new item of the flow."""
-        known = self._flows.get(flow)
-        own = known.cost_before(rank) if known else 0
-        start = known.start if known else self._start(flow)
+        """Return the cost served before a new item of the flow."""
+        queued = self._flows.get(flow)
+        own = queued.cost_before(rank) if queued else 0
+        start = queued.start if queued else self._start_tag(flow)
         start += own / weight
         total = own
         for name, other in self._flows.items():
@@ -172,39 +168,39 @@
 
     def rank_cost(self, flow: str, rank: int) -> float:
         """Return the cost of a flow's queued items of one rank."""
-        known = self._flows.get(flow)
-        if known is None:
+        queued = self._flows.get(flow)
+        if queued is None:
             return 0
-        return sum(entry.cost for entry in known.entries if entry.rank == rank)
+        return sum(entry.cost for entry in queued.entries if entry.rank == rank)
 
     def share(self, flow: str, weight: float) -> float:
-        """Return the part, from 0 to 1, that a flow gets while all wait."""
+        """Return the share, from 0 to 1, of a flow while all flows wait."""
         total = weight
         for name, other in self._flows.items():
             if name != flow:
                 total += other.weight
         return weight / total
 
-    def _start(self, flow: str) -> float:
-        earliest = self._virtual - self._credit
-        return max(earliest, self._used.get(flow, earliest))
+    def _start_tag(self, flow: str) -> float:
+        earliest = self._virtual_time - self._credit
+        return max(earliest, self._last_tags.get(flow, earliest))
 
-    def _tidy(self) -> None:
-        if len(self._used) < _MOST_REMEMBERED:
+    def _evict_idle(self) -> None:
+        if len(self._last_tags) < _MAX_IDLE_FLOWS:
             return
-        earliest = self._virtual - self._credit
-        for flow in list(self._used):
-            if self._used[flow] <= earliest:
-                self._used.pop(flow)
-
-    def _restart(self) -> None:
-        """Let an idle queue forget, so that past use costs nobody later."""
-        self._used.clear()
+        earliest = self._virtual_time - self._credit
+        for flow in list(self._last_tags):
+            if self._last_tags[flow] <= earliest:
+                self._last_tags.pop(flow)
+
+    def _reset(self) -> None:
+        """Reset the virtual time of an empty queue."""
+        self._last_tags.clear()
         self._backlog = 0
-        self._virtual = 0
+        self._virtual_time = 0
 
 
-def _place(entry: Entry) -> tuple[int, int]:
+def _sort_key(entry: Entry) -> tuple[int, int]:
     return entry.sort_key
 
 
