--- a/tamarackthread/policy/backpressure.py
+++ b/tamarackthread/policy/backpressure.py
@@ -1,4 +1,4 @@
-"""Hold what a target asks of this entry in its answers."""
+"""Parse and apply the backpressure signals in the answers of targets."""
 
 from __future__ import annotations
 
@@ -6,19 +6,18 @@
 
 import attrs
 
-# A target that asks for more rest is asked again after an hour.
+# Upper bound for the cooldown that a target may request.
 MAX_RETRY_AFTER_SECONDS = 3600.0
-# The call after a rest is followed by another one if nothing has come by then.
+# Time after which an unanswered probe is followed by another one.
 PROBE_SECONDS = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class Backpressure:
-    """What one answer of a target asks for.
+    """The backpressure signals of one answer.
 
-    ``is_leaving``: no new calls from now on.  ``rest``: no calls for so many
-    seconds, 0 for none.  ``rate``: so many calls a second at most from all
-    entries together, ``None`` without a limit.
+    ``is_leaving``: send no new calls.  ``rest``: cooldown in seconds, 0 for
+    none.  ``rate``: calls a second of all entries, ``None`` if unlimited.
     """
 
     is_leaving: bool = False
@@ -30,57 +29,57 @@
 
 
 class Cooldown:
-    """The time for which a target wants no call, and the call that ends it.
+    """A cooldown requested by a target, ended by a single probe call.
 
-    A target that is given all calls again at the moment its rest is over is
-    full at once.  One call goes first; the others follow when it was taken.
+    As with a half-open circuit breaker, other calls follow only once the probe
+    is accepted; all at once would overload the target again.
     """
 
     def __init__(self) -> None:
-        """Begin without a rest."""
+        """Start without a cooldown."""
         self._until: float = 0
-        self._tried_until: float = 0
+        self._probe_until: float = 0
 
-    def start(self, wanted: float, now: float) -> None:
-        """Begin a rest of so many seconds; a longer one under way stays."""
-        self._until = max(self._until, now + wanted)
+    def start(self, duration: float, now: float) -> None:
+        """Start or extend the cooldown to ``wanted`` seconds from now."""
+        self._until = max(self._until, now + duration)
 
     def remaining(self, now: float) -> float:
-        """Return how many seconds of the rest are left."""
+        """Return the remaining seconds."""
         return max(0, self._until - now)
 
     def allows_call(self, now: float) -> bool:
-        """Tell whether the target may get a call."""
-        return not self._until or now >= max(self._until, self._tried_until)
+        """Tell whether the target may get a call or a probe."""
+        return not self._until or now >= max(self._until, self._probe_until)
 
     def record_sent(self, now: float) -> None:
-        """Note that a call goes to the target."""
+        """Record a call sent; after the cooldown it is the probe."""
         if self._until and now >= self._until:
-            self._tried_until = now + PROBE_SECONDS
+            self._probe_until = now + PROBE_SECONDS
 
     def record_accepted(self, now: float) -> None:
-        """Note that the target has taken a call and did not refuse it."""
+        """End an expired cooldown, as the target accepted a call."""
         if now >= self._until:
             self._until = 0
 
 
 def parse_retry_after(text: str) -> float:
-    """Read a time to rest, at most an hour; 0 for what makes no sense.
+    """Parse ``Retry-After`` into bounded seconds, 0 if invalid.
 
-    A date counts as none: the time of day differs from host to host.
+    Dates count as invalid, since clocks differ between hosts.
     """
     return min(MAX_RETRY_AFTER_SECONDS, max(0, _number(text) or 0))
 
 
 def parse_rate(text: str) -> float | None:
-    """Read calls a second; ``None`` for what makes no sense."""
-    found = _number(text)
-    return None if found is None or found < 0 else found
+    """Parse a rate in calls a second, ``None`` if invalid."""
+    value = _number(text)
+    return None if value is None or value < 0 else value
 
 
 def _number(text: str) -> float | None:
     try:
-        found = float(text)
+        value = float(text)
     except ValueError:
         return None
-    return found if math.isfinite(found) else None
+    return value if math.isfinite(value) else None
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -1,8 +1,7 @@
-"""Bound the calls that a cold target gets in a second, over all entries.
+"""Limit the rate of calls to cold targets, shared by all entries.
 
-Answers the load in which a zone's targets come back at once, cold and empty:
-the least loaded targets of all would get every call, more than they can begin
-before they are warm, and crash.
+Targets that restart together are the least loaded ones; without a limit they
+would get every call and crash before they are warm.
 """
 
 from __future__ import annotations
@@ -11,19 +10,19 @@
 
 from tamarackthread.policy import fleets
 
-# Calls are counted over the second that a target counts, and what they may be
-# held up on their way there: the time in which a connection is made.
+# Sliding window: the second over which targets count, plus the time to
+# connect.
 WINDOW_SECONDS = 1.4
-# One part of a target's limit is shared by the entries that are known, the other
-# is left for those that nobody has told of.
-PARTS = 2
+# Known entries share one of this many parts of the limit, which leaves the
+# rest to entries not discovered yet.
+LIMIT_PARTS = 2
 
 
 class ColdStartLimits:
-    """Work out how many calls this entry may send to a cold target.
+    """Compute how many calls this entry may send to a cold target.
 
-    A share does not grow when other entries fall silent: they may be cut off
-    from this one and not from the target.
+    Its share doesn't grow when other entries disappear, as they may still
+    reach the target across a network partition.
     """
 
     def __init__(
@@ -32,10 +31,10 @@
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
-        """Share with all entries of the ``fleet``.
+        """Share the limits with all entries of ``fleet``.
 
-        A target takes ``allowance`` times its service's rate and ``slack`` calls
-        more in a second.
+        A limit is ``allowance`` times the service's rate plus ``slack``, in
+        calls a second.
         """
         self._fleet = fleet
         self._allowance = allowance
@@ -43,23 +42,23 @@
         self._rates: dict[str, float] = {}
 
     def set_rates(self, rates: collections.abc.Mapping[str, float]) -> None:
-        """Take the calls a second at a cold target by service, 0 for any."""
+        """Set the calls a second per cold target by service, 0 if unlimited."""
         self._rates = dict(rates)
 
     def limit(self, service: str) -> float:
-        """Return what all entries together may send in a second, 0 for any."""
+        """Return the calls a second of all entries, 0 if unlimited."""
         rate = self._rates.get(service, 0)
         return rate * self._allowance + self._slack if rate else 0
 
     def max_calls(self, service: str, target: str) -> int | None:
-        """Return this entry's calls in a span, ``None`` without a limit."""
+        """Return this entry's calls in a window, ``None`` if unlimited."""
         limit = self.limit(service)
         if not limit:
             return None
-        each = int(limit / PARTS / self._fleet.count())
-        return each or int(self._is_drawn(target, int(limit / PARTS)))
+        share = int(limit / LIMIT_PARTS / self._fleet.count())
+        return share or int(self._is_selected(target, int(limit / LIMIT_PARTS)))
 
-    def _is_drawn(self, target: str, places: int) -> bool:
-        """Tell whether this entry is one of the few that a target is left to."""
+    def _is_selected(self, target: str, selected: int) -> bool:
+        """Tell whether this entry is among the few that use a target."""
         place = self._fleet.place(target)
-        return place is not None and place < places
+        return place is not None and place < selected
--- a/tamarackthread/policy/rate_limit.py
+++ b/tamarackthread/policy/rate_limit.py
@@ -1,9 +1,7 @@
-"""Bound the calls that a target in need takes, over all entries.
+"""Enforce the rate limits that targets set, shared by all entries.
 
-A target names in its answers how many calls a second it takes from all entries
-together.  Each entry works out its part by itself, so that nothing is asked for
-on the way of a call; the parts of all add up to the limit, also while they are
-cut off from each other.
+A target names a rate for all entries together.  Each entry computes its share
+locally; the shares sum to the limit also during a network partition.
 """
 
 from __future__ import annotations
@@ -14,27 +12,27 @@
 
 from tamarackthread.policy import sent_calls
 
-# Calls are counted over this time: what a target bears is a rate over some
-# seconds, and a part of less than a call a second is a whole one here.
+# Sliding window; long enough that a share below one call a second still
+# allows a whole call.
 WINDOW_SECONDS = 4.0
-# A call may be so much later at the target than it was counted.
+# Longest delay from counting a call to its arrival at the target.
 MAX_DELAY_SECONDS = 0.4
 BURST_SECONDS = 1.0
-# This much of a limit is shared evenly, the rest by demand: an entry whose
-# callers come only now has a part at once.
+# Part of a limit that is split evenly, the rest by demand, so that an entry
+# with new demand has a share at once.
 EVEN_SHARE = 0.2
-# A limit that no answer has confirmed for so long is tried with one call, and all
-# entries together try no more often than once in the other time.
+# A limit that no answer confirms for this time is probed with single calls.
 STALE_SECONDS = 20.0
+# Shortest interval between the probes of all entries together.
 PROBE_SECONDS = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """How much of a service's demand this entry has.
+    """This entry's share of a service's demand.
 
-    ``share`` is its part of the calls of all entries in touch, from 0 to 1, and
-    ``entries`` how many these are.
+    ``share`` is its fraction of the calls of all connected entries, from 0 to
+    1, and ``entries`` the number of these.
     """
 
     share: float = 1
@@ -45,50 +43,50 @@
 
 
 class RateLimit:
-    """Hold what one start of a target has asked for, and what it got."""
+    """The rate limit set by one start of a target."""
 
     def __init__(self) -> None:
-        """Begin without a limit."""
+        """Start without a limit."""
         self._rate: float | None = None
-        self._heard_at: float = 0
+        self._updated_at: float = 0
 
     @property
     def rate(self) -> float | None:
-        """Return the calls a second from all entries, ``None`` without one."""
+        """Return the calls a second of all entries, ``None`` if unlimited."""
         return self._rate
 
     def update(self, rate: float | None, now: float) -> None:
-        """Take what the newest answer names; without a limit it has ended."""
+        """Set the limit of the latest answer, ``None`` to remove it."""
         self._rate = rate
-        self._heard_at = now
+        self._updated_at = now
 
     def allows(
         self,
         sent: sent_calls.SentCalls,
-        part: EntryShare,
+        entry_share: EntryShare,
         now: float,
     ) -> bool:
-        """Tell whether one call more is within this entry's part."""
+        """Tell whether one more call is within this entry's share."""
         if self._rate is None:
             return True
         span = WINDOW_SECONDS + MAX_DELAY_SECONDS
-        lately = sent.count_within(now, span)
-        if now - self._heard_at > part.probe_after():
-            return not lately
-        most = part.max_calls(self._rate)
-        if lately >= most:
+        recent = sent.count_within(now, span)
+        if now - self._updated_at > entry_share.probe_after():
+            return not recent
+        limit = entry_share.max_calls(self._rate)
+        if recent >= limit:
             return False
-        # Not all at once: a target in need is not helped by bursts.
+        # Bounds the burst as well as the rate.
         burst = BURST_SECONDS + MAX_DELAY_SECONDS
-        return sent.count_within(now, burst) < math.ceil(most * burst / span)
+        return sent.count_within(now, burst) < math.ceil(limit * burst / span)
 
 
 @attrs.frozen
 class EntryShare:
-    """This entry's part of what one target takes.
+    """This entry's share of one target's limit.
 
-    ``fleet`` counts all entries that may send to it, and ``place`` is this
-    one's among them, ``None`` if it is not known to them yet.
+    ``fleet`` counts all entries that may send to it; ``place`` is this entry's
+    rank among them, ``None`` while unknown.
     """
 
     demand: Demand
@@ -96,21 +94,20 @@
     place: int | None
 
     def max_calls(self, rate: float) -> int:
-        """Return this entry's calls in a span.
+        """Return how many calls this entry may send in a window.
 
-        Entries that are cut off from each other share by their numbers.  Parts
-        of a call are rounded up at some entries and down at others, by their
-        places, so that the sum stays.
+        Sides of a partition share by their numbers of entries.  Fractions of
+        a call are rounded by rank, so that the sum is kept.
         """
-        in_touch = min(1, self.demand.entries / self.fleet)
+        connected = min(1, self.demand.entries / self.fleet)
         even = EVEN_SHARE / self.demand.entries
         own = even + (1 - EVEN_SHARE) * self.demand.share
-        rounded = (self.place or 0) + 0.5
+        rounding = (self.place or 0) + 0.5
         if self.place is None:
-            rounded = 0
-        wanted = rate * WINDOW_SECONDS * in_touch * own
-        return int(wanted + rounded / self.fleet)
+            rounding = 0
+        wanted = rate * WINDOW_SECONDS * connected * own
+        return int(wanted + rounding / self.fleet)
 
     def probe_after(self) -> float:
-        """Return after how many seconds without an answer a limit is tried."""
+        """Return the seconds without an answer after which to probe."""
         return max(STALE_SECONDS, PROBE_SECONDS * self.fleet)
