--- a/tamarackthread/policy/poison_calls.py
+++ b/tamarackthread/policy/poison_calls.py
@@ -1,8 +1,7 @@
-"""Know calls that take down each target that begins to run them.
+"""Detect poison calls, which crash every target that runs them.
 
-Answers the load in which one call comes again and again, at any entry: each time
-a target crashes, a group stalls with all its streams, and the call is tried at the
-next one.
+A call is refused after it has crashed several targets; entries share their
+observations, since retries may reach any of them.
 """
 
 from __future__ import annotations
@@ -16,24 +15,23 @@
 
 from tamarackthread.generated.messages import ttypes as messages
 
-# Starts of targets that were lost while they ran a call.  One and two are what
-# ordinary calls see; at two the call is given to no second target without need.
+# Crashes after which a call isn't retried and after which it is refused;
+# ordinary calls may see one or two by coincidence.
 NO_RETRY_LOSSES = 2
 REFUSED_LOSSES = 3
-# Targets that are lost within so long of each other are lost together: by power, by
-# a cut, with their group.  So many of them tell nothing of any call.
+# This many targets lost within this time share a cause, such as a power or
+# network failure, so the loss isn't attributed to calls.
 CORRELATED_LOSS_SECONDS = 0.5
 CORRELATED_LOSS_TARGETS = 3
-# What was seen of a call is forgotten after so long; one that was refused all the
-# while is then let through, and is known again if it still does harm.
+# Time to live of a history; a refused call is then tried again.
 HISTORY_TTL_SECONDS = 60.0
-# Calls that are remembered at once; of more the oldest is forgotten.
+# Most histories kept; the least recently updated one is evicted first.
 MAX_CALLS = 128
 MILLISECONDS = 1000
 
 
 class Verdict(enum.Enum):
-    """Say what is done with a call: all, one try only, or none."""
+    """How to handle a call: allow it, don't retry it or refuse it."""
 
     ALLOWED = 'free'
     NO_RETRY = 'watched'
@@ -42,11 +40,10 @@
 
 @attrs.frozen(kw_only=True)
 class CrashHistory:
-    """What is known of one call.
+    """The crashes caused by one call; ``mark`` is its fingerprint.
 
-    ``starts`` are the starts of targets that were lost while they ran it.  The last
-    one was ``lost`` so many seconds ago, and a target has ``answered`` the call so
-    many seconds ago, never if infinite.  A call that was answered since is harmless.
+    ``starts`` are the starts of targets lost while running it; ``lost`` and
+    ``answered`` are the seconds since the last loss and answer, or infinity.
     """
 
     mark: bytes
@@ -56,25 +53,29 @@
 
     @property
     def is_harmless(self) -> bool:
-        """Tell whether a target has answered the call since the last loss."""
+        """Tell whether the call was answered since its last crash."""
         return self.answered <= self.lost
 
     def is_equivalent(self, other: CrashHistory) -> bool:
-        """Tell whether another one differs by nothing but its age."""
+        """Tell whether both are the same except for their ages."""
         is_alike = self.is_harmless == other.is_harmless
         return is_alike and self.starts == other.starts
 
     def aged(self, seconds: float) -> CrashHistory:
-        """Return the same as it is some seconds later."""
+        """Return a copy whose ages are increased by ``seconds``."""
         return attrs.evolve(
             self, lost=self.lost + seconds, answered=self.answered + seconds
         )
 
     def merged(self, other: CrashHistory) -> CrashHistory:
-        """Return what both know; an answer voids the losses before it."""
+        """Merge two histories; an answer clears the crashes before it."""
         answered = min(self.answered, other.answered)
-        counted = [row for row in (self, other) if row.lost < answered]
-        starts = frozenset[str]().union(*(row.starts for row in counted))
+        counted = [
+            history for history in (self, other) if history.lost < answered
+        ]
+        starts = frozenset[str]().union(
+            *(history.starts for history in counted)
+        )
         return CrashHistory(
             mark=self.mark,
             starts=starts,
@@ -87,12 +88,12 @@
 class _Loss:
     mark: bytes
     start: str
-    moment: float
+    seen_at: float
 
 
 @attrs.define(eq=False)
-class _Row:
-    """One call; moments are on the loop's clock, minus infinity for never."""
+class _Record:
+    """A call's history; times are the loop's, minus infinity for never."""
 
     starts: set[str] = attrs.field(factory=set)
     lost_at: float = -math.inf
@@ -100,15 +101,15 @@
 
 
 class PoisonCalls:
-    """Hold what one entry has seen, and what the others told of.
+    """The crash histories seen by this entry and received from others.
 
-    Each entry remembers what all of them know, so that it outlives the entries
-    that have seen it.  It is forgotten by its age, at the same time by all.
+    Every entry keeps all of them, so that they survive the loss of an entry,
+    and expires them by age.
     """
 
     def __init__(self) -> None:
-        """Begin without suspects."""
-        self._rows: collections.OrderedDict[bytes, _Row] = (
+        """Start without histories."""
+        self._records: collections.OrderedDict[bytes, _Record] = (
             collections.OrderedDict()
         )
         self._losses: collections.deque[_Loss] = collections.deque()
@@ -117,27 +118,27 @@
 
     @property
     def serial(self) -> int:
-        """Return a number that grows with each change that others must learn."""
+        """Return a version that grows with each change to be shared."""
         return self._serial
 
     def __bool__(self) -> bool:
-        """Tell whether any call is known; else none has to be looked up."""
-        return bool(self._rows or self._pending)
+        """Tell whether there are histories, so that calls need a look-up."""
+        return bool(self._records or self._pending)
 
     def record_crash(self, mark: bytes, start: str, now: float) -> None:
-        """Note that a start of a target was lost before it had answered."""
+        """Record that a target's start was lost before it answered a call."""
         loss = _Loss(mark, start, now)
         self._losses.append(loss)
         self._pending.append(loss)
 
     def record_answer(self, mark: bytes, now: float) -> None:
-        """Note that a target has answered a call that had been lost."""
+        """Record an answer to a call; calls without a history are ignored."""
         is_pending = any(loss.mark == mark for loss in self._pending)
-        if mark not in self._rows and not is_pending:
+        if mark not in self._records and not is_pending:
             return
-        row = self._row(mark)
-        row.starts.clear()
-        row.answered_at = now
+        history = self._record(mark)
+        history.starts.clear()
+        history.answered_at = now
         self._serial += 1
         self._pending = [loss for loss in self._pending if loss.mark != mark]
 
@@ -146,34 +147,34 @@
         others: collections.abc.Iterable[CrashHistory],
         now: float,
     ) -> None:
-        """Take what all other entries know."""
+        """Merge histories received from other entries."""
         for other in others:
             if min(other.lost, other.answered) >= HISTORY_TTL_SECONDS:
                 continue
-            held = self._evidence(other.mark, now)
-            joined = held.merged(other)
-            # Ages differ a little from entry to entry and are no news.
-            if joined.is_equivalent(held):
+            held = self._history(other.mark, now)
+            combined = held.merged(other)
+            # Ages differ slightly between entries and aren't shared again.
+            if combined.is_equivalent(held):
                 continue
             self._serial += 1
-            row = self._row(other.mark)
-            row.starts = set(joined.starts)
-            row.lost_at = now - joined.lost
-            row.answered_at = now - joined.answered
+            history = self._record(other.mark)
+            history.starts = set(combined.starts)
+            history.lost_at = now - combined.lost
+            history.answered_at = now - combined.answered
 
     def histories(self, now: float) -> list[CrashHistory]:
-        """List what this entry knows."""
-        self._settle(now)
-        return [self._evidence(mark, now) for mark in self._rows]
+        """List the histories."""
+        self._attribute_losses(now)
+        return [self._history(mark, now) for mark in self._records]
 
     def crash_count(self, mark: bytes, now: float) -> int:
-        """Count the starts that were lost by a call, 0 if it is harmless."""
-        self._settle(now)
-        found = self._evidence(mark, now)
+        """Count the starts that a call has crashed, 0 if it is harmless."""
+        self._attribute_losses(now)
+        found = self._history(mark, now)
         return 0 if found.is_harmless else len(found.starts)
 
     def verdict(self, mark: bytes, now: float) -> Verdict:
-        """Say what is done with a call."""
+        """Decide how to handle a call."""
         losses = self.crash_count(mark, now)
         if losses >= REFUSED_LOSSES:
             return Verdict.REFUSED
@@ -181,85 +182,87 @@
             Verdict.NO_RETRY if losses >= NO_RETRY_LOSSES else Verdict.ALLOWED
         )
 
-    def _row(self, mark: bytes) -> _Row:
-        row = self._rows.setdefault(mark, _Row())
-        self._rows.move_to_end(mark)
-        if len(self._rows) > MAX_CALLS:
-            self._rows.popitem(last=False)
-        return row
+    def _record(self, mark: bytes) -> _Record:
+        history = self._records.setdefault(mark, _Record())
+        self._records.move_to_end(mark)
+        if len(self._records) > MAX_CALLS:
+            self._records.popitem(last=False)
+        return history
 
-    def _evidence(self, mark: bytes, now: float) -> CrashHistory:
-        row = self._rows.get(mark)
-        if row is None:
+    def _history(self, mark: bytes, now: float) -> CrashHistory:
+        history = self._records.get(mark)
+        if history is None:
             return CrashHistory(mark=mark)
         return CrashHistory(
             mark=mark,
-            starts=frozenset(row.starts),
-            lost=now - row.lost_at,
-            answered=now - row.answered_at,
+            starts=frozenset(history.starts),
+            lost=now - history.lost_at,
+            answered=now - history.answered_at,
         )
 
-    def _settle(self, now: float) -> None:
-        """Count losses of which it is known by now what came with them."""
+    def _attribute_losses(self, now: float) -> None:
+        """Attribute losses that are old enough to exclude a common cause."""
         pending = self._pending
         self._pending = []
         for loss in pending:
-            if now - loss.moment < CORRELATED_LOSS_SECONDS:
+            if now - loss.seen_at < CORRELATED_LOSS_SECONDS:
                 self._pending.append(loss)
                 continue
-            if self._is_alone(loss):
-                row = self._row(loss.mark)
-                self._serial += loss.start not in row.starts
-                row.starts.add(loss.start)
-                row.lost_at = max(row.lost_at, loss.moment)
-        self._forget(now)
-
-    def _is_alone(self, loss: _Loss) -> bool:
-        """Tell whether a target was not lost together with several others."""
-        together = {
+            if self._is_isolated(loss):
+                history = self._record(loss.mark)
+                self._serial += loss.start not in history.starts
+                history.starts.add(loss.start)
+                history.lost_at = max(history.lost_at, loss.seen_at)
+        self._evict_expired(now)
+
+    def _is_isolated(self, loss: _Loss) -> bool:
+        """Tell whether a loss wasn't correlated with those of others."""
+        correlated = {
             other.start
             for other in self._losses
-            if abs(other.moment - loss.moment) <= CORRELATED_LOSS_SECONDS
+            if abs(other.seen_at - loss.seen_at) <= CORRELATED_LOSS_SECONDS
         }
-        return len(together) < CORRELATED_LOSS_TARGETS
+        return len(correlated) < CORRELATED_LOSS_TARGETS
 
-    def _forget(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         oldest = now - HISTORY_TTL_SECONDS
-        while self._losses and self._losses[0].moment < oldest:
+        while self._losses and self._losses[0].seen_at < oldest:
             self._losses.popleft()
-        for mark, row in tuple(self._rows.items()):
-            if max(row.lost_at, row.answered_at) < oldest:
-                self._rows.pop(mark)
+        for mark, history in tuple(self._records.items()):
+            if max(history.lost_at, history.answered_at) < oldest:
+                self._records.pop(mark)
 
 
 def merge(rows: collections.abc.Iterable[CrashHistory]) -> list[CrashHistory]:
-    """Join what several entries know of the same calls."""
+    """Merge the histories of several entries by call."""
     found: dict[bytes, CrashHistory] = {}
-    for row in rows:
-        held = found.get(row.mark)
-        found[row.mark] = row if held is None else held.merged(row)
+    for history in rows:
+        held = found.get(history.mark)
+        found[history.mark] = history if held is None else held.merged(history)
     return list(found.values())
 
 
-def to_message(row: CrashHistory) -> messages.SiteSuspect:
-    """Put what is known of a call into a message between nodes."""
+def to_message(history: CrashHistory) -> messages.SiteSuspect:
+    """Convert a history into a message between nodes."""
     return messages.SiteSuspect(
-        mark=row.mark,
-        starts=sorted(row.starts),
-        lost_ms=_milliseconds(row.lost) or 0,
-        answered_ms=_milliseconds(row.answered),
+        mark=history.mark,
+        starts=sorted(history.starts),
+        lost_ms=_milliseconds(history.lost) or 0,
+        answered_ms=_milliseconds(history.answered),
     )
 
 
-def from_message(row: messages.SiteSuspect) -> CrashHistory:
-    """Read what ``to_message`` wrote."""
+def from_message(message: messages.SiteSuspect) -> CrashHistory:
+    """Convert a message back into a history."""
     answered = math.inf
-    if row.answered_ms is not None:
-        answered = row.answered_ms / MILLISECONDS
+    if message.answered_ms is not None:
+        answered = message.answered_ms / MILLISECONDS
     return CrashHistory(
-        mark=row.mark,
-        starts=frozenset(row.starts),
-        lost=(row.lost_ms or 0) / MILLISECONDS if row.starts else math.inf,
+        mark=message.mark,
+        starts=frozenset(message.starts),
+        lost=(message.lost_ms or 0) / MILLISECONDS
+        if message.starts
+        else math.inf,
         answered=answered,
     )
 
