--- a/bench/config/subscribers.py
+++ b/bench/config/subscribers.py
@@ -19,13 +19,13 @@
 from tamarackthread.shared import (
     errors,
     feed,
+    feed_server,
     identity,
     link,
     listener,
     parents,
     peers,
     process,
-    relay,
 )
 
 WATCH_SECONDS = 0.5
@@ -37,7 +37,9 @@
 
     def __init__(self, held: feed.ConfigFeed) -> None:
         """Serve what the feed holds."""
-        self._relay = relay.FeedServer(held, held.below, relay.Limits())
+        self._relay = feed_server.FeedServer(
+            held, held.descendants, feed_server.Limits()
+        )
 
     async def on_request(
         self,
@@ -79,7 +81,7 @@
         self._feed = feed.ConfigFeed(
             self._links,
             own,
-            parents.AnyParent(control, random.Random(name)),
+            parents.RandomParentSelector(control, random.Random(name)),
             WAIT_SECONDS,
         )
         self._listener = listener.Listener(options, Handler(self._feed))
@@ -87,7 +89,7 @@
 
     async def start(self) -> None:
         """Listen and pull."""
-        await self._listener.start_on(self._bound)
+        await self._listener.start_on_socket(self._bound)
         self._feed.subscribe(self._note)
         self._feed.start()
 
--- a/bench/fuzzing/links.py
+++ b/bench/fuzzing/links.py
@@ -11,7 +11,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import (
     errors,
-    greeting,
+    handshake,
     identity,
     link,
     listener,
@@ -163,7 +163,9 @@
 
     async def _mutated_frames(self, rng: random.Random) -> None:
         reader, writer = await self._dial()
-        await greeting.greet(reader, writer, _options('evil'), dialer=True)
+        await handshake.authenticate(
+            reader, writer, _options('evil'), dialer=True
+        )
         opening = wire.encode(messages.OpenCall(call_id=_CALL))
         writer.write(wire.pack(wire.Kind.OPEN, opening, 1, 0, _TAG))
         for _ in range(rng.randint(1, _FRAMES_EACH)):
--- a/bench/slopes/stand.py
+++ b/bench/slopes/stand.py
@@ -165,7 +165,7 @@
         following = feed.ConfigFeed(
             self.links(node, messages.Role.AGENT),
             own,
-            parents.AnyParent([parent], random.Random(number)),
+            parents.RandomParentSelector([parent], random.Random(number)),
             WAIT_SECONDS,
         )
         following.start()
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -22,12 +22,12 @@
     documents,
     errors,
     feed,
+    feed_server,
     link,
     listener,
     parents,
     peers,
     process,
-    relay,
     stream,
 )
 
@@ -50,7 +50,9 @@
         self._gate = guard
         self._reporter = reporter
         self._group = group
-        self._relay = relay.FeedServer(known, known.below, relay.Limits())
+        self._relay = feed_server.FeedServer(
+            known, known.descendants, feed_server.Limits()
+        )
 
     async def on_request(
         self,
@@ -106,7 +108,9 @@
         self._feed = feed.ConfigFeed(
             self._peers,
             self._place.options.identity,
-            parents.AnyParent(settings.control_addresses, random.Random()),
+            parents.RandomParentSelector(
+                settings.control_addresses, random.Random()
+            ),
             settings.feed.wait_seconds,
         )
         self._client = target.TargetClient(self._own)
@@ -163,7 +167,7 @@
         """Run until asked to stop, then drain."""
         await self._client.start()
         await self._group.start()
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         self._feed.subscribe(self._apply_documents)
         self._feed.start()
         loop = asyncio.get_running_loop()
@@ -221,7 +225,7 @@
         )
         await self._group.stop()
         await self._feed.stop()
-        await self._listener.part(DRAIN_LINKS_SECONDS)
+        await self._listener.drain(DRAIN_LINKS_SECONDS)
         self._peers.close()
         await self._client.stop()
 
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -32,10 +32,10 @@
     documents,
     errors,
     feed,
+    feed_server,
     listener,
     peers,
     process,
-    relay,
 )
 
 # A control host serves few children of each zone; these serve the others.
@@ -66,7 +66,7 @@
         self._config = self._group(requests.CONFIG, self._machine)
         self._leading = leadership.Leadership(self._config)
         self._feed = self._build_feed()
-        self._leading.on_other_leader(self._feed.retry_now)
+        self._leading.on_other_leader(self._feed.reselect_parent)
         self._source = source.ControlSource(
             self._leading,
             self._machine,
@@ -84,7 +84,7 @@
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then hand over and end."""
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         for group in self._groups.values():
             await group.start()
         self._feed.start()
@@ -142,7 +142,7 @@
         for kind, written in self._written.items():
             sweep = targets.LivenessSweep(
                 self._machine,
-                self._feed.below,
+                self._feed.descendants,
                 written,
                 kind,
                 self._own.timing.target_lease_seconds,
@@ -155,10 +155,10 @@
         handler = requests.RequestHandler(
             self._groups,
             self._build_claims(),
-            relay.FeedServer(
+            feed_server.FeedServer(
                 self._source,
-                self._feed.below,
-                relay.Limits(CHILDREN, CHILDREN_IN_ZONE),
+                self._feed.descendants,
+                feed_server.Limits(CHILDREN, CHILDREN_IN_ZONE),
                 self._rng,
             ),
         )
@@ -170,7 +170,7 @@
                     machine=self._machine,
                     leading=self._leading,
                     origin=self._source,
-                    below=self._feed.below,
+                    below=self._feed.descendants,
                     propose=self._propose,
                     targets=targets.Targets(
                         self._machine,
--- a/tamarackthread/control/requests.py
+++ b/tamarackthread/control/requests.py
@@ -17,7 +17,7 @@
     reads,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, link, relay
+from tamarackthread.shared import errors, feed_server, link
 
 CONFIG = 'config'
 _log = logging.getLogger('tamarackthread.control')
@@ -36,7 +36,7 @@
         self,
         groups: collections.abc.Mapping[str, consensus.Consensus],
         claims: collections.abc.Mapping[str, claim_service.ClaimService],
-        feeds: relay.FeedServer,
+        feeds: feed_server.FeedServer,
     ) -> None:
         """Serve the groups by name and the claims by shard."""
         self._groups = groups
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -114,8 +114,8 @@
         self._address = self._place.options.identity.address
         self._links = peers.Peers(
             self._place.options,
-            most_backoff=places.MOST_BACKOFF_SECONDS,
-            dial_seconds=places.DIAL_SECONDS,
+            max_backoff_seconds=places.MOST_BACKOFF_SECONDS,
+            dial_timeout_seconds=places.DIAL_SECONDS,
         )
         self._machine = machine.SiteMachine()
         self._group = self._build_group()
@@ -175,7 +175,7 @@
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then hand over leadership and stop."""
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         await self._group.start()
         for announcement in await self._targets.load():
             self._registry.restore(announcement)
--- a/tamarackthread/control/site/maps/rank_client.py
+++ b/tamarackthread/control/site/maps/rank_client.py
@@ -22,7 +22,7 @@
         self,
         url: str,
         headers: dict[str, str],
-    ) -> fields.Row | None:
+    ) -> fields.JsonObject | None:
         """Fetch a JSON object; return ``None`` unless the status is 200."""
         try:
             async with self._get_session().get(url, headers=headers) as answer:
--- a/tamarackthread/control/source.py
+++ b/tamarackthread/control/source.py
@@ -12,14 +12,14 @@
 import collections.abc
 
 from tamarackthread.control import configuration, group, leadership
-from tamarackthread.shared import catalogue, feed, parents, relay, signal
+from tamarackthread.shared import catalogue, feed, feed_server, parents, signal
 
 KEPT_APPLIED = 4096
 # Nodes count their lease by clocks that may run slower than ours.
 DRIFT_RATIO = 1.05
 
 
-class LeaderParent(parents.Parents):
+class LeaderParent(parents.ParentSelector):
     """Name the leader as the only parent, and nobody while this host leads."""
 
     def __init__(
@@ -41,7 +41,7 @@
         return self._address_of(leader) or None
 
 
-class ControlSource(relay.Source):
+class ControlSource(feed_server.Source):
     """Choose between the machine and the feed by who leads."""
 
     def __init__(
@@ -86,19 +86,19 @@
             return 0
         return self._upstream.renewals
 
-    def grant(self) -> relay.Grant:
+    def grant(self) -> feed_server.Grant:
         """Grant a full lease as leader, else what the leader's leaves."""
         if not self._leading.leads():
             return self._upstream.grant()
-        return relay.Grant(
+        return feed_server.Grant(
             remaining=self._lease_seconds,
             age=0,
             revision=self._machine.documents.revision,
         )
 
-    def take_report(self) -> None:
+    def schedule_report(self) -> None:
         """Have the feed report further; as leader it has no parent."""
-        self._upstream.take_report()
+        self._upstream.schedule_report()
 
     def lapses_at(self, revision: int) -> float:
         """Tell when no node without a revision can take work any more.
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -101,7 +101,7 @@
             raise failures.ConnectionSilent(self._connection.name)
         # A call lost on a half-open connection may have run.  If it must not
         # repeat, it needs a connection with a recent heartbeat.
-        if not idempotent and not current.is_fresh(HEARTBEAT_AGE_LIMIT_SECONDS):
+        if not idempotent and not current.is_alive(HEARTBEAT_AGE_LIMIT_SECONDS):
             raise failures.ConnectionSilent(self._connection.name)
         return current
 
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -46,8 +46,8 @@
         self._place = process.take_place(settings)
         self._links = peers.Peers(
             self._place.options,
-            most_backoff=places.MOST_BACKOFF_SECONDS,
-            dial_seconds=places.DIAL_SECONDS,
+            max_backoff_seconds=places.MOST_BACKOFF_SECONDS,
+            dial_timeout_seconds=places.DIAL_SECONDS,
         )
         entries = known_entries.KnownEntries(
             self._place.options.identity.address,
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -60,7 +60,9 @@
         """Refuse all requests; agents only send reports."""
         raise errors.RequestUnsupported
 
-    def on_notice(self, link: link.Link, request: messages.Request) -> None:
+    def on_notification(
+        self, link: link.Link, request: messages.Request
+    ) -> None:
         """Apply a load report."""
         if request.report is None:
             return
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -27,13 +27,13 @@
     claim_keys,
     errors,
     feed,
+    feed_server,
     link,
     listener,
     metrics,
     parents,
     peers,
     process,
-    relay,
 )
 
 LAPSED_RETRY_SECONDS = 1.0
@@ -48,7 +48,9 @@
 
     def __init__(self, source: feed.ConfigFeed) -> None:
         """Serve the configuration of this entry's feed."""
-        self._relay = relay.FeedServer(source, source.below, relay.Limits())
+        self._relay = feed_server.FeedServer(
+            source, source.descendants, feed_server.Limits()
+        )
 
     async def on_request(
         self,
@@ -82,7 +84,7 @@
         self._feed = feed.ConfigFeed(
             self._peers,
             self._place.options.identity,
-            parents.AnyParent(settings.control_addresses, rng),
+            parents.RandomParentSelector(settings.control_addresses, rng),
             settings.feed.wait_seconds,
         )
         self._metrics = metrics.Metrics(settings.statsd)
@@ -140,7 +142,7 @@
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then drain the open calls."""
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         self._feed.subscribe(self._apply_configuration)
         self._feed.start()
         loop = asyncio.get_running_loop()
--- a/tamarackthread/platform/http_api.py
+++ b/tamarackthread/platform/http_api.py
@@ -117,7 +117,7 @@
     body = await request.read()
     with targets.validating(_sender(request)):
         row = fields.parse(body) if body.strip() else {}
-        born = fields.whole(row, wire.BORN, default=0)
+        born = fields.integer(row, wire.BORN, default=0)
         targets.mark_gone(request.match_info['target'], born)
     return web.json_response({})
 
@@ -134,9 +134,9 @@
         service=fields.text(row, 'service'),
         address=fields.address(row, 'address'),
         zone=fields.text(row, 'zone'),
-        slots=fields.whole(row, 'slots', fields.MOST_SMALL),
+        slots=fields.integer(row, 'slots', fields.MAX_INT32),
         state=fields.choice(row, 'state', _STATES),
-        sequence=fields.whole(row, 'sequence'),
+        sequence=fields.integer(row, 'sequence'),
         cold=fields.number(row, 'cold-remaining-ms', 0) / MILLISECONDS,
-        born=fields.whole(row, wire.BORN, default=0),
+        born=fields.integer(row, wire.BORN, default=0),
     )
--- a/tamarackthread/platform/ranks.py
+++ b/tamarackthread/platform/ranks.py
@@ -26,7 +26,7 @@
 )
 _WITH_VERSION = frozenset((ranks.PREPARE, ranks.ARM, ranks.DISARM))
 _PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-_Body = fields.Row
+_Body = fields.JsonObject
 
 
 class PlatformRanks(ranks.Ranks):
@@ -95,29 +95,29 @@
 
 
 def _report(body: _Body) -> ranks.RankReport:
-    group = fields.table(body, 'group')
+    group = fields.json_object(body, 'group')
     armed = body.get('armed')
     return ranks.RankReport(
         group=fields.text(group, 'name'),
-        epoch=fields.whole(group, 'epoch'),
-        rank=fields.whole(group, 'rank'),
-        size=fields.whole(group if 'size' in group else body, 'size'),
+        epoch=fields.integer(group, 'epoch'),
+        rank=fields.integer(group, 'rank'),
+        size=fields.integer(group if 'size' in group else body, 'size'),
         is_open=group['state'] == 'open',
-        step=fields.whole(body, 'step', default=0),
+        step=fields.integer(body, 'step', default=0),
         version=_number_or_field(body, 'map', 'version') or 0,
         prepared=_number_or_field(body, 'prepared', 'version'),
         armed=(
             ranks.Armed(
-                fields.whole(armed, 'version'), fields.whole(armed, 'step')
+                fields.integer(armed, 'version'), fields.integer(armed, 'step')
             )
             if armed
             else None
         ),
         held=_number_or_field(body, 'held', 'step'),
         pace=fields.number(body, 'pace', 0) or 1,
-        running=fields.whole(body, 'running', default=0),
-        waiting=fields.whole(body, 'waiting', default=0),
-        born=fields.whole(body, wire.BORN, default=0),
+        running=fields.integer(body, 'running', default=0),
+        waiting=fields.integer(body, 'waiting', default=0),
+        born=fields.integer(body, wire.BORN, default=0),
     )
 
 
@@ -127,7 +127,7 @@
     if found is None:
         return None
     row = found if isinstance(found, dict) else {part: found}
-    return fields.whole(row, part)
+    return fields.integer(row, part)
 
 
 def _counts(body: _Body, sets: int) -> ranks.Counts:
@@ -139,15 +139,15 @@
         for first in range(0, size * sets, size)
     )
     return ranks.Counts(
-        fields.whole(body, 'epoch'),
+        fields.integer(body, 'epoch'),
         by_set,
-        fields.whole(body, wire.BORN, default=0),
+        fields.integer(body, wire.BORN, default=0),
     )
 
 
 def _placement(body: _Body) -> ranks.Placement:
-    held = fields.table(body, 'map')
-    return fields.whole(held, 'version'), tuple(
+    held = fields.json_object(body, 'map')
+    return fields.integer(held, 'version'), tuple(
         tuple(int(expert) for expert in row) for row in held['experts']
     )
 
--- a/tamarackthread/shared/connecting.py
+++ b/tamarackthread/shared/connecting.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from tamarackthread.shared import errors, greeting, identity, link
+from tamarackthread.shared import errors, handshake, identity, link
 
 
 async def connect(
@@ -48,7 +48,7 @@
     dialer: bool,
 ) -> link.Link:
     try:
-        peer = await greeting.greet(reader, writer, options, dialer)
+        peer = await handshake.authenticate(reader, writer, options, dialer)
     except BaseException:
         writer.close()
         raise
--- a/tamarackthread/shared/feed.py
+++ b/tamarackthread/shared/feed.py
@@ -16,12 +16,12 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import (
     catalogue,
-    confirmed,
     errors,
+    feed_server,
     identity,
+    leased_catalogue,
     parents,
     peers,
-    relay,
     signal,
     subtree,
 )
@@ -44,14 +44,14 @@
 Subscriber = collections.abc.Callable[[catalogue.Catalogue], None]
 
 
-class ConfigFeed(relay.Source):
+class ConfigFeed(feed_server.Source):
     """Pull documents and leases, and report what is confirmed below."""
 
     def __init__(
         self,
         links: peers.Peers,
         own: identity.Identity,
-        choice: parents.Parents,
+        choice: parents.ParentSelector,
         wait_seconds: float,
         rng: random.Random | None = None,
     ) -> None:
@@ -61,8 +61,8 @@
         self._choice = choice
         self._wait_seconds = wait_seconds
         self._rng = rng or random.Random()
-        self._state = confirmed.Confirmed()
-        self._below = subtree.Subtree()
+        self._state = leased_catalogue.LeasedCatalogue()
+        self._descendants = subtree.Subtree()
         self._changed = signal.Signal()
         self._reported = signal.Signal()
         self._subscribers: list[Subscriber] = []
@@ -94,9 +94,9 @@
         return self._renewals
 
     @property
-    def below(self) -> subtree.Subtree:
+    def descendants(self) -> subtree.Subtree:
         """Give what the children of this node reported."""
-        return self._below
+        return self._descendants
 
     @property
     def parent(self) -> str | None:
@@ -111,7 +111,7 @@
         """Tell whether this node may take new work, see ``Confirmed``."""
         return self._state.is_current(lease_seconds)
 
-    def grant(self) -> relay.Grant:
+    def grant(self) -> feed_server.Grant:
         """Give the lease that a child of this node may have now."""
         return self._state.grant()
 
@@ -133,7 +133,7 @@
             self._tasks.append(loop.create_task(work))
         self._pulling = loop.create_task(self._pull())
 
-    def retry_now(self) -> None:
+    def reselect_parent(self) -> None:
         """Choose a parent anew and at once, whatever is under way."""
         if self._pulling is None:
             return
@@ -164,7 +164,7 @@
             async with asyncio.timeout(FAREWELL_SECONDS):
                 await self._ask(self._parent, request, FAREWELL_SECONDS)
 
-    def take_report(self) -> None:
+    def schedule_report(self) -> None:
         """Report upward soon, because a child reported something."""
         self._reported.notify()
 
@@ -176,7 +176,7 @@
             if address is not None:
                 await self._follow(address)
             failures = 0 if self._renewals > renewals else failures + 1
-            if self._choice.has_named():
+            if self._choice.has_redirects():
                 failures = 0
             # Jitter keeps the children of a lost parent from asking the
             # next one all in the same instant, and the pause grows while
@@ -206,7 +206,9 @@
     def _patient_wait(self) -> float:
         """Give the wait after which there is still time for other parents."""
         spare = self.lease_remaining() - STARVING_SECONDS
-        wait_seconds = min(spare / relay.RELAY_PATIENCE, self._wait_seconds)
+        wait_seconds = min(
+            spare / feed_server.RELAY_WAIT_FACTOR, self._wait_seconds
+        )
         return max(wait_seconds, LEAST_WAIT_SECONDS)
 
     def _is_good_parent(
@@ -219,7 +221,7 @@
             self._choice.redirect(reply.redirect)
             return False
         self._parent = address
-        self._choice.settle()
+        self._choice.confirm()
         if waited_seconds and self.lease_remaining() < STARVING_SECONDS:
             _log.info('feed: parent %s has no fresh lease', address)
             return False
@@ -230,7 +232,7 @@
         address: str,
         wait_seconds: float,
     ) -> messages.FeedReply:
-        patience = wait_seconds * relay.RELAY_PATIENCE + GRACE_SECONDS
+        patience = wait_seconds * feed_server.RELAY_WAIT_FACTOR + GRACE_SECONDS
         request = self._request(wait_seconds)
         sent_at = self._now()
         try:
@@ -260,7 +262,7 @@
     def _request(self, wait_seconds: float) -> messages.FeedRequest:
         whole = self._whole
         self._whole = False
-        report = self._below.report(self._own_state(), self._now(), whole)
+        report = self._descendants.report(self._own_state(), self._now(), whole)
         self._last_confirmed = report.confirmed
         return messages.FeedRequest(
             after=self._state.after,
@@ -297,7 +299,7 @@
                 await self._exchange(self._parent, 0)
 
     def _is_report_due(self) -> bool:
-        preview = self._below.preview(self._own_state(), self._now())
+        preview = self._descendants.preview(self._own_state(), self._now())
         if preview.nodes:
             return True
         return preview.confirmed > self._last_confirmed
--- a/tamarackthread/shared/relay.py
+++ b/tamarackthread/shared/feed_server.py
@@ -25,7 +25,7 @@
 # A relay answers when its own lease is renewed.  Held for exactly the wait
 # that it was asked for, an answer would come just before the renewal, with
 # the oldest lease possible.
-RELAY_PATIENCE = 1.5
+RELAY_WAIT_FACTOR = 1.5
 FRESH_SECONDS = 1.5
 
 
@@ -65,7 +65,7 @@
         """Give the lease that a child may have now."""
 
     @abc.abstractmethod
-    def take_report(self) -> None:
+    def schedule_report(self) -> None:
         """Hear that a child reported something, to report it further."""
 
 
@@ -110,7 +110,7 @@
         known = self._below.confirmed_of(sender.node)
         ask_whole = self._below.take(sender, request, came_at)
         if request.nodes or request.confirmed != known:
-            self._source.take_report()
+            self._source.schedule_report()
         if not ask_whole:
             await self._hold(request, came_at)
         held = loop.time() - came_at
@@ -144,7 +144,7 @@
             if held is None or held.is_closed:
                 self._links.pop(name, None)
                 continue
-            if held.is_fresh(FRESH_SECONDS):
+            if held.is_alive(FRESH_SECONDS):
                 reachable.append(name)
         return reachable
 
@@ -156,7 +156,7 @@
         wait_seconds = (request.wait_ms or 0) / MILLISECONDS
         renewals = self._source.renewals
         if renewals:
-            wait_seconds *= RELAY_PATIENCE
+            wait_seconds *= RELAY_WAIT_FACTOR
         loop = asyncio.get_running_loop()
         woken = loop.time() < came_at + wait_seconds
         had_lease = self._source.grant().remaining > 0
--- a/tamarackthread/shared/fields.py
+++ b/tamarackthread/shared/fields.py
@@ -15,20 +15,20 @@
 
 from tamarackthread.shared import addresses
 
-Row = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 _Choice = typing.TypeVar('_Choice')
 # A name of a target, an address or a state is shorter.
-MOST_TEXT = 255
+MAX_TEXT_LENGTH = 255
 # What a message between our processes can carry.
-MOST_SMALL = (1 << 31) - 1
-MOST_WHOLE = (1 << 63) - 1
+MAX_INT32 = (1 << 31) - 1
+MAX_INT64 = (1 << 63) - 1
 
 
 class FieldInvalid(ValueError):
     """A field is missing or is not what it should be; the text names it."""
 
 
-def parse(body: bytes) -> Row:
+def parse(body: bytes) -> JsonObject:
     """Read an object; raise ``FieldInvalid`` for anything else."""
     try:
         found = json.loads(body)
@@ -37,20 +37,20 @@
     return _table(found, '$')
 
 
-def table(row: Row, name: str) -> Row:
+def json_object(row: JsonObject, name: str) -> JsonObject:
     """Read a field that is an object."""
     return _table(_present(row, name), f'$.{name}')
 
 
-def text(row: Row, name: str) -> str:
+def text(row: JsonObject, name: str) -> str:
     """Read a field that is a text, not empty and not long."""
     found = _present(row, name)
-    if not isinstance(found, str) or not 0 < len(found) <= MOST_TEXT:
+    if not isinstance(found, str) or not 0 < len(found) <= MAX_TEXT_LENGTH:
         raise FieldInvalid(f'$.{name}: no short text')
     return found
 
 
-def address(row: Row, name: str) -> str:
+def address(row: JsonObject, name: str) -> str:
     """Read a field that is an IP number and a port."""
     found = text(row, name)
     if addresses.parse(found) is None:
@@ -59,7 +59,7 @@
 
 
 def choice(
-    row: Row,
+    row: JsonObject,
     name: str,
     known: collections.abc.Mapping[str, _Choice],
 ) -> _Choice:
@@ -70,10 +70,10 @@
     return found
 
 
-def whole(
-    row: Row,
+def integer(
+    row: JsonObject,
     name: str,
-    most: int = MOST_WHOLE,
+    most: int = MAX_INT64,
     default: int | None = None,
 ) -> int:
     """Read a field that is a whole number from 0 to ``most``.
@@ -92,26 +92,26 @@
     return found
 
 
-def number(row: Row, name: str, default: float) -> float:
+def number(row: JsonObject, name: str, default: float) -> float:
     """Read a field that is a finite number of 0 or more, if it is there."""
     found = row.get(name)
     if found is None:
         return default
     if isinstance(found, bool) or not isinstance(found, int | float):
         raise FieldInvalid(f'$.{name}: no number')
-    if not math.isfinite(found) or not 0 <= found <= MOST_SMALL:
+    if not math.isfinite(found) or not 0 <= found <= MAX_INT32:
         raise FieldInvalid(f'$.{name}: out of bounds')
     return float(found)
 
 
-def _present(row: Row, name: str) -> typing.Any:
+def _present(row: JsonObject, name: str) -> typing.Any:
     try:
         return row[name]
     except KeyError:
         raise FieldInvalid(f'$.{name}: missing') from None
 
 
-def _table(found: typing.Any, place: str) -> Row:
+def _table(found: typing.Any, place: str) -> JsonObject:
     if not isinstance(found, dict):
         raise FieldInvalid(f'{place}: no object')
     return found
--- a/tamarackthread/shared/greeting.py
+++ b/tamarackthread/shared/handshake.py
@@ -17,7 +17,7 @@
 from tamarackthread.shared import errors, identity, wire
 
 NONCE_BYTES = 16
-GREETING_SECONDS = 3.0
+TIMEOUT_SECONDS = 3.0
 DIALER = b'dialer'
 LISTENER = b'listener'
 _ROLES = frozenset(messages.Role)
@@ -35,7 +35,7 @@
     incarnation: int
 
 
-async def greet(
+async def authenticate(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     options: identity.LinkOptions,
@@ -43,7 +43,7 @@
 ) -> Peer:
     """Exchange greetings and proofs; raise ``GreetingRefused`` on any doubt."""
     try:
-        async with asyncio.timeout(GREETING_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return await _exchange(reader, writer, options, dialer)
     except TimeoutError as exc:
         raise errors.GreetingRefused('no greeting in time') from exc
--- a/tamarackthread/shared/confirmed.py
+++ b/tamarackthread/shared/leased_catalogue.py
@@ -10,12 +10,12 @@
 import asyncio
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import catalogue, relay
+from tamarackthread.shared import catalogue, feed_server
 
 MILLISECONDS = 1000
 
 
-class Confirmed:
+class LeasedCatalogue:
     """Take over replies of the feed without ever going back."""
 
     def __init__(self) -> None:
@@ -68,12 +68,12 @@
         now = asyncio.get_running_loop().time()
         return now - self._backed_at <= lease_seconds
 
-    def grant(self) -> relay.Grant:
+    def grant(self) -> feed_server.Grant:
         """Give the lease to pass on, never longer than this node's own."""
         if not self.lease_remaining() or self._backed_at is None:
-            return relay.Grant()
+            return feed_server.Grant()
         now = asyncio.get_running_loop().time()
-        return relay.Grant(
+        return feed_server.Grant(
             remaining=self._lease_ends_at - now,
             age=now - self._backed_at,
             revision=self._lease_revision,
--- a/tamarackthread/shared/link.py
+++ b/tamarackthread/shared/link.py
@@ -17,7 +17,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import (
     errors,
-    greeting,
+    handshake,
     identity,
     replies,
     stream,
@@ -42,7 +42,7 @@
     ) -> messages.Reply:
         """Answer a request; a coded error becomes a failure reply."""
 
-    def on_notice(self, link: Link, request: messages.Request) -> None:
+    def on_notification(self, link: Link, request: messages.Request) -> None:
         """Take a message that wants no reply."""
 
     async def on_stream(
@@ -69,7 +69,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         options: identity.LinkOptions,
-        peer: greeting.Peer,
+        peer: handshake.Peer,
         handler: Handler,
         dialer: bool,
     ) -> None:
@@ -103,7 +103,7 @@
         writer.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
 
     @property
-    def peer(self) -> greeting.Peer:
+    def peer(self) -> handshake.Peer:
         """Tell who is on the other side."""
         return self._peer
 
@@ -134,7 +134,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def is_fresh(self, within_seconds: float) -> bool:
+    def is_alive(self, within_seconds: float) -> bool:
         """Tell whether the peer echoed a heartbeat sent so recently."""
         age = self._loop.time() - self._last_echo
         return not self.is_closed and age <= within_seconds
@@ -196,7 +196,7 @@
         self._streams[number] = call
         return call
 
-    def ask_closing(self) -> None:
+    def announce_closing(self) -> None:
         """Ask the peer to open nothing more on this link."""
         if not self.is_closed:
             self.write(wire.Kind.CLOSING)
@@ -217,7 +217,7 @@
             self._flush_planned = True
             self._loop.call_soon(self._flush)
 
-    async def flushed(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait while the connection's buffer is over its high mark."""
         transport = self._writer.transport
         if transport.get_write_buffer_size() > HIGH_WATER_BYTES:
@@ -226,7 +226,7 @@
             except OSError as exc:
                 raise errors.LinkLost(str(exc)) from exc
 
-    def forget(self, stream: int) -> None:
+    def remove_stream(self, stream: int) -> None:
         """Drop a stream that has ended."""
         self._streams.pop(stream, None)
 
@@ -343,7 +343,7 @@
         if frame.stream:
             self.spawn(self._answer(frame.stream, request))
         else:
-            self._handler.on_notice(self, request)
+            self._handler.on_notification(self, request)
 
     async def _answer(self, number: int, request: messages.Request) -> None:
         try:
--- a/tamarackthread/shared/listener.py
+++ b/tamarackthread/shared/listener.py
@@ -32,9 +32,9 @@
 
     async def start(self, host: str, port: int) -> str:
         """Bind and return the address; port 0 lets the kernel pick."""
-        return await self.start_on(bind(host, port))
+        return await self.start_on_socket(bind(host, port))
 
-    async def start_on(self, bound: socket.socket) -> str:
+    async def start_on_socket(self, bound: socket.socket) -> str:
         """Accept on a socket that is bound already and return its address."""
         self._server = await asyncio.start_server(
             self._accept,
@@ -48,9 +48,9 @@
         if self._server is not None:
             self._server.close()
         for accepted in self.links:
-            accepted.ask_closing()
+            accepted.announce_closing()
 
-    async def part(self, seconds: float) -> None:
+    async def drain(self, seconds: float) -> None:
         """Close as a planned stop, answering what is still on its way.
 
         A call that a peer opened just before it was asked not to would die
--- a/tamarackthread/shared/parents.py
+++ b/tamarackthread/shared/parents.py
@@ -8,7 +8,7 @@
 import random
 
 
-class Parents(abc.ABC):
+class ParentSelector(abc.ABC):
     """The rule by which the next parent is chosen."""
 
     @abc.abstractmethod
@@ -18,15 +18,15 @@
     def redirect(self, addresses: collections.abc.Sequence[str]) -> None:
         """Take the addresses that a parent named in its place."""
 
-    def has_named(self) -> bool:
+    def has_redirects(self) -> bool:
         """Tell whether there are addresses that a parent named."""
         return False
 
-    def settle(self) -> None:
+    def confirm(self) -> None:
         """Hear that the parent chosen last serves this node."""
 
 
-class AnyParent(Parents):
+class RandomParentSelector(ParentSelector):
     """Ask control hosts in a random order, and whom they name instead.
 
     Each failure leads to another address, so a node looks through all ways
@@ -58,11 +58,11 @@
         """Ask these next, in the order in which they were named."""
         self._named = collections.deque(addresses)
 
-    def has_named(self) -> bool:
+    def has_redirects(self) -> bool:
         """Tell whether there are named addresses that were not asked yet."""
         return bool(self._named)
 
-    def settle(self) -> None:
+    def confirm(self) -> None:
         """Forget the others that were named.
 
         By the time that the parent fails they may be long gone, and each
--- a/tamarackthread/shared/peers.py
+++ b/tamarackthread/shared/peers.py
@@ -15,7 +15,7 @@
 STALE_HEARTBEATS = 2.5
 
 
-class QuietHandler(link.Handler):
+class RejectingHandler(link.Handler):
     """Refuse whatever a peer asks on a link that we dialled only to ask."""
 
     async def on_request(
@@ -42,25 +42,25 @@
         options: identity.LinkOptions,
         handler: link.Handler | None = None,
         rng: random.Random | None = None,
-        most_backoff: float = MAX_BACKOFF_SECONDS,
-        dial_seconds: float | None = None,
+        max_backoff_seconds: float = MAX_BACKOFF_SECONDS,
+        dial_timeout_seconds: float | None = None,
     ) -> None:
         """Dial nothing yet; ``rng`` spreads reconnects after a failure.
 
         A connection must come about in ``dial_seconds``, by default the link's
         timeout.
         """
-        self._dial_seconds = dial_seconds
-        self._most_backoff = most_backoff
+        self._dial_seconds = dial_timeout_seconds
+        self._most_backoff = max_backoff_seconds
         self._options = options
-        self._handler = handler or QuietHandler()
+        self._handler = handler or RejectingHandler()
         self._rng = rng or random.Random()
         self._links: dict[str, link.Link] = {}
         self._dials: dict[str, asyncio.Task[link.Link]] = {}
         self._backoffs: dict[str, _Backoff] = {}
 
     @property
-    def own(self) -> identity.Identity:
+    def own_identity(self) -> identity.Identity:
         """Return who this process is."""
         return self._options.identity
 
@@ -117,7 +117,7 @@
     def _is_usable(self, held: link.Link) -> bool:
         if held.peer_closing:
             return False
-        return held.is_fresh(self._options.heartbeat_seconds * STALE_HEARTBEATS)
+        return held.is_alive(self._options.heartbeat_seconds * STALE_HEARTBEATS)
 
     async def _dial_once(self, address: str) -> link.Link:
         backoff = self._backoffs.get(address)
--- a/tamarackthread/shared/reload.py
+++ b/tamarackthread/shared/reload.py
@@ -16,7 +16,7 @@
 import attrs
 
 from tamarackthread.generated import settings as generated
-from tamarackthread.shared import findings, live, security, settings
+from tamarackthread.shared import findings, live_settings, security, settings
 
 _log = logging.getLogger('tamarackthread.settings')
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         path: str,
-        source: live.Source,
+        source: live_settings.Source,
         base: pathlib.Path | None = None,
     ) -> None:
         """Reload a file into the source of the settings in force.
--- a/tamarackthread/shared/role_start.py
+++ b/tamarackthread/shared/role_start.py
@@ -9,7 +9,7 @@
 import typing
 
 from tamarackthread.generated import settings as generated
-from tamarackthread.shared import live, logs, reload
+from tamarackthread.shared import live_settings, logs, reload
 
 Run = collections.abc.Callable[
     [generated.Settings],
@@ -36,7 +36,7 @@
     # listens for it; by default that would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     writer = logs.start(loaded.logs, output, node=name or loaded.node.id)
-    source = live.Source(loaded)
+    source = live_settings.Source(loaded)
     source.watch(lambda: writer.change(source.current.logs))
     reloader = reload.Reloader(path, source, base)
     try:
--- a/tamarackthread/shared/security.py
+++ b/tamarackthread/shared/security.py
@@ -15,7 +15,7 @@
 import attrs
 
 from tamarackthread.generated import settings as generated
-from tamarackthread.shared import findings, live
+from tamarackthread.shared import findings, live_settings
 
 MIN_KEY_BYTES = 16
 
@@ -39,7 +39,7 @@
         """Read the files; raise ``InvalidError`` naming each bad one."""
         self._files = files
         self._keys = _read(files)
-        live.watch(files, self.refresh)
+        live_settings.watch(files, self.refresh)
 
     def __getitem__(self, index: typing.Any) -> typing.Any:
         """Give a secret in force."""
@@ -93,7 +93,7 @@
     listen.verify_mode = ssl.CERT_REQUIRED
     contexts = Contexts(dial=dial, listen=listen)
     refresh(contexts, tls)
-    live.watch(tls, functools.partial(refresh, contexts, tls))
+    live_settings.watch(tls, functools.partial(refresh, contexts, tls))
     return contexts
 
 
--- a/tamarackthread/shared/site/fetching.py
+++ b/tamarackthread/shared/site/fetching.py
@@ -76,7 +76,7 @@
         now = asyncio.get_running_loop().time()
         missed_at = self.supply(address).missed_at
         has_missed = missed_at is not None and now - missed_at < MISSED_SECONDS
-        own = self._links.own
+        own = self._links.own_identity
         held = self._links.current(address)
         is_far = held is None or held.peer.zone != own.zone
         text = f'{own.node} {own.address} {address}'.encode()
--- a/tamarackthread/shared/stream.py
+++ b/tamarackthread/shared/stream.py
@@ -28,10 +28,10 @@
     ) -> None:
         """Queue one frame."""
 
-    async def flushed(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until the connection takes more bytes."""
 
-    def forget(self, stream: int) -> None:
+    def remove_stream(self, stream: int) -> None:
         """Drop a stream that has ended."""
 
 
@@ -107,7 +107,7 @@
             chunk = payload[start : start + CHUNK_BYTES]
             await self._take_credit(len(chunk))
             self._frame(wire.Kind.DATA, chunk)
-        await self._sink.flushed()
+        await self._sink.wait_writable()
 
     def send_head(self, head: messages.CallHead) -> None:
         """Send the head of an answer."""
@@ -174,7 +174,7 @@
         """Break the stream for whoever waits on it."""
         if self._failure is None:
             self._failure = failure
-        self._sink.forget(self._number)
+        self._sink.remove_stream(self._number)
         self._wakeup.set()
         self._credit_wakeup.set()
 
@@ -199,7 +199,7 @@
 
     def _forget_when_over(self) -> None:
         if self._sent_end and self._end is not None:
-            self._sink.forget(self._number)
+            self._sink.remove_stream(self._number)
 
     def _frame(self, kind: wire.Kind, payload: bytes) -> None:
         self._sink.write(
--- a/tests/feed_net.py
+++ b/tests/feed_net.py
@@ -10,10 +10,10 @@
     catalogue,
     errors,
     feed,
-    greeting,
+    feed_server,
+    handshake,
     identity,
     parents,
-    relay,
     signal,
     subtree,
 )
@@ -37,7 +37,7 @@
     return messages.Document(kind, name, revision, body, revision)
 
 
-class Leader(relay.Source):
+class Leader(feed_server.Source):
     """Be the root: a leader that grants leases until it is told not to."""
 
     def __init__(self):
@@ -59,10 +59,10 @@
 
     def grant(self):
         if not self.grants:
-            return relay.Grant()
-        return relay.Grant(LEASE, 0, self.catalogue.revision)
+            return feed_server.Grant()
+        return feed_server.Grant(LEASE, 0, self.catalogue.revision)
 
-    def take_report(self):
+    def schedule_report(self):
         """Have nobody to report to."""
 
     def commit(self, revision, name='p', body='{}'):
@@ -85,8 +85,8 @@
         self.serve('leader', self.leader, self.below)
 
     def serve(self, address, source, below, limits=None):
-        limits = limits or relay.Limits()
-        self.servers[address] = relay.FeedServer(
+        limits = limits or feed_server.Limits()
+        self.servers[address] = feed_server.FeedServer(
             source,
             below,
             limits,
@@ -99,12 +99,12 @@
         made = feed.ConfigFeed(
             Links(self, identified),
             identified,
-            parents.AnyParent(control, self.rng),
+            parents.RandomParentSelector(control, self.rng),
             WAIT,
             self.rng,
         )
         if identified.address:
-            self.serve(identified.address, made, made.below)
+            self.serve(identified.address, made, made.descendants)
         return made
 
 
@@ -113,7 +113,7 @@
 
     def __init__(self, net, own):
         self.net = net
-        self.peer = greeting.Peer(
+        self.peer = handshake.Peer(
             own.node,
             own.role,
             own.region,
@@ -126,7 +126,7 @@
     def is_closed(self):
         return self.peer.node in self.net.dead
 
-    def is_fresh(self, seconds):
+    def is_alive(self, seconds):
         return not self.is_closed
 
     async def request(self, address, request, timeout_seconds):
--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -24,7 +24,7 @@
     """Links of one entry to six control hosts in three availability zones."""
 
     def __init__(self):
-        self.own = identity.Identity(
+        self.own_identity = identity.Identity(
             node='e1', role=messages.Role.ENTRY, zone='east', address='e1:7'
         )
         self.machines = {host: machine.SiteMachine() for host in HOSTS}
@@ -43,7 +43,7 @@
             peer=types.SimpleNamespace(
                 zone=ZONES[place],
                 role=messages.Role.ENTRY,
-                address=self.own.address,
+                address=self.own_identity.address,
             )
         )
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import catalogue, confirmed
+from tamarackthread.shared import catalogue, leased_catalogue
 from tests import feed_net
 
 
@@ -21,7 +21,7 @@
     @paused
     async def test_tree_confirms_and_counts(self):
         net = feed_net.Net()
-        limits = feed_net.relay.Limits(children=4, children_in_zone=2)
+        limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
         net.serve('leader', net.leader, net.below, limits)
         net.leader.commit(1)
         nodes = []
@@ -48,7 +48,7 @@
         on to those would keep them in circles until their leases end.
         """
         net = feed_net.Net()
-        limits = feed_net.relay.Limits(children=4, children_in_zone=2)
+        limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
         net.serve('leader', net.leader, net.below, limits)
         net.leader.commit(1)
         nodes = []
@@ -225,7 +225,7 @@
             9,
             floor=6,
         )
-        node = confirmed.Confirmed()
+        node = leased_catalogue.LeasedCatalogue()
         old = feed_net.document('old', 2)
         node.take(messages.FeedReply(revision=2, documents=[old]), 0)
         pages = 0
--- a/tests/test_feed_history.py
+++ b/tests/test_feed_history.py
@@ -10,7 +10,7 @@
 import unittest
 import unittest.mock
 
-from tamarackthread.shared import confirmed, relay
+from tamarackthread.shared import feed_server, leased_catalogue
 from tests import feed_net
 
 SEEDS = 12
@@ -120,8 +120,8 @@
 def grant_whole(self):
     """Grant a whole lease, whatever is left of the relay's own."""
     if not self.lease_remaining():
-        return relay.Grant()
-    return relay.Grant(feed_net.LEASE, 0, self._lease_revision)
+        return feed_server.Grant()
+    return feed_server.Grant(feed_net.LEASE, 0, self._lease_revision)
 
 
 def take_any_lease(self, reply, sent_at):
@@ -143,7 +143,7 @@
                 self.assertEqual(violation_of(seed), '')
 
     def test_each_break_is_found(self):
-        kept = confirmed.Confirmed
+        kept = leased_catalogue.LeasedCatalogue
         breaks = (
             ('grant', grant_whole),
             ('_take_lease', take_any_lease),
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -125,12 +125,12 @@
         known = feed.ConfigFeed(
             self.links,
             place.identity,
-            parents.AnyParent([], random.Random(1)),
+            parents.RandomParentSelector([], random.Random(1)),
             1,
         )
         handler = role.AgentHandler(None, FakeReporter(), known, self.group)
         self.listener = listener.Listener(place, handler)
-        await self.listener.start_on(bound)
+        await self.listener.start_on_socket(bound)
         await self.group.start()
 
     async def kill(self):
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -41,7 +41,7 @@
         address = await served.start('127.0.0.1', 0)
         dialler = peers.Peers(options('a'))
         held = await dialler.link(address)
-        parting = asyncio.ensure_future(served.part(0.2))
+        parting = asyncio.ensure_future(served.drain(0.2))
         call = held.open(messages.OpenCall(call_id=b'c' * 16))
         self.assertIsNone(await call.receive_head())
         self.assertEqual(call.end.ran, messages.Ran.NOT_RUN)
@@ -64,7 +64,7 @@
         """
         served = listener.Listener(options('b'), Quiet())
         bound = listener.bind('127.0.0.1', 0)
-        address = await served.start_on(bound)
+        address = await served.start_on_socket(bound)
         dialler = peers.Peers(options('a'))
         await dialler.link(address)
         while not served.links:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from tamarackthread.shared import (
     findings,
     jsonc,
-    live,
+    live_settings,
     reload,
     security,
     settings,
@@ -163,7 +163,7 @@
 
     def test_reload_takes_what_may_change_and_names_the_rest(self):
         self.write()
-        source = live.Source(settings.load(self.path))
+        source = live_settings.Source(settings.load(self.path))
         entry = source.settings.entry
         reloader = reload.Reloader(str(self.path), source)
         self.write(
@@ -191,7 +191,7 @@
         """
         self.write()
         old = settings.load(self.path)
-        source = live.Source(old)
+        source = live_settings.Source(old)
         reloader = reload.Reloader(str(self.path), source)
         for changed in (
             {'logs': {'level': 'loud'}},
@@ -204,7 +204,7 @@
 
     def test_replaced_key_signs_from_the_next_greeting_on(self):
         self.write()
-        source = live.Source(settings.load(self.path))
+        source = live_settings.Source(settings.load(self.path))
         keys = security.read_keys(source.settings.security.key_files)
         (self.path.parent / 'new').write_bytes(b'n' * 32)
         self.write(security={'key_files': ['new', 'key']})
