--- a/bench/config/operators.py
+++ b/bench/config/operators.py
@@ -12,7 +12,7 @@
 
 from bench.config import journal
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, identity, peers
+from tamarackthread.shared import errors, identity, link_pool
 
 TRY_SECONDS = 0.8
 PAUSE_SECONDS = 0.02
@@ -43,7 +43,7 @@
         self._name = name
         self._addresses = list(addresses)
         own = identity.Identity(node=name, role=messages.Role.OPERATOR)
-        self._links = peers.Peers(identity.LinkOptions(own, (key,)))
+        self._links = link_pool.LinkPool(identity.LinkOptions(own, (key,)))
 
     def close(self) -> None:
         """Close the links."""
--- a/bench/config/subscribers.py
+++ b/bench/config/subscribers.py
@@ -22,9 +22,9 @@
     feed_server,
     identity,
     link,
+    link_pool,
     listener,
     parents,
-    peers,
     process,
 )
 
@@ -77,7 +77,7 @@
             incarnation=process.new_incarnation(),
         )
         options = identity.LinkOptions(own, (key,))
-        self._links = peers.Peers(options)
+        self._links = link_pool.LinkPool(options)
         self._feed = feed.ConfigFeed(
             self._links,
             own,
--- a/bench/fuzzing/links.py
+++ b/bench/fuzzing/links.py
@@ -14,8 +14,8 @@
     handshake,
     identity,
     link,
+    link_pool,
     listener,
-    peers,
     stream,
     wire,
 )
@@ -121,7 +121,7 @@
         logger.propagate = False
         accepting = listener.Listener(_options('b'), _Answering())
         self._address = await accepting.start(_HOST, 0)
-        bystander = peers.Peers(_options('a'))
+        bystander = link_pool.LinkPool(_options('a'))
         for number in range(runs):
             with self._counted.run(number):
                 await attack(random.Random(f'{self._seed} {number}'))
@@ -139,7 +139,7 @@
                 self._counted.fault(number, found)
         self._faults.found.clear()
 
-    async def _ask(self, bystander: peers.Peers) -> None:
+    async def _ask(self, bystander: link_pool.LinkPool) -> None:
         request = messages.Request(status=messages.StatusRequest(revision=1))
         try:
             await bystander.request(self._address, request, _LIMIT_SECONDS)
--- a/bench/operator.py
+++ b/bench/operator.py
@@ -9,7 +9,7 @@
 import typing
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, identity, peers
+from tamarackthread.shared import errors, identity, link_pool
 
 from bench import cluster
 
@@ -24,7 +24,7 @@
         """Speak to the control hosts of a running cluster."""
         self._cluster = running
         key = running.key_file.read_bytes().strip()
-        self._peers = peers.Peers(
+        self._peers = link_pool.LinkPool(
             identity.LinkOptions(
                 identity.Identity(
                     node=f'operator-{secrets.token_hex(4)}',
--- a/bench/slopes/control.py
+++ b/bench/slopes/control.py
@@ -8,7 +8,7 @@
 import typing
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import claim_times, errors, peers
+from tamarackthread.shared import claim_times, errors, link_pool
 
 from bench.slopes import fit, process, stand
 
@@ -113,7 +113,7 @@
 
 async def _announce(
     subject: stand.Stand,
-    links: peers.Peers,
+    links: link_pool.LinkPool,
     numbers: typing.Iterator[int],
     count: int,
 ) -> None:
--- a/bench/slopes/following.py
+++ b/bench/slopes/following.py
@@ -13,7 +13,7 @@
 
 from tamarackthread.entry import directory, fleet
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, identity, peers
+from tamarackthread.shared import errors, identity, link_pool
 from tamarackthread.shared import link as links
 
 from bench.slopes import design, fit, memory
@@ -24,7 +24,7 @@
 REVISION = 1
 
 
-class NoPeers(peers.Peers):
+class NoPeers(link_pool.LinkPool):
     """Reach nobody, so that only the looking over is measured."""
 
     async def link(self, address: str) -> links.Link:
--- a/bench/slopes/leasing.py
+++ b/bench/slopes/leasing.py
@@ -7,7 +7,7 @@
 from bench.slopes import fit, process, stand
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import portions
-from tamarackthread.shared import peers
+from tamarackthread.shared import link_pool
 
 MICRO = 1e6
 LEASE_MS = 30_000
@@ -30,7 +30,7 @@
 
 async def _renew(
     subject: stand.Stand,
-    links: peers.Peers,
+    links: link_pool.LinkPool,
     count: int,
 ) -> None:
     address = subject.cluster.controls[subject.leader]
--- a/bench/slopes/stand.py
+++ b/bench/slopes/stand.py
@@ -14,9 +14,9 @@
     feed,
     identity,
     link,
+    link_pool,
     listener,
     parents,
-    peers,
     process,
 )
 
@@ -86,7 +86,7 @@
         self._key = self.cluster.key_file.read_bytes().strip()
         self._listeners: list[listener.Listener] = []
         self._feeds: list[feed.ConfigFeed] = []
-        self._peers: list[peers.Peers] = []
+        self._peers: list[link_pool.LinkPool] = []
 
     @property
     def pids(self) -> dict[str, int]:
@@ -139,7 +139,7 @@
         node: str,
         role: messages.Role,
         handler: link.Handler | None = None,
-    ) -> peers.Peers:
+    ) -> link_pool.LinkPool:
         """Make the links of one more stand-in."""
         own = identity.Identity(
             node=node,
@@ -148,7 +148,9 @@
             zone=ZONE,
             incarnation=process.new_incarnation(),
         )
-        made = peers.Peers(identity.LinkOptions(own, (self._key,)), handler)
+        made = link_pool.LinkPool(
+            identity.LinkOptions(own, (self._key,)), handler
+        )
         self._peers.append(made)
         return made
 
--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -8,7 +8,7 @@
 
 from tamarackthread.agent import order_errors, switch_record
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 _TIMEOUT_SECONDS = 0.5
 _ATTEMPTS_PER_HOST = 2
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        connections: peers.Peers,
+        connections: link_pool.LinkPool,
         addresses: collections.abc.Sequence[str],
     ) -> None:
         """Set the control hosts' addresses."""
--- a/tamarackthread/agent/group_membership.py
+++ b/tamarackthread/agent/group_membership.py
@@ -23,7 +23,7 @@
 from tamarackthread.generated import settings as generated_settings
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map, moves, placement
-from tamarackthread.shared import catalogue, errors, identity, peers
+from tamarackthread.shared import catalogue, errors, identity, link_pool
 
 FIRST_CANDIDATES = 3
 _RETRY_SECONDS = 0.5
@@ -61,7 +61,7 @@
         self,
         own: generated_settings.Agent,
         node: identity.Identity,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         control: control_client.ControlClient,
     ) -> None:
         """Prepare the engine client; ``start`` connects."""
--- a/tamarackthread/agent/rank_transport.py
+++ b/tamarackthread/agent/rank_transport.py
@@ -9,7 +9,7 @@
 from tamarackthread.agent import map_cache, order_errors, order_state
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 
 class RankTransport(abc.ABC):
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        connections: peers.Peers,
+        connections: link_pool.LinkPool,
         members: collections.abc.Callable[[], collections.abc.Sequence[int]],
         addresses: collections.abc.Callable[[], dict[int, str]],
     ) -> None:
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -24,9 +24,9 @@
     feed,
     feed_server,
     link,
+    link_pool,
     listener,
     parents,
-    peers,
     process,
     stream,
 )
@@ -104,7 +104,7 @@
         self._own = settings.agent
         self._place = process.take_place(settings)
         self._stopping = False
-        self._peers = peers.Peers(self._place.options)
+        self._peers = link_pool.LinkPool(self._place.options)
         self._feed = feed.ConfigFeed(
             self._peers,
             self._place.options.identity,
--- a/tamarackthread/cli/access.py
+++ b/tamarackthread/cli/access.py
@@ -16,7 +16,7 @@
 from tamarackthread.shared import (
     addresses,
     identity,
-    peers,
+    link_pool,
     process,
     settings,
 )
@@ -56,7 +56,7 @@
         zone=chosen.node.zone,
         incarnation=process.new_incarnation(),
     )
-    dialled = peers.Peers(process.link_options(chosen, own))
+    dialled = link_pool.LinkPool(process.link_options(chosen, own))
     try:
         yield client.Operator(
             dialled,
--- a/tamarackthread/cli/client.py
+++ b/tamarackthread/cli/client.py
@@ -14,7 +14,7 @@
 from tamarackthread.cli import failures
 from tamarackthread.control import failures as control_failures
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import addresses, errors, peers
+from tamarackthread.shared import addresses, errors, link_pool
 
 DEFAULT_PATIENCE_SECONDS = 10.0
 ATTEMPT_SECONDS = 3.0
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        dialled: peers.Peers,
+        dialled: link_pool.LinkPool,
         control: collections.abc.Sequence[str],
         author: Author,
         patience_seconds: float = DEFAULT_PATIENCE_SECONDS,
--- a/tamarackthread/control/forwarding.py
+++ b/tamarackthread/control/forwarding.py
@@ -10,7 +10,7 @@
 
 from tamarackthread.control import failures, group
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 RETRY_TIMEOUT_SECONDS = 4.0
 ATTEMPT_TIMEOUT_SECONDS = 2.0
@@ -31,7 +31,7 @@
         self,
         config: group.Group,
         address_of: collections.abc.Callable[[str], str],
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         own_node: str,
     ) -> None:
         """Resolve the leader's node to an address by ``address_of``."""
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -33,8 +33,8 @@
     errors,
     feed,
     feed_server,
+    link_pool,
     listener,
-    peers,
     process,
 )
 
@@ -60,7 +60,7 @@
         self._folder = folder.DataFolder(self._own.data_folder)
         self._place = process.take_place(settings)
         self._rng = random.Random()
-        self._links = peers.Peers(self._place.options)
+        self._links = link_pool.LinkPool(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
         self._machine = configuration.Configuration(self._own.audit_records)
         self._config = self._group(requests.CONFIG, self._machine)
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -18,7 +18,7 @@
 from tamarackthread.control import targets as announcing
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, subtree
-from tamarackthread.shared import peers as dialling
+from tamarackthread.shared import link_pool
 
 DRAIN_SECONDS = 1.0
 _log = logging.getLogger('tamarackthread.control')
@@ -35,7 +35,7 @@
     propose: config_proposer.ConfigProposer
     targets: announcing.Targets
     entry_list: entry_registry.EntryRegistry
-    links: dialling.Peers
+    links: link_pool.LinkPool
     own_node: str
 
 
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -33,10 +33,10 @@
 from tamarackthread.control.site.maps import owner, owner_loop, ranks
 from tamarackthread.generated import settings as generated
 from tamarackthread.shared import (
+    link_pool,
     listener,
     log_events,
     offload,
-    peers,
     process,
 )
 from tamarackthread.shared.site import (
@@ -112,7 +112,7 @@
         self._folder = folder.DataFolder(settings.control.data_folder)
         self._place = process.take_place(settings)
         self._address = self._place.options.identity.address
-        self._links = peers.Peers(
+        self._links = link_pool.LinkPool(
             self._place.options,
             max_backoff_seconds=places.MOST_BACKOFF_SECONDS,
             dial_timeout_seconds=places.DIAL_SECONDS,
--- a/tamarackthread/control/site/joining.py
+++ b/tamarackthread/control/site/joining.py
@@ -8,7 +8,7 @@
 
 from tamarackthread.control import consensus
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 CHECK_SECONDS = 0.25
 # Time without a leader after which a host asks to rejoin; longer than an election.
@@ -29,7 +29,7 @@
     def __init__(
         self,
         group: consensus.Consensus,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         node: str,
         address: str,
         peer_addresses: Addresses,
--- a/tamarackthread/control/transport.py
+++ b/tamarackthread/control/transport.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 
 class Transport(abc.ABC):
@@ -29,7 +29,7 @@
 class LinkTransport(Transport):
     """Send requests over the process's shared links."""
 
-    def __init__(self, links: peers.Peers) -> None:
+    def __init__(self, links: link_pool.LinkPool) -> None:
         """Start without addresses; groups add them by ``set_address``."""
         self._links = links
         self._addresses: dict[str, str] = {}
--- a/tamarackthread/entry/direct/load_exchange.py
+++ b/tamarackthread/entry/direct/load_exchange.py
@@ -12,7 +12,7 @@
     targets,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 # Short against the duration of a call, so that few calls are unaccounted for.
 MIN_INTERVAL_SECONDS = 0.05
@@ -37,7 +37,7 @@
     def __init__(
         self,
         all_targets: targets.Targets,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         hosts: ListNames,
         entries: ListNames,
         on_exchange: collections.abc.Callable[[], None],
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -22,7 +22,7 @@
 )
 from tamarackthread.generated import settings as generated
 from tamarackthread.policy import cold_start, known_entries
-from tamarackthread.shared import log_events, peers, process
+from tamarackthread.shared import link_pool, log_events, process
 from tamarackthread.shared.site import configuration, figures, following, places
 
 _log = logging.getLogger('tamarackthread.entry')
@@ -44,7 +44,7 @@
         generator = random.Random()
         loop = asyncio.get_running_loop()
         self._place = process.take_place(settings)
-        self._links = peers.Peers(
+        self._links = link_pool.LinkPool(
             self._place.options,
             max_backoff_seconds=places.MOST_BACKOFF_SECONDS,
             dial_timeout_seconds=places.DIAL_SECONDS,
--- a/tamarackthread/entry/fleet.py
+++ b/tamarackthread/entry/fleet.py
@@ -11,7 +11,7 @@
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import buckets, subset_ranking, subsets
-from tamarackthread.shared import errors, link, peers
+from tamarackthread.shared import errors, link, link_pool
 
 RETRY_SECONDS = 0.2
 DRAIN_POLL_SECONDS = 1.0
@@ -38,7 +38,7 @@
         self._own_place = subsets.Endpoint(node, zone)
         self._ranks: dict[str, subset_ranking.RankedTargets] = {}
         self._context = pools.PoolContext(zone, config, self._portions, rng)
-        self._peers: peers.Peers | None = None
+        self._peers: link_pool.LinkPool | None = None
         self._pools: dict[str, pools.Pool] = {}
         self._pools_by_target: dict[str, pools.Pool] = {}
         self._drain_tasks: set[asyncio.Task[None]] = set()
@@ -48,7 +48,7 @@
         """Return the leased portions of organisations' rate limits."""
         return self._portions
 
-    def set_peers(self, links: peers.Peers) -> None:
+    def set_peers(self, links: link_pool.LinkPool) -> None:
         """Set the pool of links that dials agents."""
         self._peers = links
 
--- a/tamarackthread/entry/rate_leases.py
+++ b/tamarackthread/entry/rate_leases.py
@@ -9,7 +9,7 @@
 from tamarackthread.entry import directory
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import buckets, portions
-from tamarackthread.shared import errors, peers
+from tamarackthread.shared import errors, link_pool
 
 RENEW_SECONDS = 1.0
 REQUEST_TIMEOUT_SECONDS = 1.0
@@ -30,7 +30,7 @@
         zone: str,
         config: directory.Directory,
         leased: buckets.Portions,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         addresses: tuple[str, ...],
     ) -> None:
         """Send no request before ``run``."""
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -29,10 +29,10 @@
     feed,
     feed_server,
     link,
+    link_pool,
     listener,
     metrics,
     parents,
-    peers,
     process,
 )
 
@@ -79,7 +79,7 @@
             self._directory,
             rng,
         )
-        self._peers = peers.Peers(self._place.options, self._fleet)
+        self._peers = link_pool.LinkPool(self._place.options, self._fleet)
         self._fleet.set_peers(self._peers)
         self._feed = feed.ConfigFeed(
             self._peers,
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -13,7 +13,7 @@
     claim_keys,
     claim_times,
     errors,
-    peers,
+    link_pool,
 )
 
 REQUEST_SECONDS = 1.0
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         shards: collections.abc.Callable[
             [], collections.abc.Iterable[claim_keys.Shard]
         ],
--- a/tamarackthread/entry/takeover.py
+++ b/tamarackthread/entry/takeover.py
@@ -8,7 +8,7 @@
 
 from tamarackthread.entry import claim_client
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import claim_errors, errors, peers
+from tamarackthread.shared import claim_errors, errors, link_pool
 
 GRACE_SECONDS = 1.0
 PROBE_SECONDS = 1.0
@@ -34,7 +34,7 @@
 class LinkProber(Prober):
     """Query agents over this process's links."""
 
-    def __init__(self, links: peers.Peers) -> None:
+    def __init__(self, links: link_pool.LinkPool) -> None:
         """Use these links; agents are dialled at their first probe."""
         self._links = links
 
--- a/tamarackthread/shared/announcer.py
+++ b/tamarackthread/shared/announcer.py
@@ -15,7 +15,7 @@
     feed,
     findings,
     identity,
-    peers,
+    link_pool,
 )
 
 TIMEOUT_SECONDS = 2.0
@@ -141,7 +141,7 @@
     def __init__(
         self,
         announced: Announced,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         known: feed.ConfigFeed,
         addresses: tuple[str, ...],
         every_seconds: float,
--- a/tamarackthread/shared/feed.py
+++ b/tamarackthread/shared/feed.py
@@ -20,8 +20,8 @@
     feed_server,
     identity,
     leased_catalogue,
+    link_pool,
     parents,
-    peers,
     signal,
     subtree,
 )
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         own: identity.Identity,
         choice: parents.ParentSelector,
         wait_seconds: float,
--- a/tamarackthread/shared/peers.py
+++ b/tamarackthread/shared/link_pool.py
@@ -34,7 +34,7 @@
     error: str = ''
 
 
-class Peers:
+class LinkPool:
     """Dial addresses and share one link to each among all callers."""
 
     def __init__(
--- a/tamarackthread/shared/site/fetching.py
+++ b/tamarackthread/shared/site/fetching.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from tamarackthread.shared import peers
+from tamarackthread.shared import link_pool
 
 # A near host has a new configuration some hundredths of a second after the first
 # one that tells of it.  Later it is asked of the next host, and so on.
@@ -40,7 +40,7 @@
 class Fetching:
     """Put the control hosts in order: near ones first, each follower another."""
 
-    def __init__(self, links: peers.Peers) -> None:
+    def __init__(self, links: link_pool.LinkPool) -> None:
         """Learn from ``links`` in which zone a host is."""
         self._links = links
         self._supplies: dict[str, Supply] = {}
--- a/tamarackthread/shared/site/following.py
+++ b/tamarackthread/shared/site/following.py
@@ -11,7 +11,7 @@
 
 from tamarackthread.generated import settings as generated
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, log_events, peers
+from tamarackthread.shared import errors, link_pool, log_events
 from tamarackthread.shared.site import (
     announcements,
     document,
@@ -100,7 +100,7 @@
     def __init__(
         self,
         site: generated.Site,
-        links: peers.Peers,
+        links: link_pool.LinkPool,
         pupil: Pupil,
         own_address: str = '',
     ) -> None:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -23,7 +23,7 @@
 from tamarackthread.generated import settings
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import moves
-from tamarackthread.shared import identity, link, listener, peers
+from tamarackthread.shared import identity, link, link_pool, listener
 from tests import shards
 
 KEY = b'stage' * 8
@@ -141,7 +141,7 @@
         self.directory = directory.Directory()
         rng = random.Random(7)
         self.fleet = fleet.Fleet(name, 'zone-0', self.directory, rng)
-        self.peers = peers.Peers(
+        self.peers = link_pool.LinkPool(
             options(name, messages.Role.ENTRY),
             self.fleet,
         )
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -17,7 +17,7 @@
 from tamarackthread.control.site.maps import ranks, switching
 from tamarackthread.entry.direct import targets
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, listener, peers
+from tamarackthread.shared import errors, link_pool, listener
 from tamarackthread.shared.site import announcements, document, zones
 from tests import consensus_net, policy_case, test_operator
 
@@ -410,7 +410,7 @@
         self.assertEqual([], self.asked.authors)
 
     async def ask(self, role, zone):
-        dialled = peers.Peers(test_operator.options('o', role))
+        dialled = link_pool.LinkPool(test_operator.options('o', role))
         operator = client.Operator(
             dialled, (self.address,), test_operator.AUTHOR, 5
         )
--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -14,7 +14,7 @@
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map
-from tamarackthread.shared import errors, identity, link, listener, peers
+from tamarackthread.shared import errors, identity, link, link_pool, listener
 
 GROUP = 'group-1'
 SHAPE = expert_map.GroupShape(layers=58, experts=256, ranks=32, slots=10)
@@ -63,7 +63,7 @@
     async def asyncSetUp(self) -> None:
         """Listen as control and rank 0; dial as rank 1."""
         self._map = expert_map.cold_start(SHAPE)
-        self._peers = peers.Peers(_options('rank-1'))
+        self._peers = link_pool.LinkPool(_options('rank-1'))
         transport = rank_transport.LinkTransport(self._peers, list, dict)
         lockstep = group.LockStepGroup(self._map.slots[..., 0, 0], 1)
         settings = group_runtime.GroupSettings(
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -32,9 +32,9 @@
     feed,
     identity,
     link,
+    link_pool,
     listener,
     parents,
-    peers,
 )
 from tests import test_targets
 
@@ -113,7 +113,7 @@
             self.address,
             self._starts,
         )
-        self.links = peers.Peers(place)
+        self.links = link_pool.LinkPool(place)
         self.group = group_membership.GroupMembership(
             self.own,
             place.identity,
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -5,7 +5,14 @@
 import unittest.mock
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, identity, link, listener, peers, wire
+from tamarackthread.shared import (
+    errors,
+    identity,
+    link,
+    link_pool,
+    listener,
+    wire,
+)
 
 KEY = b'k' * 32
 CALL = b'c' * 16
@@ -40,7 +47,7 @@
     async def asyncSetUp(self):
         self.listener = listener.Listener(options('b'), Echo())
         self.address = await self.listener.start('127.0.0.1', 0)
-        self.peers = peers.Peers(options('a'))
+        self.peers = link_pool.LinkPool(options('a'))
 
     async def asyncTearDown(self):
         self.peers.close()
@@ -84,7 +91,7 @@
         blocked.cancel()
 
     async def test_wrong_key_is_refused(self):
-        stranger = peers.Peers(options('x', key=b'z' * 32))
+        stranger = link_pool.LinkPool(options('x', key=b'z' * 32))
         with self.assertRaises(errors.CodedError):
             await stranger.link(self.address)
         stranger.close()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, identity, link, listener, peers
+from tamarackthread.shared import errors, identity, link, link_pool, listener
 
 KEY = b'k' * 32
 
@@ -39,7 +39,7 @@
         """
         served = listener.Listener(options('b'), Refusing())
         address = await served.start('127.0.0.1', 0)
-        dialler = peers.Peers(options('a'))
+        dialler = link_pool.LinkPool(options('a'))
         held = await dialler.link(address)
         parting = asyncio.ensure_future(served.drain(0.2))
         call = held.open(messages.OpenCall(call_id=b'c' * 16))
@@ -65,7 +65,7 @@
         served = listener.Listener(options('b'), Quiet())
         bound = listener.bind('127.0.0.1', 0)
         address = await served.start_on_socket(bound)
-        dialler = peers.Peers(options('a'))
+        dialler = link_pool.LinkPool(options('a'))
         await dialler.link(address)
         while not served.links:
             await asyncio.sleep(0)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -15,8 +15,8 @@
     errors,
     findings,
     identity,
+    link_pool,
     listener,
-    peers,
 )
 from tests import fake_control
 
@@ -38,7 +38,7 @@
         self.control = fake_control.FakeControl()
         self.listener = listener.Listener(options('c1'), self.control)
         self.address = await self.listener.start('127.0.0.1', 0)
-        self.peers = peers.Peers(options('o', messages.Role.OPERATOR))
+        self.peers = link_pool.LinkPool(options('o', messages.Role.OPERATOR))
         self.operator = self.make_operator()
 
     async def asyncTearDown(self):
