--- a/bench/fuzzing/links.py
+++ b/bench/fuzzing/links.py
@@ -25,7 +25,7 @@
 _LIMIT_SECONDS = 10.0
 _FRAMES_EACH = 5
 _CALL = b'c' * 16
-_TAG = stream.tag_of(_CALL)
+_TAG = stream.frame_tag(_CALL)
 _SENDABLE = tuple(kind for kind in wire.Kind if kind > wire.Kind.PROOF)
 
 
--- a/tamarackthread/shared/link.py
+++ b/tamarackthread/shared/link.py
@@ -1,8 +1,5 @@
-"""Hold one authenticated connection between two processes.
-
-Requests, replies and many streams share the connection.  Heartbeats run in
-both directions, because a connection that something on the way has lost
-track of stays open in TCP's eyes and swallows whatever is sent.
+"""Multiplex requests, replies and streams over one authenticated connection;
+heartbeats in both directions detect half-open connections.
 """
 
 from __future__ import annotations
@@ -26,13 +23,13 @@
 
 READ_BYTES = 256 * 1024
 HIGH_WATER_BYTES = 1024 * 1024
-CLOCK = struct.Struct('>q')
+CLOCK_FORMAT = struct.Struct('>q')
 MILLISECONDS = 1000
 _log = logging.getLogger('tamarackthread.link')
 
 
 class Handler(abc.ABC):
-    """What a role does with the requests and streams of its peers."""
+    """Callbacks of a role for the requests and streams of its peers."""
 
     @abc.abstractmethod
     async def on_request(
@@ -40,10 +37,10 @@
         link: Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Answer a request; a coded error becomes a failure reply."""
+        """Return the reply; a raised coded error becomes a failure reply."""
 
     def on_notification(self, link: Link, request: messages.Request) -> None:
-        """Take a message that wants no reply."""
+        """Handle a one-way message."""
 
     async def on_stream(
         self,
@@ -51,14 +48,14 @@
         call: stream.Stream,
         opening: messages.OpenCall,
     ) -> None:
-        """Serve a call that the peer opened."""
+        """Serve a call opened by the peer."""
         call.cancel(errors.RequestUnsupported.code)
 
     def on_connected(self, link: Link) -> None:
-        """Notice a new link."""
+        """Handle the start of a link."""
 
     def on_lost(self, link: Link) -> None:
-        """Notice that a link is gone."""
+        """Handle the loss of a link."""
 
 
 class Link:
@@ -73,7 +70,7 @@
         handler: Handler,
         dialer: bool,
     ) -> None:
-        """Take over a connection on which both sides have greeted."""
+        """Wrap a connection after its handshake."""
         self._reader = reader
         self._writer = writer
         self._options = options
@@ -83,89 +80,86 @@
         self._numbers = itertools.count(1 if dialer else 2, 2)
         self._streams: dict[int, stream.Stream] = {}
         self._replies: dict[int, asyncio.Future[messages.Reply]] = {}
-        self._out: list[bytes] = []
-        self._flush_planned = False
-        self._beats: dict[int, float] = {}
-        self._last_heard = self._loop.time()
-        self._last_echo = self._loop.time()
+        self._pending_frames: list[bytes] = []
+        self._flush_scheduled = False
+        self._heartbeats_sent_at: dict[int, float] = {}
+        self._last_received_at = self._loop.time()
+        self._last_echoed_at = self._loop.time()
         self._peer_clock: tuple[int, float] | None = None
         self._closed = asyncio.Event()
         self._peer_closing = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._takers = {
-            wire.Kind.REQUEST: self._take_request,
-            wire.Kind.REPLY: self._take_reply,
-            wire.Kind.OPEN: self._take_open,
-            wire.Kind.HEARTBEAT: self._take_heartbeat,
-            wire.Kind.ECHO: self._take_echo,
-            wire.Kind.CLOSING: self._take_closing,
+        self._frame_handlers = {
+            wire.Kind.REQUEST: self._handle_request,
+            wire.Kind.REPLY: self._handle_reply,
+            wire.Kind.OPEN: self._handle_open,
+            wire.Kind.HEARTBEAT: self._handle_heartbeat,
+            wire.Kind.ECHO: self._handle_echo,
+            wire.Kind.CLOSING: self._handle_closing,
         }
         writer.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
 
     @property
     def peer(self) -> handshake.Peer:
-        """Tell who is on the other side."""
+        """Return the authenticated peer."""
         return self._peer
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether the link is gone."""
+        """Return whether the link is closed."""
         return self._closed.is_set()
 
     @property
     def peer_closing(self) -> bool:
-        """Tell whether the peer asked that nothing new be opened."""
+        """Return whether the peer accepts no new streams."""
         return self._peer_closing
 
     @property
     def open_streams(self) -> int:
-        """Count the streams that have not ended."""
+        """Return the number of streams that have not ended."""
         return len(self._streams)
 
     def start(self) -> None:
-        """Start reading and beating."""
-        self.spawn(self._read())
-        self.spawn(self._beat())
+        """Start the reader and the heartbeats."""
+        self.spawn(self._run_reader())
+        self.spawn(self._send_heartbeats())
         self._handler.on_connected(self)
 
     def spawn(self, work: collections.abc.Coroutine[None, None, None]) -> None:
-        """Run work that ends with the link."""
+        """Run a task that is cancelled when the link closes."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def is_alive(self, within_seconds: float) -> bool:
-        """Tell whether the peer echoed a heartbeat sent so recently."""
-        age = self._loop.time() - self._last_echo
+        """Return whether a heartbeat sent within this time was echoed."""
+        age = self._loop.time() - self._last_echoed_at
         return not self.is_closed and age <= within_seconds
 
     def peer_clock_ms(self) -> int | None:
-        """Give the time on the peer's loop clock, never later than it is.
-
-        It is the reading that the peer's latest echo carried plus the time
-        since that echo came, so it lags by the echo's way here.  ``None``
-        before the first echo.
+        """Return a lower bound of the time on the peer's loop clock; it lags by
+        the latency of the last echo.  ``None`` before the first echo.
         """
         if self._peer_clock is None:
             return None
-        reading, came_at = self._peer_clock
-        return reading + int((self._loop.time() - came_at) * MILLISECONDS)
+        reading, received_at = self._peer_clock
+        return reading + int((self._loop.time() - received_at) * MILLISECONDS)
 
     async def request(
         self,
         request: messages.Request,
         timeout_seconds: float,
     ) -> messages.Reply:
-        """Ask the peer and wait; raise its failure as a coded error."""
+        """Send a request and wait; raise its failure as a coded error."""
         if self.is_closed:
             raise errors.LinkLost(self._peer.node)
         number = next(self._numbers)
-        waiter = self._loop.create_future()
-        self._replies[number] = waiter
+        future = self._loop.create_future()
+        self._replies[number] = future
         self.write(wire.Kind.REQUEST, wire.encode(request), number)
         try:
             async with asyncio.timeout(timeout_seconds):
-                reply = await waiter
+                reply = await future
         except TimeoutError as exc:
             raise errors.RequestTimeout(self._peer.node) from exc
         finally:
@@ -175,12 +169,12 @@
         return reply
 
     def notify(self, request: messages.Request) -> None:
-        """Tell the peer something that wants no reply."""
+        """Send a one-way message."""
         if not self.is_closed:
             self.write(wire.Kind.REQUEST, wire.encode(request))
 
     def open(self, opening: messages.OpenCall) -> stream.Stream:
-        """Open a call on the peer."""
+        """Open a stream for a call; raise ``LinkLost`` when closing."""
         if self.is_closed or self._peer_closing:
             raise errors.LinkLost(self._peer.node)
         number = next(self._numbers)
@@ -191,13 +185,13 @@
             self._options.window_bytes,
         )
         payload = wire.encode(opening)
-        tag = stream.tag_of(opening.call_id)
+        tag = stream.frame_tag(opening.call_id)
         self.write(wire.Kind.OPEN, payload, number, 0, tag)
         self._streams[number] = call
         return call
 
     def announce_closing(self) -> None:
-        """Ask the peer to open nothing more on this link."""
+        """Ask the peer to open no more streams on this link."""
         if not self.is_closed:
             self.write(wire.Kind.CLOSING)
 
@@ -209,16 +203,18 @@
         sequence: int = 0,
         tag: int = 0,
     ) -> None:
-        """Queue a frame; all frames of one loop turn leave in one write."""
+        """Queue a frame; frames of one loop iteration share one write."""
         if self.is_closed:
             return
-        self._out.append(wire.pack(kind, payload, stream, sequence, tag))
-        if not self._flush_planned:
-            self._flush_planned = True
+        self._pending_frames.append(
+            wire.pack(kind, payload, stream, sequence, tag)
+        )
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     async def wait_writable(self) -> None:
-        """Wait while the connection's buffer is over its high mark."""
+        """Wait while the write buffer is over its high-water mark."""
         transport = self._writer.transport
         if transport.get_write_buffer_size() > HIGH_WATER_BYTES:
             try:
@@ -227,51 +223,51 @@
                 raise errors.LinkLost(str(exc)) from exc
 
     def remove_stream(self, stream: int) -> None:
-        """Drop a stream that has ended."""
+        """Remove a stream that has ended."""
         self._streams.pop(stream, None)
 
     def close(self, reason: str = 'closed') -> None:
-        """Close at once; whoever waits on the link learns that it is lost."""
+        """Close at once; pending requests and streams fail."""
         if self.is_closed:
             return
         self._flush()
         self._closed.set()
-        self._fail_waiters(errors.LinkLost(f'{self._peer.node}: {reason}'))
+        self._fail_pending(errors.LinkLost(f'{self._peer.node}: {reason}'))
         for task in tuple(self._tasks):
             if task is not asyncio.current_task():
                 task.cancel()
         self._writer.close()
-        _log.debug('link: %s is gone, %s', self._peer.node, reason)
+        _log.debug('link: closed link to %s, %s', self._peer.node, reason)
         self._handler.on_lost(self)
 
     async def wait_closed(self) -> None:
-        """Wait until the link is gone."""
+        """Wait until the link is closed."""
         await self._closed.wait()
 
-    def _fail_waiters(self, lost: errors.LinkLost) -> None:
-        for waiter in tuple(self._replies.values()):
-            if not waiter.done():
-                waiter.set_exception(lost)
+    def _fail_pending(self, lost: errors.LinkLost) -> None:
+        for future in tuple(self._replies.values()):
+            if not future.done():
+                future.set_exception(lost)
         for call in tuple(self._streams.values()):
             call.fail(errors.StreamBroken(str(lost)))
 
     def _flush(self) -> None:
-        self._flush_planned = False
-        if self._out and not self.is_closed:
-            self._writer.write(b''.join(self._out))
-        self._out.clear()
+        self._flush_scheduled = False
+        if self._pending_frames and not self.is_closed:
+            self._writer.write(b''.join(self._pending_frames))
+        self._pending_frames.clear()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for number in itertools.count():
             now = self._loop.time()
-            if now - self._last_heard > self._options.timeout_seconds:
-                self.close('silent')
+            if now - self._last_received_at > self._options.timeout_seconds:
+                self.close('heartbeat timeout')
                 return
-            self._beats[number] = now
+            self._heartbeats_sent_at[number] = now
             self.write(wire.Kind.HEARTBEAT, stream=number)
             await asyncio.sleep(self._options.heartbeat_seconds)
 
-    async def _read(self) -> None:
+    async def _run_reader(self) -> None:
         reason = 'closed by peer'
         try:
             await self._read_frames()
@@ -288,10 +284,10 @@
             received = await self._reader.read(READ_BYTES)
             if not received:
                 return
-            self._last_heard = self._loop.time()
-            buffered = self._take_frames(buffered + received)
+            self._last_received_at = self._loop.time()
+            buffered = self._consume_frames(buffered + received)
 
-    def _take_frames(self, buffered: bytes) -> bytes:
+    def _consume_frames(self, buffered: bytes) -> bytes:
         start = 0
         available = len(buffered)
         while available - start >= wire.HEADER_BYTES:
@@ -303,42 +299,42 @@
             if end > available:
                 break
             payload = buffered[payload_start:end]
-            self._take(wire.Frame(kind, number, sequence, tag, payload))
+            self._dispatch(wire.Frame(kind, number, sequence, tag, payload))
             start = end
         return buffered[start:]
 
-    def _take(self, frame: wire.Frame) -> None:
+    def _dispatch(self, frame: wire.Frame) -> None:
         call = self._streams.get(frame.stream)
         if frame.kind in _STREAM_KINDS:
             if call is not None:
                 call.accept(frame)
             return
-        take = self._takers.get(frame.kind)
+        take = self._frame_handlers.get(frame.kind)
         if take is None:
-            raise errors.FrameInvalid(f'{frame.kind.name} after greeting')
+            raise errors.FrameInvalid(f'{frame.kind.name} after the handshake')
         take(frame)
 
-    def _take_heartbeat(self, frame: wire.Frame) -> None:
-        clock = CLOCK.pack(int(self._loop.time() * MILLISECONDS))
+    def _handle_heartbeat(self, frame: wire.Frame) -> None:
+        clock = CLOCK_FORMAT.pack(int(self._loop.time() * MILLISECONDS))
         self.write(wire.Kind.ECHO, clock, stream=frame.stream)
 
-    def _take_closing(self, frame: wire.Frame) -> None:
+    def _handle_closing(self, frame: wire.Frame) -> None:
         self._peer_closing = True
 
-    def _take_echo(self, frame: wire.Frame) -> None:
+    def _handle_echo(self, frame: wire.Frame) -> None:
         number = frame.stream
-        if len(frame.payload) == CLOCK.size:
-            reading = CLOCK.unpack(frame.payload)[0]
+        if len(frame.payload) == CLOCK_FORMAT.size:
+            reading = CLOCK_FORMAT.unpack(frame.payload)[0]
             self._peer_clock = (reading, self._loop.time())
-        sent = self._beats.get(number)
+        sent = self._heartbeats_sent_at.get(number)
         if sent is None:
             return
-        self._last_echo = max(self._last_echo, sent)
-        for older in tuple(self._beats):
+        self._last_echoed_at = max(self._last_echoed_at, sent)
+        for older in tuple(self._heartbeats_sent_at):
             if older <= number:
-                self._beats.pop(older)
+                self._heartbeats_sent_at.pop(older)
 
-    def _take_request(self, frame: wire.Frame) -> None:
+    def _handle_request(self, frame: wire.Frame) -> None:
         request = wire.decode(messages.Request, frame.payload)
         if frame.stream:
             self.spawn(self._answer(frame.stream, request))
@@ -355,15 +351,15 @@
             reply = replies.failure_reply(errors.PeerFailure('internal fault'))
         self.write(wire.Kind.REPLY, wire.encode(reply), number)
 
-    def _take_reply(self, frame: wire.Frame) -> None:
-        waiter = self._replies.get(frame.stream)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(wire.decode(messages.Reply, frame.payload))
+    def _handle_reply(self, frame: wire.Frame) -> None:
+        future = self._replies.get(frame.stream)
+        if future is not None and not future.done():
+            future.set_result(wire.decode(messages.Reply, frame.payload))
 
-    def _take_open(self, frame: wire.Frame) -> None:
+    def _handle_open(self, frame: wire.Frame) -> None:
         opening = wire.decode(messages.OpenCall, frame.payload)
         if frame.stream in self._streams or not opening.call_id:
-            raise errors.FrameInvalid('stream is open already')
+            raise errors.FrameInvalid('stream is open or has no call id')
         call = stream.Stream(
             self,
             frame.stream,
--- a/tamarackthread/shared/link_pool.py
+++ b/tamarackthread/shared/link_pool.py
@@ -1,4 +1,4 @@
-"""Keep one link to each address that this process dials."""
+"""Pool one link for each dialled address."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class RejectingHandler(link.Handler):
-    """Refuse whatever a peer asks on a link that we dialled only to ask."""
+    """Reject requests of the peer on a link that is used for own requests."""
 
     async def on_request(
         self,
         link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Refuse the request by its code."""
+        """Raise ``RequestUnsupported``."""
         raise errors.RequestUnsupported
 
 
@@ -35,7 +35,7 @@
 
 
 class LinkPool:
-    """Dial addresses and share one link to each among all callers."""
+    """Dial addresses and share one link to each among all users."""
 
     def __init__(
         self,
@@ -45,13 +45,11 @@
         max_backoff_seconds: float = MAX_BACKOFF_SECONDS,
         dial_timeout_seconds: float | None = None,
     ) -> None:
-        """Dial nothing yet; ``rng`` spreads reconnects after a failure.
-
-        A connection must come about in ``dial_seconds``, by default the link's
-        timeout.
+        """Create an empty pool; ``rng`` gives the jitter of reconnects and
+        ``dial_timeout_seconds`` defaults to the timeout of the options.
         """
-        self._dial_seconds = dial_timeout_seconds
-        self._most_backoff = max_backoff_seconds
+        self._dial_timeout_seconds = dial_timeout_seconds
+        self._max_backoff_seconds = max_backoff_seconds
         self._options = options
         self._handler = handler or RejectingHandler()
         self._rng = rng or random.Random()
@@ -61,40 +59,37 @@
 
     @property
     def own_identity(self) -> identity.Identity:
-        """Return who this process is."""
+        """Return the identity of this process."""
         return self._options.identity
 
     @property
     def links(self) -> dict[str, link.Link]:
-        """Give the open links by address."""
+        """Return the open links by address."""
         return {
-            address: held
-            for address, held in self._links.items()
-            if not held.is_closed
+            address: pooled
+            for address, pooled in self._links.items()
+            if not pooled.is_closed
         }
 
     def current(self, address: str) -> link.Link | None:
-        """Give the open link to an address without dialling."""
-        held = self._links.get(address)
-        if held is None or held.is_closed:
+        """Return the open link to an address without dialling."""
+        pooled = self._links.get(address)
+        if pooled is None or pooled.is_closed:
             return None
-        return held
+        return pooled
 
     async def link(self, address: str) -> link.Link:
-        """Give a link to the address, dialling if there is none that echoes.
-
-        A link that has stopped echoing keeps its streams until its timeout,
-        but new work gets a new connection: what lost track of the old one
-        does not stop the new one.
+        """Return a link to the address, dialling if none echoes heartbeats; a link
+        without recent echoes is returned only if dialling fails.
         """
-        held = self.current(address)
-        if held is not None and self._is_usable(held):
-            return held
+        pooled = self.current(address)
+        if pooled is not None and self._accepts_streams(pooled):
+            return pooled
         try:
-            return await self._dial_once(address)
+            return await self._join_dial(address)
         except errors.CodedError:
-            if held is not None and not held.is_closed:
-                return held
+            if pooled is not None and not pooled.is_closed:
+                return pooled
             raise
 
     async def request(
@@ -103,23 +98,25 @@
         request: messages.Request,
         timeout_seconds: float,
     ) -> messages.Reply:
-        """Ask the process at an address."""
-        held = await self.link(address)
-        return await held.request(request, timeout_seconds)
+        """Send a request to the process at an address."""
+        pooled = await self.link(address)
+        return await pooled.request(request, timeout_seconds)
 
     def close(self) -> None:
-        """Close every link and stop dialling."""
+        """Cancel pending dials and close every link."""
         for dial in tuple(self._dials.values()):
             dial.cancel()
-        for held in tuple(self._links.values()):
-            held.close('this process stops')
+        for pooled in tuple(self._links.values()):
+            pooled.close('process is stopping')
 
-    def _is_usable(self, held: link.Link) -> bool:
-        if held.peer_closing:
+    def _accepts_streams(self, pooled: link.Link) -> bool:
+        if pooled.peer_closing:
             return False
-        return held.is_alive(self._options.heartbeat_seconds * STALE_HEARTBEATS)
+        return pooled.is_alive(
+            self._options.heartbeat_seconds * STALE_HEARTBEATS
+        )
 
-    async def _dial_once(self, address: str) -> link.Link:
+    async def _join_dial(self, address: str) -> link.Link:
         backoff = self._backoffs.get(address)
         now = asyncio.get_running_loop().time()
         if backoff is not None and now < backoff.until:
@@ -128,13 +125,13 @@
         if dial is None:
             dial = asyncio.get_running_loop().create_task(self._dial(address))
             self._dials[address] = dial
-            dial.add_done_callback(lambda done: self._dialled(address, done))
+            dial.add_done_callback(lambda done: self._on_dialled(address, done))
         return await asyncio.shield(dial)
 
-    def _dialled(self, address: str, done: asyncio.Task[link.Link]) -> None:
+    def _on_dialled(self, address: str, done: asyncio.Task[link.Link]) -> None:
         self._dials.pop(address, None)
-        # Whoever waited may have given up; its failure is in the backoff and
-        # must not be logged as a fault that nobody looked at.
+        # Marks the exception as retrieved, so that asyncio doesn't log it if
+        # every waiter was cancelled; the backoff keeps its text.
         if not done.cancelled():
             done.exception()
 
@@ -144,7 +141,7 @@
                 address,
                 self._options,
                 self._handler,
-                self._dial_seconds,
+                self._dial_timeout_seconds,
             )
         except errors.CodedError as exc:
             self._back_off(address, str(exc))
@@ -156,8 +153,8 @@
     def _back_off(self, address: str, error: str) -> None:
         backoff = self._backoffs.setdefault(address, _Backoff())
         now = asyncio.get_running_loop().time()
-        # Jitter spreads the reconnects of many peers after a host returns;
-        # without it they would all come back in the same instant.
+        # Jitter keeps many peers from reconnecting at once after a host
+        # restarts.
         backoff.until = now + backoff.seconds * self._rng.uniform(0.5, 1)
-        backoff.seconds = min(backoff.seconds * 2, self._most_backoff)
+        backoff.seconds = min(backoff.seconds * 2, self._max_backoff_seconds)
         backoff.error = error
--- a/tamarackthread/shared/listener.py
+++ b/tamarackthread/shared/listener.py
@@ -1,4 +1,4 @@
-"""Accept links from other processes on one address."""
+"""Accept links from peers on one address."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Listener:
-    """Accept, greet and keep the links that peers dial."""
+    """Accept connections and hold their links until they close."""
 
     def __init__(
         self,
         options: identity.LinkOptions,
         handler: link.Handler,
     ) -> None:
-        """Keep the options; nothing is bound yet."""
+        """Create a listener that is not yet bound."""
         self._options = options
         self._handler = handler
         self._links: set[link.Link] = set()
@@ -27,15 +27,15 @@
 
     @property
     def links(self) -> frozenset[link.Link]:
-        """Give the links that are open now."""
+        """Return the open links."""
         return frozenset(self._links)
 
     async def start(self, host: str, port: int) -> str:
-        """Bind and return the address; port 0 lets the kernel pick."""
+        """Bind and return the address; the kernel chooses for port 0."""
         return await self.start_on_socket(bind(host, port))
 
     async def start_on_socket(self, bound: socket.socket) -> str:
-        """Accept on a socket that is bound already and return its address."""
+        """Accept on a bound socket and return its address."""
         self._server = await asyncio.start_server(
             self._accept,
             sock=bound,
@@ -44,29 +44,25 @@
         return address_of(bound)
 
     def stop_accepting(self) -> None:
-        """Take no new connection and ask peers to open nothing more."""
+        """Accept no new connections and ask peers to open no more streams."""
         if self._server is not None:
             self._server.close()
         for accepted in self.links:
             accepted.announce_closing()
 
     async def drain(self, seconds: float) -> None:
-        """Close as a planned stop, answering what is still on its way.
-
-        A call that a peer opened just before it was asked not to would die
-        with its link, told as 'may have run' though it never started.  In
-        the given time it arrives and is refused, which says 'not run'; no
-        later call comes, because links that close open none.
+        """Stop accepting, wait and close.  Calls that peers open before they read
+        the closing notice are thus rejected as not run, and not cut off.
         """
         self.stop_accepting()
         await asyncio.sleep(seconds)
         self.close()
 
     def close(self) -> None:
-        """Close the address and every link on it."""
+        """Close the socket and every accepted link."""
         self.stop_accepting()
         for accepted in self.links:
-            accepted.close('this process stops')
+            accepted.close('process is stopping')
 
     async def _accept(
         self,
@@ -81,7 +77,7 @@
                 self._handler,
             )
         except errors.CodedError as exc:
-            _log.warning('link: refused a peer, %s %s', exc.code, exc)
+            _log.warning('link: rejected a connection, %s %s', exc.code, exc)
             return
         self._links.add(accepted)
         try:
@@ -91,11 +87,10 @@
 
 
 def bind(host: str, port: int) -> socket.socket:
-    """Bind a socket, so that its address is known before it is greeted with."""
+    """Bind a socket without accepting connections on it."""
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
-    # Without the protocol's number asyncio takes the accepted connections for
-    # something other than TCP and leaves them with delayed small writes: a
-    # reply waits some 40 ms for the peer's acknowledgement of the one before.
+    # asyncio sets TCP_NODELAY on accepted connections only if the protocol is
+    # given; else Nagle's algorithm delays small replies until an ACK arrives.
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -107,6 +102,6 @@
 
 
 def address_of(bound: socket.socket) -> str:
-    """Give the address of a bound socket as HOST:PORT."""
+    """Return the address of a bound socket as HOST:PORT."""
     host, port = bound.getsockname()[:2]
     return f'{host}:{port}'
--- a/tamarackthread/shared/stream.py
+++ b/tamarackthread/shared/stream.py
@@ -1,4 +1,4 @@
-"""Carry one call's bytes over a link, with credit in each direction."""
+"""Carry one call over a link with credit-based flow control."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, wire
 
-CREDIT = struct.Struct('>I')
+CREDIT_FORMAT = struct.Struct('>I')
 TAG_BYTES = 4
 CHUNK_BYTES = 32 * 1024
 
 
 class FrameSink(typing.Protocol):
-    """What a stream needs of its link."""
+    """Interface of the link that a stream uses."""
 
     def write(
         self,
@@ -29,25 +29,20 @@
         """Queue one frame."""
 
     async def wait_writable(self) -> None:
-        """Wait until the connection takes more bytes."""
+        """Wait while the write buffer is over its high-water mark."""
 
     def remove_stream(self, stream: int) -> None:
-        """Drop a stream that has ended."""
+        """Remove a stream that has ended."""
 
 
-def tag_of(call_id: bytes) -> int:
-    """Take the part of a call's identity that each of its frames repeats."""
+def frame_tag(call_id: bytes) -> int:
+    """Return the prefix of a call id that each of its frames carries."""
     return int.from_bytes(call_id[:TAG_BYTES], 'big')
 
 
 class Stream:
-    """One call on a link, as seen by one of its two ends.
-
-    Every frame carries the call's tag and a sequence number.  A frame of
-    another call or one that came twice would otherwise put someone else's
-    tokens into an answer; here a wrong tag or a gap breaks the stream
-    visibly and a repeated frame is dropped, so no byte is ever taken from
-    another call.
+    """One end of a call's stream.  A wrong tag or a gap in the sequence breaks
+    it, so that no byte of another call gets into the response.
     """
 
     def __init__(
@@ -61,10 +56,10 @@
         self._sink = sink
         self._number = number
         self._call_id = call_id
-        self._tag = tag_of(call_id)
+        self._tag = frame_tag(call_id)
         self._window = window_bytes
         self._credit = window_bytes
-        self._owed = 0
+        self._unreturned_credit = 0
         self._sent_frames = 0
         self._received_frames = 0
         self._chunks: collections.deque[bytes] = collections.deque()
@@ -73,74 +68,74 @@
         self._sent_end = False
         self._failure: errors.CodedError | None = None
         self._cancelled: str | None = None
-        self._wakeup = asyncio.Event()
-        self._credit_wakeup = asyncio.Event()
+        self._received = asyncio.Event()
+        self._credit_added = asyncio.Event()
 
     @property
     def call_id(self) -> bytes:
-        """Give the identity of the call."""
+        """Return the call id."""
         return self._call_id
 
     @property
     def end(self) -> messages.CallEnd | None:
-        """Give the peer's end of the call once it has arrived."""
+        """Return the peer's end of the call, ``None`` until received."""
         return self._end
 
     @property
     def head(self) -> messages.CallHead | None:
-        """Give the peer's head of the answer once it has arrived."""
+        """Return the head of the response, ``None`` until received."""
         return self._head
 
     @property
     def cancelled(self) -> str | None:
-        """Give the code with which the peer cancelled, if it did."""
+        """Return the code of the peer's cancellation, if any."""
         return self._cancelled
 
     @property
     def failed(self) -> bool:
-        """Tell whether the stream broke or was cancelled."""
+        """Return whether the stream broke or was cancelled."""
         return self._failure is not None
 
     async def send(self, payload: bytes) -> None:
-        """Send bytes, waiting while the peer's reader is slow."""
+        """Send bytes in chunks, each after the peer has granted credit."""
         for start in range(0, len(payload), CHUNK_BYTES):
             chunk = payload[start : start + CHUNK_BYTES]
-            await self._take_credit(len(chunk))
-            self._frame(wire.Kind.DATA, chunk)
+            await self._acquire_credit(len(chunk))
+            self._send_frame(wire.Kind.DATA, chunk)
         await self._sink.wait_writable()
 
     def send_head(self, head: messages.CallHead) -> None:
-        """Send the head of an answer."""
-        self._frame(wire.Kind.HEAD, wire.encode(head))
+        """Send the head of a response."""
+        self._send_frame(wire.Kind.HEAD, wire.encode(head))
 
     def finish(self, end: messages.CallEnd) -> None:
-        """Send the end of this direction; nothing can follow it."""
+        """Send the end of this direction."""
         if self._sent_end or self.failed:
             return
         self._sent_end = True
-        self._frame(wire.Kind.END, wire.encode(end))
-        self._forget_when_over()
+        self._send_frame(wire.Kind.END, wire.encode(end))
+        self._remove_if_ended()
 
     def cancel(self, code: str) -> None:
-        """Tell the peer to stop work on the call and drop the stream."""
+        """Cancel the call at the peer and close the stream."""
         if self.failed:
             return
         cancel = messages.CancelCall(call_id=self._call_id, code=code)
-        self._frame(wire.Kind.CANCEL, wire.encode(cancel))
+        self._send_frame(wire.Kind.CANCEL, wire.encode(cancel))
         self.fail(errors.StreamBroken(f'cancelled: {code}'))
 
     async def receive_head(self) -> messages.CallHead | None:
-        """Wait for the head; ``None`` when the call ended without one."""
+        """Wait for the head; ``None`` if the call ended without one."""
         while self._head is None and self._end is None:
-            await self._wait()
+            await self._wait_received()
         return self._head
 
     async def receive(self) -> bytes | None:
-        """Wait for bytes and take all that have come; ``None`` at the end."""
+        """Wait for bytes, return all buffered; ``None`` at the end."""
         while not self._chunks:
             if self._end is not None:
                 return None
-            await self._wait()
+            await self._wait_received()
         payload = b''.join(self._chunks)
         self._chunks.clear()
         self._return_credit(len(payload))
@@ -149,59 +144,59 @@
     async def wait_failed(self) -> errors.CodedError:
         """Wait until the stream breaks or the peer cancels it."""
         while self._failure is None:
-            self._wakeup.clear()
-            await self._wakeup.wait()
+            self._received.clear()
+            await self._received.wait()
         return self._failure
 
     def accept(self, frame: wire.Frame) -> None:
-        """Take a frame that the link read for this stream."""
+        """Handle a frame received for this stream."""
         if frame.kind == wire.Kind.CREDIT:
-            self._take_credit_frame(frame.payload)
+            self._add_credit(frame.payload)
             return
         if frame.tag != self._tag:
-            self.fail(errors.StreamBroken('frame of another call'))
+            self.fail(errors.StreamBroken('frame has the tag of another call'))
             return
         if frame.sequence < self._received_frames:
             return
         if frame.sequence > self._received_frames:
-            self.fail(errors.StreamBroken('frames are missing'))
+            self.fail(errors.StreamBroken('gap in the frame sequence'))
             return
         self._received_frames += 1
-        self._take(frame)
-        self._wakeup.set()
+        self._apply_frame(frame)
+        self._received.set()
 
     def fail(self, failure: errors.CodedError) -> None:
-        """Break the stream for whoever waits on it."""
+        """Break the stream; pending sends and receives raise ``failure``."""
         if self._failure is None:
             self._failure = failure
         self._sink.remove_stream(self._number)
-        self._wakeup.set()
-        self._credit_wakeup.set()
+        self._received.set()
+        self._credit_added.set()
 
-    def _take_credit_frame(self, payload: bytes) -> None:
-        if len(payload) != CREDIT.size:
-            raise errors.FrameInvalid(f'credit of {len(payload)} bytes')
-        self._credit += CREDIT.unpack(payload)[0]
-        self._credit_wakeup.set()
+    def _add_credit(self, payload: bytes) -> None:
+        if len(payload) != CREDIT_FORMAT.size:
+            raise errors.FrameInvalid(f'credit payload of {len(payload)} bytes')
+        self._credit += CREDIT_FORMAT.unpack(payload)[0]
+        self._credit_added.set()
 
-    def _take(self, frame: wire.Frame) -> None:
+    def _apply_frame(self, frame: wire.Frame) -> None:
         if frame.kind == wire.Kind.DATA:
             self._chunks.append(frame.payload)
         elif frame.kind == wire.Kind.HEAD:
             self._head = wire.decode(messages.CallHead, frame.payload)
         elif frame.kind == wire.Kind.END:
             self._end = wire.decode(messages.CallEnd, frame.payload)
-            self._forget_when_over()
+            self._remove_if_ended()
         elif frame.kind == wire.Kind.CANCEL:
             cancel = wire.decode(messages.CancelCall, frame.payload)
             self._cancelled = cancel.code or ''
             self.fail(errors.StreamBroken(f'peer cancelled: {cancel.code}'))
 
-    def _forget_when_over(self) -> None:
+    def _remove_if_ended(self) -> None:
         if self._sent_end and self._end is not None:
             self._sink.remove_stream(self._number)
 
-    def _frame(self, kind: wire.Kind, payload: bytes) -> None:
+    def _send_frame(self, kind: wire.Kind, payload: bytes) -> None:
         self._sink.write(
             kind,
             payload,
@@ -211,29 +206,29 @@
         )
         self._sent_frames += 1
 
-    async def _wait(self) -> None:
+    async def _wait_received(self) -> None:
         if self._failure is not None:
             raise self._failure
-        self._wakeup.clear()
-        await self._wakeup.wait()
+        self._received.clear()
+        await self._received.wait()
 
-    async def _take_credit(self, wanted: int) -> None:
+    async def _acquire_credit(self, wanted: int) -> None:
         while self._credit < wanted and self._failure is None:
-            self._credit_wakeup.clear()
-            await self._credit_wakeup.wait()
+            self._credit_added.clear()
+            await self._credit_added.wait()
         if self._failure is not None:
             raise self._failure
         self._credit -= wanted
 
-    def _return_credit(self, taken: int) -> None:
-        # Credit is returned only for bytes that the reader took, so a slow
-        # caller holds back its own stream and memory stays within a window.
-        self._owed += taken
-        if self._owed * 4 < self._window or self.failed:
+    def _return_credit(self, consumed: int) -> None:
+        # Credit is returned only for consumed bytes: a slow caller blocks only
+        # its own stream, and at most one window is buffered.
+        self._unreturned_credit += consumed
+        if self._unreturned_credit * 4 < self._window or self.failed:
             return
         self._sink.write(
             wire.Kind.CREDIT,
-            CREDIT.pack(self._owed),
+            CREDIT_FORMAT.pack(self._unreturned_credit),
             self._number,
         )
-        self._owed = 0
+        self._unreturned_credit = 0
--- a/tamarackthread/shared/wire.py
+++ b/tamarackthread/shared/wire.py
@@ -1,8 +1,5 @@
-"""Turn messages into frames and frames into messages.
-
-A frame is a fixed header and a payload.  Control payloads are thrift structs
-in the compact protocol; stream data is passed on as raw bytes so that a
-relayed token costs no decoding.
+"""Encode and decode frames: a fixed header and a payload, which is a thrift
+struct in the compact protocol or, for stream data, raw bytes.
 """
 
 from __future__ import annotations
@@ -22,8 +19,8 @@
 MAX_PAYLOAD_BYTES = 1 << 20
 PROTOCOL_VERSION = 1
 
-# Everything that the library raises on bytes that are no such message.
-_NONSENSE = (
+# What the thrift library raises on malformed input.
+_DECODE_ERRORS = (
     TProtocol.TProtocolException,
     TTransport.TTransportException,
     ValueError,
@@ -37,7 +34,7 @@
 
 
 class Kind(enum.IntEnum):
-    """Name what a frame carries."""
+    """Type of a frame."""
 
     GREETING = 1
     PROOF = 2
@@ -56,10 +53,8 @@
 
 @attrs.frozen(slots=True)
 class Frame:
-    """One received frame.
-
-    ``sequence`` numbers the frames of a stream in one direction and ``tag``
-    repeats the first bytes of the call's identity.
+    """One received frame; ``sequence`` counts a stream's frames in one
+    direction and ``tag`` holds the first bytes of the call id.
     """
 
     kind: Kind
@@ -78,13 +73,13 @@
 
 
 def decode(kind: type[_Message], payload: bytes) -> _Message:
-    """Read a generated message; raise ``FrameInvalid`` on nonsense."""
+    """Parse a generated message; raise ``FrameInvalid`` if malformed."""
     transport = TTransport.TMemoryBuffer(payload)
     protocol = TCompactProtocol.TCompactProtocolAccelerated(transport)
     message = kind()
     try:
         message.read(protocol)  # type: ignore[attr-defined]
-    except _NONSENSE as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.FrameInvalid(f'{kind.__name__}: {exc}') from exc
     return message
 
@@ -96,14 +91,16 @@
     sequence: int = 0,
     tag: int = 0,
 ) -> bytes:
-    """Build one frame; raise ``FrameTooLarge`` before anything is sent."""
+    """Build one frame; raise ``FrameTooLarge`` over the payload limit."""
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise errors.FrameTooLarge(f'{len(payload)} bytes')
     return HEADER.pack(len(payload), kind, stream, sequence, tag) + payload
 
 
 def unpack_header(header: bytes) -> tuple[int, Kind, int, int, int]:
-    """Read a header; raise on a payload over the limit or unknown kind."""
+    """Parse a header; raise ``FrameTooLarge`` over the payload limit and
+    ``FrameInvalid`` for an unknown kind.
+    """
     size, kind, stream, sequence, tag = HEADER.unpack(header)
     if size > MAX_PAYLOAD_BYTES:
         raise errors.FrameTooLarge(f'{size} bytes')
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -129,7 +129,7 @@
     async def asyncSetUp(self):
         self.sink = unittest.mock.Mock()
         self.call = link.stream.Stream(self.sink, 1, CALL, 1000)
-        self.tag = link.stream.tag_of(CALL)
+        self.tag = link.stream.frame_tag(CALL)
 
     def data(self, sequence, payload, tag=None):
         found = self.tag if tag is None else tag
