--- a/bench/config/subscribers.py
+++ b/bench/config/subscribers.py
@@ -123,7 +123,7 @@
         print(json.dumps({name: str(node.port)}))
         await node.start()
         watching = asyncio.ensure_future(node.watch())
-        await process.stop_asked()
+        await process.wait_for_stop_signal()
         watching.cancel()
         await node.stop()
 
--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -185,7 +185,7 @@
             host='h',
             prefix='/',
             kind=configuration.Kind.STREAM,
-            shares=(configuration.Share(SERVICE, 1),),
+            shares=(configuration.TrafficShare(SERVICE, 1),),
             timeout=TIMEOUT_SECONDS,
             aim=self._site.first,
         )
--- a/bench/engines/pace.py
+++ b/bench/engines/pace.py
@@ -23,7 +23,7 @@
     tokens_per_second: float = 61200.0
     chunk: int = 512
     expert_share: float = 0.85
-    shape: configuration.Experts = configuration.Experts(
+    shape: configuration.ExpertLayout = configuration.ExpertLayout(
         sets=8, experts=252, places=5, spare=2, copy_seconds=0.005
     )
 
@@ -34,7 +34,7 @@
     slots=3,
     stride=8,
     per_call=0.001562,
-    shape=configuration.Experts(
+    shape=configuration.ExpertLayout(
         sets=16, experts=258, places=3, spare=2, copy_seconds=0.0024
     ),
 )
@@ -46,7 +46,7 @@
     step=0.00455,
     per_call=0.00218,
     tokens_per_second=61400.0,
-    shape=configuration.Experts(
+    shape=configuration.ExpertLayout(
         sets=8, experts=252, places=5, spare=2, copy_seconds=0.0142
     ),
 )
--- a/bench/experiments/claims.py
+++ b/bench/experiments/claims.py
@@ -121,7 +121,7 @@
         key=key,
         claim=secrets.token_bytes(claim_keys.KEY_BYTES),
         holder='entry-12',
-        keep_ms=claim_times.DEFAULT_KEEP_MS,
+        keep_ms=claim_times.DEFAULT_TTL_MS,
         deadline_ms=30_000,
         digest=secrets.token_bytes(claim_keys.KEY_BYTES),
         handover=handover,
--- a/bench/experiments/groups.py
+++ b/bench/experiments/groups.py
@@ -63,7 +63,7 @@
 
 
 def _engine(ranks: int, sets: int, experts: int, copy: float) -> pace.Engine:
-    shape = configuration.Experts(
+    shape = configuration.ExpertLayout(
         sets=sets, experts=experts, places=5, spare=2, copy_seconds=copy
     )
     return pace.Engine(ranks=ranks, slots=10, stride=7, shape=shape)
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -204,7 +204,7 @@
                 host=HOST,
                 prefix=prefix,
                 kind=configuration.Kind.IDEMPOTENT,
-                shares=(configuration.Share(service, 1),),
+                shares=(configuration.TrafficShare(service, 1),),
                 timeout=5,
                 aim=1,
             )
--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -238,14 +238,14 @@
 
 
 def _compare_cuts(rng: random.Random, sent: bytes) -> None:
-    whole = events.EventCutter()
-    expected = whole.cut(sent)
-    cutter = events.EventCutter()
+    whole = events.EventSplitter()
+    expected = whole.feed(sent)
+    cutter = events.EventSplitter()
     pieces = bytearray()
     start = 0
     while start < len(sent):
         end = start + rng.randint(1, 9)
-        pieces += cutter.cut(sent[start:end])
+        pieces += cutter.feed(sent[start:end])
         start = end
     if (bytes(pieces), cutter.count) != (expected, whole.count):
         raise CutsDiffer(repr(sent))
--- a/bench/slopes/control.py
+++ b/bench/slopes/control.py
@@ -220,7 +220,7 @@
         key=secrets.token_bytes(16),
         claim=secrets.token_bytes(16),
         holder='entry-0',
-        keep_ms=claim_times.DEFAULT_KEEP_MS,
+        keep_ms=claim_times.DEFAULT_TTL_MS,
         deadline_ms=30_000,
         digest=secrets.token_bytes(16),
         handover=messages.Handover(
--- a/tamarackthread/agent/claims.py
+++ b/tamarackthread/agent/claims.py
@@ -59,7 +59,7 @@
         """Extend the time to live to a whole retention period from here."""
         self.expires_at_ms = max(
             self.expires_at_ms,
-            time_ms + claim_times.remember_ms(self.fence),
+            time_ms + claim_times.agent_ttl_ms(self.fence),
         )
 
 
@@ -157,7 +157,7 @@
         # A frame delayed past its window may belong to a claim that has been
         # evicted and granted again; starting it would run the call twice.
         left_ms = handover.until_ms - _now_ms()
-        if left_ms < 0 or left_ms > claim_times.WINDOW_MS:
+        if left_ms < 0 or left_ms > claim_times.START_WINDOW_MS:
             raise claim_errors.HandoverExpired
         return handover
 
@@ -174,7 +174,7 @@
     ) -> bool:
         if handover is None or not self._is_for_this_start(handover):
             return False
-        period = claim_times.remember_ms(fence)
+        period = claim_times.agent_ttl_ms(fence)
         return _now_ms() < handover.until_ms + period
 
     def _add(
@@ -185,7 +185,7 @@
     ) -> _ClaimEntry:
         if len(self._entries) >= self._max_claims:
             raise claim_errors.GateFull
-        expires_at = handover.until_ms + claim_times.remember_ms(fence)
+        expires_at = handover.until_ms + claim_times.agent_ttl_ms(fence)
         known = _ClaimEntry(fence, _State.WAITING, expires_at)
         self._entries[key] = known
         heapq.heappush(self._expirations, (expires_at, key))
--- a/tamarackthread/agent/gate.py
+++ b/tamarackthread/agent/gate.py
@@ -256,9 +256,9 @@
             async for received in response.content.iter_any():
                 await call.send(received)
             return 0
-        splitter = events.EventCutter()
+        splitter = events.EventSplitter()
         async for received in response.content.iter_any():
-            whole = splitter.cut(received)
+            whole = splitter.feed(received)
             if whole:
                 await call.send(whole)
         # A crashing engine may close its connection cleanly; without the
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -100,7 +100,7 @@
         assert settings.agent is not None
         self._settings = settings
         self._own = settings.agent
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._stopping = False
         self._peers = peers.Peers(self._place.options)
         self._feed = feed.ConfigFeed(
@@ -174,7 +174,7 @@
         if announce is not None:
             announce({'link': address})
         _log.info('agent: started for target %s', self._own.target_id)
-        await process.stop_asked()
+        await process.wait_for_stop_signal()
         await self._drain()
         for work in working:
             work.cancel()
@@ -213,7 +213,7 @@
         self._gate.set_leaving()
         self._announced.leave()
         await self._announcer.announce()
-        await process.drained(
+        await process.wait_until_idle(
             self._gate.wait_idle(),
             self._own.drain_seconds,
             _log,
--- a/tamarackthread/cli/access.py
+++ b/tamarackthread/cli/access.py
@@ -20,7 +20,7 @@
     process,
     settings,
 )
-from tamarackthread.shared.site import places
+from tamarackthread.shared.site import host_addresses
 
 SETTINGS_VARIABLE = 'TAMARACKTHREAD_SETTINGS'
 
@@ -94,7 +94,7 @@
 
 def _control_addresses(chosen: generated.Settings) -> tuple[str, ...]:
     if chosen.site is not None:
-        return tuple(places.link_addresses(chosen.site))
+        return tuple(host_addresses.link_addresses(chosen.site))
     if chosen.control_addresses or chosen.control is None:
         return chosen.control_addresses
     members = chosen.control.members
--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -239,4 +239,4 @@
     if not ask.claim or not 0 < len(ask.key or b'') <= claim_record.KEY_BYTES:
         return False
     keep_ms = ask.keep_ms or 0
-    return claim_times.MIN_KEEP_MS <= keep_ms <= claim_times.MAX_KEEP_MS
+    return claim_times.MIN_TTL_MS <= keep_ms <= claim_times.MAX_TTL_MS
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -58,7 +58,7 @@
         self._own = settings.control
         self._node = settings.node.id
         self._folder = folder.DataFolder(self._own.data_folder)
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._rng = random.Random()
         self._links = peers.Peers(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
@@ -96,7 +96,7 @@
         if announce is not None:
             announce({'link': address})
         _log.info('control: listens on %s', address)
-        stopping = loop.create_task(process.stop_asked())
+        stopping = loop.create_task(process.wait_for_stop_signal())
         failing = loop.create_task(self._failure())
         await asyncio.wait(
             (stopping, failing),
--- a/tamarackthread/control/leading.py
+++ b/tamarackthread/control/leading.py
@@ -35,7 +35,7 @@
         """Lead until the term ends for this member."""
         state = self._state
         term = state.become_leader()
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.LEADER,
             'consensus: %s leads %s in term %d',
--- a/tamarackthread/control/reconfiguration.py
+++ b/tamarackthread/control/reconfiguration.py
@@ -246,7 +246,7 @@
     state: replica.Replica, members: membership.Membership, reason: str
 ) -> None:
     state.append_own(segments.Kind.MEMBERS, members.encode())
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.MEMBERS,
         'members: %s: %s',
--- a/tamarackthread/control/site/api.py
+++ b/tamarackthread/control/site/api.py
@@ -48,7 +48,7 @@
         asked = document.pack(version, body)
         until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
         await committing.commit(self._group, asked.encode(), until)
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.CONFIGURATION,
             'control: accepted version %d',
--- a/tamarackthread/control/site/evacuation.py
+++ b/tamarackthread/control/site/evacuation.py
@@ -50,7 +50,7 @@
             # The zone's revision has changed since this host last applied a
             # command; propose again with the new one.
             await self._read_barrier(until)
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.ZONE,
             'control: zone %s is %s, asked by %s',
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -42,9 +42,9 @@
 from tamarackthread.shared.site import (
     announcements,
     configuration,
-    figures,
-    following,
-    places,
+    site_metrics,
+    feed_client,
+    host_addresses,
 )
 
 GROUP = 'site'
@@ -110,12 +110,12 @@
         self._node = settings.node.id
         self._drain_seconds = settings.control.drain_seconds
         self._folder = folder.DataFolder(settings.control.data_folder)
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._address = self._place.options.identity.address
         self._links = peers.Peers(
             self._place.options,
-            most_backoff=places.MOST_BACKOFF_SECONDS,
-            dial_seconds=places.DIAL_SECONDS,
+            most_backoff=host_addresses.MAX_BACKOFF_SECONDS,
+            dial_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
         )
         self._machine = machine.SiteMachine()
         self._group = self._build_group()
@@ -136,14 +136,14 @@
             self._peer_addresses,
         )
         self._http_server = http_server
-        self._metrics_page = figures.Page()
+        self._metrics_page = site_metrics.MetricsServer()
         self._ranks = rank_client
         directory = site_directory.SiteDirectory(self._machine, reader)
         self._directory = directory
         self._targets = target_file.TargetFile(
             disk.FolderDisk(self._folder.group_path(TARGETS_FOLDER))
         )
-        self._follower = following.Follower(
+        self._follower = feed_client.FeedClient(
             self._site, self._links, directory, self._address
         )
         self._owner_loop = owner_loop.OwnerLoop(
@@ -194,7 +194,7 @@
         ]
         if announce is not None:
             announce({'link': address, 'http': http})
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.STARTED,
             'control: listens on %s, operators at %s',
@@ -202,7 +202,7 @@
             http,
             address=address,
         )
-        stopping = loop.create_task(process.stop_asked())
+        stopping = loop.create_task(process.wait_for_stop_signal())
         failing = loop.create_task(self._wait_for_fault(working))
         await asyncio.wait(
             (stopping, failing), return_when=asyncio.FIRST_COMPLETED
@@ -234,8 +234,8 @@
         if not self._site.first_start:
             return {}
         return {
-            places.host_of(address): address
-            for address in places.link_addresses(self._site)
+            host_addresses.host_of(address): address
+            for address in host_addresses.link_addresses(self._site)
         }
 
     def _member_addresses(self) -> list[str]:
@@ -248,7 +248,7 @@
         return self._directory.known_targets()
 
     def _peer_addresses(self) -> list[str]:
-        directory = dict.fromkeys(places.link_addresses(self._site))
+        directory = dict.fromkeys(host_addresses.link_addresses(self._site))
         directory.update(dict.fromkeys(self._member_addresses()))
         return [address for address in directory if address]
 
@@ -266,19 +266,19 @@
             self._update_metrics()
             if self._group.failure is not None:
                 return self._group.failure
-            fault = process.first_fault(working)
+            fault = process.first_failure(working)
             if fault is not None:
                 return fault
 
     def _update_metrics(self) -> None:
-        figures.TERM.set(self._group.term)
-        figures.LEADS.set(self._group.has_lease())
-        figures.VERSION.set(self._machine.held.version)
+        site_metrics.TERM.set(self._group.term)
+        site_metrics.LEADS.set(self._group.has_lease())
+        site_metrics.VERSION.set(self._machine.held.version)
         voters = [row for row in self._group.members() if row.voter]
-        figures.VOTERS.set(len(voters))
+        site_metrics.VOTERS.set(len(voters))
 
     async def _stop(self) -> None:
-        log_events.tell(_log, log_events.Event.STOPPING, 'control: leaves')
+        log_events.emit(_log, log_events.Event.STOPPING, 'control: leaves')
         with contextlib.suppress(TimeoutError, failures.ConsensusStopped):
             async with asyncio.timeout(self._drain_seconds):
                 self._listener.stop_accepting()
--- a/tamarackthread/control/site/maps/group_state.py
+++ b/tamarackthread/control/site/maps/group_state.py
@@ -58,7 +58,7 @@
     ``calls`` is the mean number of running and waiting calls per rank.
     """
 
-    shape: configuration.Experts
+    shape: configuration.ExpertLayout
     service: str = ''
     gap: float = 0
     min_step: float = 0
--- a/tamarackthread/control/site/maps/map_change.py
+++ b/tamarackthread/control/site/maps/map_change.py
@@ -12,7 +12,7 @@
     switching,
 )
 from tamarackthread.shared import log_events
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 # Lead time from the hold order to the held step, scaled by the time that
 # preparing took.  If the step is reached before all ranks are armed, calls wait.
@@ -93,8 +93,8 @@
         prepared: float,
         armed: float,
     ) -> None:
-        figures.MAP_SWITCHES.inc()
-        log_events.tell(
+        site_metrics.MAP_SWITCHES.inc()
+        log_events.emit(
             _log,
             log_events.Event.MAP,
             'control: group %s switches to map %d at step %d',
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -13,7 +13,7 @@
 )
 from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared import log_events, offload
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 # Minimum ratio of the busiest rank's load to the mean; below it the copies cost
 # more than the shorter steps save.
@@ -51,13 +51,13 @@
         tokens = state.demand.tokens
         paces = [report.pace for report in group.reports]
         current = group_maps.skew(state.placement, tokens, paces)
-        figures.GROUP_SKEW.labels(group.name).set(current)
+        site_metrics.GROUP_SKEW.labels(group.name).set(current)
         if current < MIN_SKEW:
             return None
         wanted, planned = await self._balance(state, tokens, paces, current)
         copies = group_maps.total_copies(state.placement, wanted)
         max_per_rank = group_maps.max_copies(state.placement, wanted)
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.PLAN,
             'control: group %s is uneven by %.2f, a map of %d copies has %.2f',
--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -18,7 +18,7 @@
     switching,
 )
 from tamarackthread.shared import offload
-from tamarackthread.shared.site import configuration, figures
+from tamarackthread.shared.site import configuration, site_metrics
 from tamarackthread.shared.site import groups as site_groups
 
 # Intervals at which groups are discovered and, under load, their counts are read.
@@ -312,4 +312,4 @@
     if group.armed is not None or group.has_mixed_versions:
         return
     state.update(group, asyncio.get_running_loop().time())
-    figures.STEP_SECONDS.labels(group.name).set(state.step_seconds)
+    site_metrics.STEP_SECONDS.labels(group.name).set(state.step_seconds)
--- a/tamarackthread/control/site/maps/recovery.py
+++ b/tamarackthread/control/site/maps/recovery.py
@@ -48,7 +48,7 @@
     step: int,
 ) -> bool:
     """Complete or roll back a held switch; return whether it was released."""
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.HELD,
         'control: group %s is held at %d',
--- a/tamarackthread/control/site/rejection_log.py
+++ b/tamarackthread/control/site/rejection_log.py
@@ -5,7 +5,7 @@
 import collections
 import logging
 
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 # Writers remembered, so that each is logged once; beyond, the oldest is evicted and
 # may be logged again.
@@ -27,7 +27,7 @@
 
     def record(self, writer: str, reason: str) -> None:
         """Count a rejected announcement and log its writer once."""
-        figures.ANNOUNCEMENTS_REFUSED.inc()
+        site_metrics.ANNOUNCEMENTS_REFUSED.inc()
         if writer in self._writers:
             return
         self._writers[writer] = None
--- a/tamarackthread/control/site/site_directory.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -14,7 +14,7 @@
     announcements,
     configuration,
     document,
-    following,
+    feed_client,
     zones,
 )
 
@@ -22,7 +22,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class SiteDirectory(following.Pupil):
+class SiteDirectory(feed_client.Subscriber):
     """Merge the announcements to this host with those of the other hosts.
 
     A target announces itself to one host at a time, so only together do the
@@ -147,7 +147,7 @@
                 return ()
             self._services = tuple(
                 attrs.evolve(
-                    service, gap=self._configuration.gap_of(service.name)
+                    service, gap=self._configuration.min_gap(service.name)
                 )
                 for service in self._configuration.services
             )
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -58,7 +58,7 @@
         self._point = outcomes.CallStage.CONNECTING
         self._call: stream.Stream | None = None
         self._preempted = False
-        self._cutter = events.EventCutter()
+        self._cutter = events.EventSplitter()
 
     @property
     def handed_over(self) -> bool:
@@ -137,7 +137,7 @@
 
     async def _forward(self, received: bytes) -> None:
         before = self._cutter.count
-        complete_events = self._cutter.cut(received)
+        complete_events = self._cutter.feed(received)
         if not complete_events:
             return
         await self._sink.write(complete_events)
--- a/tamarackthread/entry/claim_client.py
+++ b/tamarackthread/entry/claim_client.py
@@ -22,7 +22,7 @@
     digest: bytes
     deadline: float  # loop time
     home_region: str = ''
-    keep_ms: int = claim_times.DEFAULT_KEEP_MS
+    keep_ms: int = claim_times.DEFAULT_TTL_MS
     identity: bytes = attrs.field(
         factory=lambda: secrets.token_bytes(IDENTITY_BYTES),
     )
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -176,14 +176,14 @@
         self._targets = all_targets
         self._entries = entries
         self._queues: dict[str, AdmissionQueue] = {}
-        self._settings: dict[str, tuple[configuration.Passes, float]] = {}
+        self._settings: dict[str, tuple[configuration.StepTiming, float]] = {}
 
     def learn(self, config: configuration.Configuration) -> None:
         """Create and update queues from a configuration."""
         for service in config.services:
             if service.passes is None:
                 continue
-            settings = (service.passes, config.gap_of(service.name))
+            settings = (service.passes, config.min_gap(service.name))
             if not settings[1] or self._settings.get(service.name) == settings:
                 continue
             self._settings[service.name] = settings
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -9,7 +9,7 @@
 from tamarackthread.entry.direct import calls, sink, stream_timing
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, log_events
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 SUMMARY_SECONDS = 10.0
 # One of this many ordinary answers gets a log line.
@@ -37,15 +37,15 @@
         """Record a complete answer; log it if it is late or sampled."""
         now = asyncio.get_running_loop().time()
         took = now - call.arrived_at
-        figures.CALLS.labels(call.service, 'answered').inc()
-        figures.CALL_SECONDS.labels(call.service).observe(took)
+        site_metrics.CALLS.labels(call.service, 'answered').inc()
+        site_metrics.CALL_SECONDS.labels(call.service).observe(took)
         self._counts['answered'] += 1
         self._answered += 1
         is_late = _is_late(call, took, timing)
         if not is_late and self._answered % SAMPLE_INTERVAL:
             self._counts['left_out'] += 1
             return
-        log_events.tell(
+        log_events.emit(
             _log,
             _Event.CALL_ANSWERED,
             'entry: call answered after %.3f s',
@@ -74,7 +74,7 @@
         """Log a call without a complete answer, with its error."""
         event = _event_for(failure, has_started)
         service = '' if call is None else call.service
-        figures.CALLS.labels(service, event.value).inc()
+        site_metrics.CALLS.labels(service, event.value).inc()
         self._counts[event.value] += 1
         fields: dict[str, object] = {
             'code': failure.code,
@@ -87,7 +87,7 @@
             fields['route'] = call.route.name
             fields['service'] = call.service
             fields['organisation'] = call.organisation
-        log_events.tell(
+        log_events.emit(
             _log,
             event,
             'entry: call failed, %s %s',
@@ -99,8 +99,8 @@
     def log_disconnected(self, out: sink.HttpSink) -> None:
         """Log that the caller has closed its connection."""
         self._counts[_Event.CALLER_LEFT.value] += 1
-        figures.CALLS.labels('', _Event.CALLER_LEFT.value).inc()
-        log_events.tell(
+        site_metrics.CALLS.labels('', _Event.CALLER_LEFT.value).inc()
+        log_events.emit(
             _log,
             _Event.CALLER_LEFT,
             'entry: caller disconnected before its answer was complete',
@@ -113,7 +113,7 @@
             await asyncio.sleep(SUMMARY_SECONDS)
             if not self._counts:
                 continue
-            log_events.tell(
+            log_events.emit(
                 _log,
                 _Event.CALLS_SUMMED,
                 'entry: %d calls answered in %d s',
--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -9,7 +9,7 @@
 
 from tamarackthread.entry.direct import calls, instances
 from tamarackthread.shared import errors, log_events
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 _log = logging.getLogger('tamarackthread.entry')
 
@@ -54,8 +54,8 @@
 ) -> None:
     """Log and count a try that gave no complete answer."""
     now = asyncio.get_running_loop().time()
-    figures.TRIES_FAILED.labels(call.service, failure.code).inc()
-    log_events.tell(
+    site_metrics.TRIES_FAILED.labels(call.service, failure.code).inc()
+    log_events.emit(
         _log,
         log_events.Event.TRY_FAILED,
         'entry: try at %s failed, %s %s',
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -20,7 +20,7 @@
     targets,
 )
 from tamarackthread.shared import errors
-from tamarackthread.shared.site import configuration, figures
+from tamarackthread.shared.site import configuration, site_metrics
 
 # A failed connection costs a target nothing, but the caller waits for it.
 MAX_CONNECT_FAILURES = 4
@@ -218,7 +218,7 @@
         """Relay events as they come, each at most once and in order."""
         splitter = sse.EventSplitter()
         now = asyncio.get_running_loop().time()
-        figures.FIRST_SECONDS.labels(call.service).observe(
+        site_metrics.FIRST_SECONDS.labels(call.service).observe(
             now - call.arrived_at
         )
         if not out.has_started:
--- a/tamarackthread/entry/direct/feed_handler.py
+++ b/tamarackthread/entry/direct/feed_handler.py
@@ -15,8 +15,8 @@
     announcements,
     configuration,
     document,
-    figures,
-    following,
+    site_metrics,
+    feed_client,
     groups,
     zones,
 )
@@ -24,7 +24,7 @@
 _log = logging.getLogger('tamarackthread.entry')
 
 
-class FeedHandler(following.Pupil):
+class FeedHandler(feed_client.Subscriber):
     """Apply the newest configuration, targets, zones and groups."""
 
     def __init__(
@@ -87,8 +87,8 @@
         self._cold_limits.set_rates(
             {one.name: one.cold_rate for one in parsed.services}
         )
-        figures.VERSION.set(stored.version)
-        log_events.tell(
+        site_metrics.VERSION.set(stored.version)
+        log_events.emit(
             _log,
             log_events.Event.CONFIGURATION,
             'entry: configuration version %d is in force',
--- a/tamarackthread/entry/direct/frontend.py
+++ b/tamarackthread/entry/direct/frontend.py
@@ -21,7 +21,7 @@
     target_client,
 )
 from tamarackthread.shared import errors, logs
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 # Longer than callers keep idle connections, so that they close them first.
 KEEPALIVE_SECONDS = 75.0
@@ -161,13 +161,13 @@
 
     def _call_started(self, request: web.BaseRequest) -> None:
         self._open_calls += 1
-        figures.OPEN_CALLS.set(self._open_calls)
+        site_metrics.OPEN_CALLS.set(self._open_calls)
         self._busy_connections.add(request.protocol)
         self._idle.clear()
 
     def _call_ended(self, request: web.BaseRequest) -> None:
         self._open_calls -= 1
-        figures.OPEN_CALLS.set(self._open_calls)
+        site_metrics.OPEN_CALLS.set(self._open_calls)
         self._busy_connections.discard(request.protocol)
         if not self._open_calls:
             self._idle.set()
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -16,7 +16,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import poison_calls
 from tamarackthread.shared import errors, log_events
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 FINGERPRINT_BYTES = 16
 # A retry within the time to live of the suspect would be refused again.
@@ -37,7 +37,7 @@
         """Raise ``CallCrashes`` for a call that has crashed several targets."""
         if self._verdict(call) is not poison_calls.Verdict.REFUSED:
             return
-        figures.CALLS_SUSPECTED.labels('refused').inc()
+        site_metrics.CALLS_SUSPECTED.labels('refused').inc()
         self._log_suspect(call, 'refused')
         raise failures.CallCrashes(
             call.request.path, retry_after=RETRY_AFTER_SECONDS
@@ -60,7 +60,7 @@
         now = asyncio.get_running_loop().time()
         instance = f'{target.name}/{target.announcement.born}'
         self._suspects.record_crash(fingerprint(call), instance, now)
-        figures.CALLS_SUSPECTED.labels('lost').inc()
+        site_metrics.CALLS_SUSPECTED.labels('lost').inc()
         self._log_suspect(call, 'lost')
 
     def note_answer(self, call: calls.Call) -> None:
@@ -102,7 +102,7 @@
         mark = fingerprint(call)
         now = asyncio.get_running_loop().time()
         losses = self._suspects.crash_count(mark, now)
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.SUSPECT,
             'entry: call %s of organisation %s was %s, %d targets crashed by it',
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -23,7 +23,12 @@
 from tamarackthread.generated import settings as generated
 from tamarackthread.policy import cold_start, known_entries
 from tamarackthread.shared import log_events, peers, process
-from tamarackthread.shared.site import configuration, figures, following, places
+from tamarackthread.shared.site import (
+    configuration,
+    site_metrics,
+    feed_client,
+    host_addresses,
+)
 
 _log = logging.getLogger('tamarackthread.entry')
 
@@ -43,11 +48,11 @@
         self._own = settings.entry
         generator = random.Random()
         loop = asyncio.get_running_loop()
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._links = peers.Peers(
             self._place.options,
-            most_backoff=places.MOST_BACKOFF_SECONDS,
-            dial_seconds=places.DIAL_SECONDS,
+            most_backoff=host_addresses.MAX_BACKOFF_SECONDS,
+            dial_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
         )
         entries = known_entries.KnownEntries(
             self._place.options.identity.address,
@@ -64,12 +69,12 @@
             entries,
         )
         self._call_log = call_log.CallLog()
-        self._metrics_page = figures.Page()
+        self._metrics_page = site_metrics.MetricsServer()
         tables = routing_table.CurrentTable()
         admission = admission_control.AdmissionControl(
             self._targets, lambda: len(self._follower.entries)
         )
-        self._follower = following.Follower(
+        self._follower = feed_client.FeedClient(
             self._site,
             self._links,
             feed_handler.FeedHandler(
@@ -123,18 +128,18 @@
         await self._metrics_page.start(self._site.metrics_address)
         if announce is not None:
             announce({'http': http, 'ready': ready})
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.STARTED,
             'entry: serving callers on %s',
             http,
             address=http,
         )
-        stopping = loop.create_task(process.stop_asked())
+        stopping = loop.create_task(process.wait_for_stop_signal())
         await asyncio.wait(
             (stopping, *working), return_when=asyncio.FIRST_COMPLETED
         )
-        fault = process.first_fault(working)
+        fault = process.first_failure(working)
         await self._drain()
         for work in (*working, stopping):
             work.cancel()
@@ -144,7 +149,7 @@
 
     async def _drain(self) -> None:
         """Stop accepting calls and wait until those in progress have ended."""
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.STOPPING,
             'entry: draining, %d calls open',
--- a/tamarackthread/entry/direct/target_log.py
+++ b/tamarackthread/entry/direct/target_log.py
@@ -8,7 +8,12 @@
 
 from tamarackthread.entry.direct import instances
 from tamarackthread.shared import log_events
-from tamarackthread.shared.site import announcements, figures, groups, zones
+from tamarackthread.shared.site import (
+    announcements,
+    site_metrics,
+    groups,
+    zones,
+)
 
 State = announcements.State
 _log = logging.getLogger('tamarackthread.entry')
@@ -23,7 +28,7 @@
     for announcement in new:
         by_service[announcement.service].append(announcement.target)
     for service, names in by_service.items():
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.TARGET,
             'entry: %d targets of %s are new and ready',
@@ -37,7 +42,7 @@
 
 def log_ejected(service: str, names: list[str]) -> None:
     """Log which targets are ejected as outliers."""
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.TARGET,
         'entry: ejected %d targets of %s that fail more than others',
@@ -52,7 +57,7 @@
 def log_backpressure(target: instances.TargetInstance, now: float) -> None:
     """Log the kinds of backpressure of a target, when they change."""
     active = target.active_backpressure(now)
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.TARGET,
         'entry: backpressure of target %s of %s: %s',
@@ -70,8 +75,8 @@
 def log_zones(known: zones.Zones) -> None:
     """Log the evacuated zones, and set their metric."""
     evacuated = [row.name for row in known.rows if row.is_evacuated]
-    figures.ZONES_EVACUATED.set(len(evacuated))
-    log_events.tell(
+    site_metrics.ZONES_EVACUATED.set(len(evacuated))
+    log_events.emit(
         _log,
         log_events.Event.ZONE,
         'entry: evacuated zones are now: %s',
@@ -84,7 +89,7 @@
 def log_groups(known: groups.Groups) -> None:
     """Log the number of groups, and which of them make no passes."""
     closed = [row.name for row in known.rows if not row.is_open]
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.GROUPS,
         'entry: %d groups are known, %d closed',
@@ -98,7 +103,7 @@
 
 def log_state(announcement: announcements.Announcement) -> None:
     """Log the state of a target."""
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.TARGET,
         'entry: target %s of %s at %s is %s',
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -19,7 +19,12 @@
     target_log,
 )
 from tamarackthread.policy import cold_start, concurrency, known_entries
-from tamarackthread.shared.site import announcements, figures, groups, zones
+from tamarackthread.shared.site import (
+    announcements,
+    site_metrics,
+    groups,
+    zones,
+)
 
 State = announcements.State
 
@@ -308,15 +313,15 @@
                 )
 
     def _count(self) -> None:
-        figures.TARGETS.clear()
-        figures.TARGETS_ASKING.clear()
+        site_metrics.TARGETS.clear()
+        site_metrics.TARGETS_ASKING.clear()
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
             for target in self.of_service(service):
                 state = target.announcement.state.name.lower()
-                figures.TARGETS.labels(service, state).inc()
+                site_metrics.TARGETS.labels(service, state).inc()
                 for kind in target.active_backpressure(now):
-                    figures.TARGETS_ASKING.labels(service, kind).inc()
+                    site_metrics.TARGETS_ASKING.labels(service, kind).inc()
 
     def _add(
         self, announcement: announcements.Announcement, now: float
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -68,7 +68,7 @@
         """Build the components; ``run`` starts them."""
         self._settings = settings
         self._limits = settings.entry
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         rng = random.Random()
         self._directory = directory.Directory()
         self._fleet = fleet.Fleet(
@@ -154,7 +154,7 @@
         if announce is not None:
             announce({'link': address, 'http': http})
         _log.info('entry: serves callers on %s', http)
-        await process.stop_asked()
+        await process.wait_for_stop_signal()
         await self._stop()
         for task in tasks:
             task.cancel()
@@ -194,7 +194,7 @@
         self._frontend.fail_readiness()
         await asyncio.sleep(self._limits.health_grace_seconds)
         self._frontend.refuse_calls()
-        await process.drained(
+        await process.wait_until_idle(
             self._frontend.wait_idle(),
             self._limits.drain_seconds,
             _log,
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -63,7 +63,7 @@
             key=claimant.name,
             claim=claimant.identity,
             holder=self._holder,
-            keep_ms=max(claimant.keep_ms, claim_times.MIN_KEEP_MS),
+            keep_ms=max(claimant.keep_ms, claim_times.MIN_TTL_MS),
             deadline_ms=_milliseconds(claimant.deadline - now),
             digest=claimant.digest,
             handover=handover,
--- a/tamarackthread/platform/__main__.py
+++ b/tamarackthread/platform/__main__.py
@@ -5,7 +5,7 @@
 import importlib
 import sys
 
-from tamarackthread.shared import resting
+from tamarackthread.shared import idle
 
 BAD_SETTINGS = 2
 _ROLES = ('entry', 'control')
@@ -20,7 +20,7 @@
         sys.stderr.write(f'expected a role, one of {", ".join(_ROLES)}\n')
         return BAD_SETTINGS
     if role == 'control' and not folder:
-        resting.until_stopped('control: rests, this host has no disk')
+        idle.wait_for_stop('control: rests, this host has no disk')
         return 0
     # Imported late to keep the memory of an idle process small.
     startup = importlib.import_module('tamarackthread.platform.startup')
--- a/tamarackthread/platform/configuration.py
+++ b/tamarackthread/platform/configuration.py
@@ -95,13 +95,13 @@
     )
 
 
-def _shares(row: _Row) -> tuple[site.Share, ...]:
+def _shares(row: _Row) -> tuple[site.TrafficShare, ...]:
     """Parse the traffic split: one service, or several with weights."""
     parts = row.get('traffic-split')
     if not parts:
-        return (site.Share(_string(row['service']), 1),)
+        return (site.TrafficShare(_string(row['service']), 1),)
     return tuple(
-        site.Share(_string(part['service']), float(part['weight']))
+        site.TrafficShare(_string(part['service']), float(part['weight']))
         for part in parts
     )
 
@@ -116,18 +116,20 @@
     )
 
 
-def _passes(engine: _Row) -> site.Passes | None:
+def _passes(engine: _Row) -> site.StepTiming | None:
     """Parse the duration of a pass, ``stride`` times that of a step."""
     if not engine.get('step_ms'):
         return None
     steps = int(engine.get('stride') or 1)
-    return site.Passes(empty=steps * float(engine['step_ms']) / MILLISECONDS)
+    return site.StepTiming(
+        empty=steps * float(engine['step_ms']) / MILLISECONDS
+    )
 
 
-def _experts(engine: _Row) -> site.Experts | None:
+def _experts(engine: _Row) -> site.ExpertLayout | None:
     if not engine.get('experts') or not engine.get('sets'):
         return None
-    return site.Experts(
+    return site.ExpertLayout(
         sets=int(engine['sets']),
         experts=int(engine['experts']),
         places=int(engine['placements']),
--- a/tamarackthread/shared/claim_times.py
+++ b/tamarackthread/shared/claim_times.py
@@ -10,20 +10,20 @@
 MILLISECONDS = 1000
 
 # Longest time between the claim and the start at the target.
-WINDOW_MS = 30_000
+START_WINDOW_MS = 30_000
 # How long an agent remembers a claim after its window or its end.
-REMEMBER_MS = 600_000
+AGENT_TTL_MS = 600_000
 # The same for a call without a key, which only its own entry asks about.
-REMEMBER_UNKEYED_MS = 60_000
+UNKEYED_AGENT_TTL_MS = 60_000
 UNKEYED_FENCE = 0
 # How long a claim is kept after its last change, at least and at most.
-MIN_KEEP_MS = 2 * REMEMBER_MS
-DEFAULT_KEEP_MS = 3 * MIN_KEEP_MS
-MAX_KEEP_MS = 14 * 24 * 3600 * MILLISECONDS
+MIN_TTL_MS = 2 * AGENT_TTL_MS
+DEFAULT_TTL_MS = 3 * MIN_TTL_MS
+MAX_TTL_MS = 14 * 24 * 3600 * MILLISECONDS
 
 
-def remember_ms(fence: int) -> int:
+def agent_ttl_ms(fence: int) -> int:
     """Give how long an agent remembers a claim with this fence."""
     if fence == UNKEYED_FENCE:
-        return REMEMBER_UNKEYED_MS
-    return REMEMBER_MS
+        return UNKEYED_AGENT_TTL_MS
+    return AGENT_TTL_MS
--- a/tamarackthread/shared/events.py
+++ b/tamarackthread/shared/events.py
@@ -22,7 +22,7 @@
     ran = messages.Ran.MAY_HAVE_RUN
 
 
-class EventCutter:
+class EventSplitter:
     """Collect bytes and give back whole server-sent events."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         """Give the bytes of an event that is not whole yet."""
         return self._rest + self._tail
 
-    def cut(self, received: bytes) -> bytes:
+    def feed(self, received: bytes) -> bytes:
         """Add bytes and return the whole events among all that is held.
 
         Raises ``EventTooLarge`` when an event never ends.  What comes is the
--- a/tamarackthread/shared/resting.py
+++ b/tamarackthread/shared/idle.py
@@ -10,7 +10,7 @@
 import sys
 
 
-def until_stopped(why: str) -> None:
+def wait_for_stop(why: str) -> None:
     """Block until SIGTERM or SIGINT; ``why`` is logged in one line."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     stopping = {signal.SIGTERM, signal.SIGINT}
--- a/tamarackthread/shared/log_events.py
+++ b/tamarackthread/shared/log_events.py
@@ -38,7 +38,7 @@
     STOPPING = 'stopping'
 
 
-def tell(  # noqa: WPS211  a line has its parts
+def emit(  # noqa: WPS211  a line has its parts
     log: logging.Logger,
     event: Event,
     text: str,
--- a/tamarackthread/shared/logs.py
+++ b/tamarackthread/shared/logs.py
@@ -46,7 +46,7 @@
         _request_id.reset(token)
 
 
-def for_part(part: str) -> logging.Logger:
+def get_logger(part: str) -> logging.Logger:
     """Return the logger of a part, such as ``entry`` or ``consensus``."""
     return logging.getLogger(f'{ROOT}.{part}')
 
--- a/tamarackthread/shared/process.py
+++ b/tamarackthread/shared/process.py
@@ -29,14 +29,14 @@
 
 
 @attrs.frozen
-class Place:
+class LinkBinding:
     """The bound socket of a process and the options of its links."""
 
     bound: socket.socket
     options: identity.LinkOptions
 
 
-def take_place(settings: generated.Settings) -> Place:
+def bind_links(settings: generated.Settings) -> LinkBinding:
     """Bind the address for links and build the identity that names it."""
     listen = settings.listen
     bound = listener.bind(listen.host, listen.port)
@@ -52,7 +52,7 @@
         address=address,
         incarnation=new_incarnation(),
     )
-    return Place(bound, link_options(settings, own))
+    return LinkBinding(bound, link_options(settings, own))
 
 
 def link_options(
@@ -84,7 +84,7 @@
     return int(now.timestamp() * 1_000_000)
 
 
-async def stop_asked() -> None:
+async def wait_for_stop_signal() -> None:
     """Wait for SIGTERM or SIGINT."""
     asked = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -93,7 +93,7 @@
     await asked.wait()
 
 
-def first_fault(
+def first_failure(
     working: collections.abc.Iterable[asyncio.Task[None]],
 ) -> BaseException | None:
     """Return why one of a process's endless tasks has ended, if any has.
@@ -108,7 +108,7 @@
     return None
 
 
-async def drained(
+async def wait_until_idle(
     idle: collections.abc.Awaitable[None],
     seconds: float,
     log: logging.Logger,
--- a/tamarackthread/shared/site/configuration.py
+++ b/tamarackthread/shared/site/configuration.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Share:
+class TrafficShare:
     """One service's part of a route's calls."""
 
     service: str
@@ -37,7 +37,7 @@
     host: str
     prefix: str
     kind: Kind
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     timeout: float
     aim: float
     attempts: int = 1
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Experts:
+class ExpertLayout:
     """Say what an expert map of a service's groups may look like.
 
     ``places`` is how many experts a rank holds in each of ``sets`` sets of
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Passes:
+class StepTiming:
     """Say how long the targets of a service take to make a piece of a stream.
 
     ``empty`` is how long a pass takes without any call's work, in seconds.
@@ -98,8 +98,8 @@
     """
 
     name: str
-    experts: Experts | None = None
-    passes: Passes | None = None
+    experts: ExpertLayout | None = None
+    passes: StepTiming | None = None
     gap: float = 0
     cold_rate: float = 0
 
@@ -130,7 +130,7 @@
     organisations: tuple[Organisation, ...] = ()
     limits: Limits = Limits()
 
-    def gap_of(self, service: str) -> float:
+    def min_gap(self, service: str) -> float:
         """Return the shortest pause that a stream at a service may have.
 
         The ranks of a group advance together, so the most impatient callers
--- a/tamarackthread/shared/site/following.py
+++ b/tamarackthread/shared/site/feed_client.py
@@ -15,9 +15,9 @@
 from tamarackthread.shared.site import (
     announcements,
     document,
-    fetching,
+    source_selection,
     groups,
-    places,
+    host_addresses,
     zones,
 )
 
@@ -44,7 +44,7 @@
     groups_serial: int = 0
 
 
-class Pupil(abc.ABC):
+class Subscriber(abc.ABC):
     """Who learns what control hosts tell."""
 
     @property
@@ -89,7 +89,7 @@
         """Take a configuration with a higher version than the one held."""
 
 
-class Follower:
+class FeedClient:
     """Ask every control host for what is new.
 
     There is no agreement among control hosts on announcements: each tells
@@ -101,7 +101,7 @@
         self,
         site: generated.Site,
         links: peers.Peers,
-        pupil: Pupil,
+        pupil: Subscriber,
         own_address: str = '',
     ) -> None:
         """Follow nobody until ``run``; ``own_address`` is never followed."""
@@ -109,7 +109,7 @@
         self._links = links
         self._pupil = pupil
         self._own_address = own_address
-        self._fetching = fetching.Fetching(links)
+        self._fetching = source_selection.SourceSelector(links)
         self._sources: dict[str, _Source] = {}
         self._entries: tuple[str, ...] = ()
 
@@ -129,7 +129,7 @@
         """Follow for ever, also hosts that are named later."""
         try:
             while True:
-                self._name(places.link_addresses(self._site))
+                self._name(host_addresses.link_addresses(self._site))
                 self._let_go()
                 await asyncio.sleep(NAME_SECONDS)
         finally:
@@ -181,7 +181,7 @@
         address: str,
         source: _Source,
     ) -> messages.SiteFeedReply:
-        supply = self._fetching.supply(address)
+        supply = self._fetching.state(address)
         fetches = self._fetches(address)
         held = self._pupil.version
         asked = messages.SiteFeedRequest(
@@ -208,24 +208,24 @@
         """
         if not self._pupil.needs_documents:
             return False
-        if not self._pupil.version or self._fetching.supply(address).is_asked:
+        if not self._pupil.version or self._fetching.state(address).is_asked:
             return True
         return self._fetching.is_first(address, list(self.followed))
 
     async def _await_document(self, address: str, version: int) -> None:
         """Wait until another host has brought what one has told of."""
-        supply = self._fetching.supply(address)
+        supply = self._fetching.state(address)
         supply.told = max(supply.told, version)
         supply.is_asked = False
         if not self._pupil.needs_documents:
             return
         loop = asyncio.get_running_loop()
-        patience = self._fetching.patience(address, list(self.followed))
+        patience = self._fetching.fetch_delay(address, list(self.followed))
         until = loop.time() + patience
         while self._pupil.version < version:
             if loop.time() >= until:
                 supply.is_asked = True
-                self._fetching.missed(list(self.followed))
+                self._fetching.record_timeout(list(self.followed))
                 return
             await asyncio.sleep(LOOK_SECONDS)
 
@@ -261,7 +261,7 @@
 
 
 def _tell(address: str, *, is_up: bool, why: str = '') -> None:
-    log_events.tell(
+    log_events.emit(
         _log,
         log_events.Event.DEPENDENCY,
         'site: %s control %s%s',
--- a/tamarackthread/shared/site/places.py
+++ b/tamarackthread/shared/site/host_addresses.py
@@ -6,12 +6,12 @@
 
 # A host that is back is dialled within so many seconds: a target may say its
 # farewell to it at once, and entries must hear of that within two seconds.
-MOST_BACKOFF_SECONDS = 0.3
+MAX_BACKOFF_SECONDS = 0.3
 # A host that has no power yet drops the first packet of a connection, and the
 # kernel sends the next one a second later.  Dialled anew after this, it is
 # reached a quarter of a second after it is back; its answer takes some
 # milliseconds.
-DIAL_SECONDS = 0.25
+DIAL_TIMEOUT_SECONDS = 0.25
 
 
 def host_of(address: str) -> str:
--- a/tamarackthread/shared/site/figures.py
+++ b/tamarackthread/shared/site/site_metrics.py
@@ -112,7 +112,7 @@
 )
 
 
-class Page:
+class MetricsServer:
     """Serve the figures to whoever collects them."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
             await self._runner.cleanup()
 
 
-def text() -> bytes:
+def render() -> bytes:
     """Write all figures as text."""
     return prometheus_client.generate_latest(_registry)
 
@@ -144,4 +144,4 @@
 async def _answer(request: web.BaseRequest) -> web.StreamResponse:
     if request.path != PATH:
         return web.Response(status=404)
-    return web.Response(body=text(), content_type='text/plain')
+    return web.Response(body=render(), content_type='text/plain')
--- a/tamarackthread/shared/site/fetching.py
+++ b/tamarackthread/shared/site/source_selection.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define(eq=False)
-class Supply:
+class SourceState:
     """What one control host has told of versions.
 
     ``told`` is the highest of which it has told, and ``is_asked`` whether it is to
@@ -37,17 +37,17 @@
     missed_at: float | None = None
 
 
-class Fetching:
+class SourceSelector:
     """Put the control hosts in order: near ones first, each follower another."""
 
     def __init__(self, links: peers.Peers) -> None:
         """Learn from ``links`` in which zone a host is."""
         self._links = links
-        self._supplies: dict[str, Supply] = {}
+        self._supplies: dict[str, SourceState] = {}
 
-    def supply(self, address: str) -> Supply:
+    def state(self, address: str) -> SourceState:
         """Return what a host has told."""
-        return self._supplies.setdefault(address, Supply())
+        return self._supplies.setdefault(address, SourceState())
 
     def forget(self, address: str) -> None:
         """Forget a host."""
@@ -61,20 +61,20 @@
         """Tell whether a host is the one that brings configurations."""
         return address in self.order([*addresses, address])[:1]
 
-    def patience(self, address: str, addresses: list[str]) -> float:
+    def fetch_delay(self, address: str, addresses: list[str]) -> float:
         """Return how long others may take before a host is asked, in seconds."""
         place = self.order([*addresses, address]).index(address)
         return FETCH_SECONDS + place * NEXT_SECONDS
 
-    def missed(self, addresses: list[str]) -> None:
+    def record_timeout(self, addresses: list[str]) -> None:
         """Note that the first of some hosts has not brought one in time."""
         now = asyncio.get_running_loop().time()
         for first in self.order(addresses)[:1]:
-            self.supply(first).missed_at = now
+            self.state(first).missed_at = now
 
     def _rank(self, address: str) -> tuple[bool, bool, bytes]:
         now = asyncio.get_running_loop().time()
-        missed_at = self.supply(address).missed_at
+        missed_at = self.state(address).missed_at
         has_missed = missed_at is not None and now - missed_at < MISSED_SECONDS
         own = self._links.own
         held = self._links.current(address)
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -201,7 +201,7 @@
             host=HOST,
             prefix='/a/',
             kind=kind,
-            shares=(configuration.Share('s', 1),),
+            shares=(configuration.TrafficShare('s', 1),),
             **{'timeout': 5, 'aim': 0.4, 'attempts': 2, **fields},
         )
         owner = configuration.Organisation(
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -44,7 +44,7 @@
         host='h',
         prefix='/',
         kind=configuration.Kind.STREAM,
-        shares=(configuration.Share(SERVICE, 1),),
+        shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=timeout,
         aim=aim,
         priority=priority,
@@ -323,7 +323,7 @@
 def _configuration(gap):
     route = attrs.evolve(_route(), gap=gap)
     service = configuration.Service(
-        name=SERVICE, passes=configuration.Passes(empty=EMPTY)
+        name=SERVICE, passes=configuration.StepTiming(empty=EMPTY)
     )
     return configuration.Configuration(
         version=int(gap * 100), routes=(route,), services=(service,)
@@ -336,7 +336,7 @@
         host='h',
         prefix='/',
         kind=configuration.Kind.STREAM,
-        shares=(configuration.Share(SERVICE, 1),),
+        shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=8.0,
         aim=0.5,
     )
--- a/tests/test_claim_gate.py
+++ b/tests/test_claim_gate.py
@@ -98,7 +98,7 @@
         late = call()
         await asyncio.sleep(WINDOW / 1000 + 0.01)
         self.refused(gate, late, claim_errors.HandoverExpired)
-        far = handover(until=now() + claim_times.WINDOW_MS + 1)
+        far = handover(until=now() + claim_times.START_WINDOW_MS + 1)
         self.refused(gate, call(window=far), claim_errors.HandoverExpired)
         self.assertEqual(len(gate), 0)
 
@@ -130,7 +130,7 @@
         ran = call()
         gate.admit(ran)
         gate.finish(ran, claims.Answer(200, (), b'x'))
-        await asyncio.sleep(claim_times.REMEMBER_MS / 1000 - 1)
+        await asyncio.sleep(claim_times.AGENT_TTL_MS / 1000 - 1)
         self.assertTrue(gate.probe(probe(window=ran.handover)).reached)
         await asyncio.sleep(WINDOW / 1000 + 2)
         proof = gate.probe(probe(window=ran.handover))
@@ -144,7 +144,7 @@
         ran = call()
         gate.admit(ran)
         for _ in range(5):
-            await asyncio.sleep(claim_times.REMEMBER_MS / 1000)
+            await asyncio.sleep(claim_times.AGENT_TTL_MS / 1000)
             gate.probe(probe(key=b'other'))
         self.refused(gate, call(fence=2))
 
@@ -155,7 +155,7 @@
         gate.admit(ran)
         gate.finish(ran, None)
         asked = probe(fence=claim_times.UNKEYED_FENCE, window=ran.handover)
-        await asyncio.sleep(claim_times.REMEMBER_UNKEYED_MS / 1000 - 1)
+        await asyncio.sleep(claim_times.UNKEYED_AGENT_TTL_MS / 1000 - 1)
         self.assertTrue(gate.probe(asked).reached)
         await asyncio.sleep(WINDOW / 1000 + 2)
         self.assertFalse(gate.probe(asked).known)
--- a/tests/test_claim_group.py
+++ b/tests/test_claim_group.py
@@ -76,7 +76,7 @@
         key=key,
         claim=claim,
         digest=digest,
-        keep_ms=claim_times.MIN_KEEP_MS,
+        keep_ms=claim_times.MIN_TTL_MS,
     )
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, claim_keys, claim_times, wire
 
-KEEP = claim_times.MIN_KEEP_MS
+KEEP = claim_times.MIN_TTL_MS
 State = messages.ClaimState
 KEY = b'k' * 16
 
--- a/tests/test_dialling.py
+++ b/tests/test_dialling.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from tamarackthread.shared import connecting, errors, identity
-from tamarackthread.shared.site import places
+from tamarackthread.shared.site import host_addresses
 from tests import policy_case
 
 
@@ -29,7 +29,10 @@
         with mock.patch.object(asyncio, 'open_connection', _never):
             with self.assertRaises(errors.AddressUnreachable):
                 await connecting.connect(
-                    '10.0.0.1:1', options, mock.Mock(), places.DIAL_SECONDS
+                    '10.0.0.1:1',
+                    options,
+                    mock.Mock(),
+                    host_addresses.DIAL_TIMEOUT_SECONDS,
                 )
         self.assertLess(loop.time() - began, 0.3)
 
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -314,7 +314,7 @@
                 routes=self.tables.current.config.routes,
                 services=(
                     configuration.Service(
-                        name='s', passes=configuration.Passes(empty=0.03)
+                        name='s', passes=configuration.StepTiming(empty=0.03)
                     ),
                 ),
             )
@@ -366,7 +366,7 @@
             organisations=organisations,
             services=(
                 configuration.Service(
-                    name='s', passes=configuration.Passes(empty=0.03)
+                    name='s', passes=configuration.StepTiming(empty=0.03)
                 ),
             ),
         )
--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -7,7 +7,7 @@
 from tamarackthread.generated import settings
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, identity
-from tamarackthread.shared.site import document, following
+from tamarackthread.shared.site import document, feed_client
 from tests import policy_case
 
 ZONES = ('east', 'west', 'north')
@@ -71,7 +71,7 @@
         self.machines[host].apply(version, held.encode())
 
 
-class Pupil(following.Pupil):
+class Pupil(feed_client.Subscriber):
     """Keep the newest version."""
 
     def __init__(self):
@@ -150,7 +150,7 @@
         net = Net()
         pupil = Pupil()
         site = settings.Site(seeds=HOSTS, link_port=7)
-        follower = following.Follower(site, net, pupil)
+        follower = feed_client.FeedClient(site, net, pupil)
         self.following = asyncio.create_task(follower.run())
         net.accept(1)
         await asyncio.sleep(3)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -33,7 +33,7 @@
 SWITCH_SECONDS = 0.3
 # Interval between shifts of demand.
 SHIFT_SECONDS = 2.3
-SHARED = configuration.Experts(
+SHARED = configuration.ExpertLayout(
     sets=SETS,
     experts=EXPERTS,
     places=PLACES,
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -65,7 +65,9 @@
     Calls queue for slots, so shorter steps let the group serve more of them.
     """
 
-    SHAPE = configuration.Experts(sets=1, experts=4, places=3, spare=2, slots=6)
+    SHAPE = configuration.ExpertLayout(
+        sets=1, experts=4, places=3, spare=2, slots=6
+    )
 
     def test_full_group_needs_balancing(self):
         """A full group needs balancing however short its steps are."""
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -32,7 +32,7 @@
     def _lines(self, chosen: settings.Logs) -> list[str]:
         stream = io.StringIO()
         writer = logs.start(chosen, stream)
-        log = logs.for_part('entry')
+        log = logs.get_logger('entry')
         log.debug('left out')
         with logs.request('3f2a'):
             context = contextvars.copy_context()
@@ -61,7 +61,7 @@
         stream = io.StringIO()
         writer = logs.start(settings.Logs(level='error'), stream)
         failure = ValueError('nonsense')
-        logs.for_part('link').error('request failed', exc_info=failure)
+        logs.get_logger('link').error('request failed', exc_info=failure)
         writer.close()
         self.assertIn('ValueError: nonsense', stream.getvalue())
 
--- a/tests/test_lossy_ranks.py
+++ b/tests/test_lossy_ranks.py
@@ -83,7 +83,8 @@
 
 def _group_state():
     return group_state.GroupState(
-        configuration.Experts(sets=2, experts=8, places=2, spare=1), gap=0.15
+        configuration.ExpertLayout(sets=2, experts=8, places=2, spare=1),
+        gap=0.15,
     )
 
 
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -33,7 +33,7 @@
 # Seeds that found faults: a late second arm order, a version issued twice, and holds
 # at two steps.
 REGRESSION_SEEDS = (1659, 9799)
-SHAPE = configuration.Experts(
+SHAPE = configuration.ExpertLayout(
     sets=1, experts=8, places=4, spare=2, copy_seconds=0.1
 )
 
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -72,7 +72,7 @@
         )
         log = logging.getLogger('tamarackthread.entry')
         with logs.request('r7'):
-            log_events.tell(
+            log_events.emit(
                 log, log_events.Event.TRY_FAILED, 'entry: try failed', code='X'
             )
         writer.flush()
