--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -187,7 +187,7 @@
             kind=configuration.Kind.STREAM,
             shares=(configuration.TrafficShare(SERVICE, 1),),
             timeout=TIMEOUT_SECONDS,
-            aim=self._site.first,
+            latency_goal=self._site.first,
         )
         return calls.Call(
             request=calls.CallRequest(
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -206,7 +206,7 @@
                 kind=configuration.Kind.IDEMPOTENT,
                 shares=(configuration.TrafficShare(service, 1),),
                 timeout=5,
-                aim=1,
+                latency_goal=1,
             )
             for service, prefix in (('s', '/answered/'), ('none', '/refused/'))
         ),
--- a/tamarackthread/control/site/machine.py
+++ b/tamarackthread/control/site/machine.py
@@ -111,7 +111,7 @@
 
 def _read_zone(command: bytes) -> zones.Zone:
     body = command.removeprefix(_ZONE_PREFIX)
-    return zones.of_message(wire.decode(messages.SiteZone, body))
+    return zones.from_message(wire.decode(messages.SiteZone, body))
 
 
 def _read_snapshot(
@@ -122,4 +122,4 @@
     read = wire.decode(
         messages.SiteSnapshot, data.removeprefix(_SNAPSHOT_PREFIX)
     )
-    return document.decode(read.document), zones.of_messages(read.zones)
+    return document.decode(read.document), zones.from_messages(read.zones)
--- a/tamarackthread/control/site/site_directory.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -65,9 +65,9 @@
     def learn_target(self, announcement: announcements.Announcement) -> None:
         """Record an announcement unless a later one is known."""
         held = self._announcements.get(announcement.target)
-        if not announcement.follows(held):
+        if not announcement.supersedes(held):
             return
-        merged = announcement.after(held)
+        merged = announcement.inherit_start(held)
         if merged.state == announcements.State.READY:
             others = self._others_at(merged)
             if any(_is_superseded(merged, other) for other in others):
--- a/tamarackthread/control/site/target_registry.py
+++ b/tamarackthread/control/site/target_registry.py
@@ -122,7 +122,7 @@
             return
         if row.announcement.born and not announcement.born:
             raise StartMissing(announcement.target)
-        if not announcement.follows(row.announcement):
+        if not announcement.supersedes(row.announcement):
             return
         if announcement.is_later_start(row.announcement):
             # The pace of an earlier start does not apply.
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -254,7 +254,7 @@
 def _admission_order(
     call: calls.Call, first_at: float
 ) -> tuple[bool, int, float]:
-    """Sort by whether the aim can be met, then by priority, then by age."""
-    aim_at = call.arrived_at + call.route.aim
+    """Sort by whether the latency goal can be met, then by priority, then by age."""
+    goal_at = call.arrived_at + call.route.latency_goal
     # By age alone every call would be late once some are.
-    return first_at > aim_at, call.priority, aim_at
+    return first_at > goal_at, call.priority, goal_at
--- a/tamarackthread/entry/direct/call_log.py
+++ b/tamarackthread/entry/direct/call_log.py
@@ -131,8 +131,8 @@
 ) -> bool:
     """Tell whether the first piece or a later one came too late."""
     if not timing.first_at:
-        return 0 < call.route.aim < took
-    if 0 < call.route.aim < timing.first_at - call.arrived_at:
+        return 0 < call.route.latency_goal < took
+    if 0 < call.route.latency_goal < timing.first_at - call.arrived_at:
         return True
     return 0 < call.route.gap < timing.longest_pause
 
--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -73,12 +73,12 @@
         if not self._groups.learn(term, rows):
             return
         for target in known:
-            target.group = self._groups.of(target.name)
+            target.group = self._groups.group_of(target.name)
         target_log.log_groups(self._groups)
 
     def group_of(self, target: str) -> str:
         """Return the name of a target's group, empty if unknown."""
-        return self._groups.of(target)
+        return self._groups.group_of(target)
 
     def is_eligible(self, target: instances.TargetInstance, now: float) -> bool:
         """Tell whether a target may get a call now."""
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -71,12 +71,12 @@
         if current is None:
             self._add(announcement, now)
             return
-        if not announcement.follows(current.announcement):
+        if not announcement.supersedes(current.announcement):
             return
         if announcement.is_later_start(current.announcement):
             self._replace(current, announcement, now)
             return
-        announcement = announcement.after(current.announcement)
+        announcement = announcement.inherit_start(current.announcement)
         if announcement.state != current.announcement.state:
             target_log.log_state(
                 attrs.evolve(current.announcement, state=announcement.state)
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -124,7 +124,7 @@
                 return reply
 
     def _shard(self, claimant: claim_client.Claimant) -> claim_keys.Shard:
-        return claim_keys.shard_of(
+        return claim_keys.select_shard(
             claimant.organisation,
             claimant.key,
             self._shards(),
--- a/tamarackthread/platform/configuration.py
+++ b/tamarackthread/platform/configuration.py
@@ -86,7 +86,7 @@
         kind=_KINDS[row['kind']],
         shares=_shares(row),
         timeout=float(row['timeout-ms']) / MILLISECONDS,
-        aim=float(row.get('target-latency-ms') or 0) / MILLISECONDS,
+        latency_goal=float(row.get('target-latency-ms') or 0) / MILLISECONDS,
         attempts=max(1, int(row.get('attempts') or 1)),
         priority=int(row.get('priority') or 0),
         is_open=bool(row.get('allow-anonymous')),
--- a/tamarackthread/shared/claim_keys.py
+++ b/tamarackthread/shared/claim_keys.py
@@ -45,7 +45,7 @@
     return hashed.digest()
 
 
-def shard_of(
+def select_shard(
     organisation: str,
     key: str,
     shards: collections.abc.Iterable[Shard],
--- a/tamarackthread/shared/site/announcements.py
+++ b/tamarackthread/shared/site/announcements.py
@@ -50,7 +50,7 @@
         """Tell whether this is of an earlier start than another."""
         return held.is_later_start(self)
 
-    def follows(self, held: Announcement | None) -> bool:
+    def supersedes(self, held: Announcement | None) -> bool:
         """Tell whether this one counts although another is held.
 
         A later start replaces an earlier one whatever that has said, its
@@ -74,7 +74,7 @@
             return self.state == State.GONE and held.state != State.GONE
         return self.is_leaving or self.sequence >= held.sequence
 
-    def after(self, held: Announcement | None) -> Announcement:
+    def inherit_start(self, held: Announcement | None) -> Announcement:
         """Return this one with what only the held one of its start tells.
 
         A word that names no start is of the one that is known, and a word of
@@ -100,7 +100,7 @@
     )
 
 
-def of_message(row: messages.SiteTarget) -> Announcement:
+def from_message(row: messages.SiteTarget) -> Announcement:
     """Read what ``to_message`` wrote."""
     return Announcement(
         target=row.id,
--- a/tamarackthread/shared/site/configuration.py
+++ b/tamarackthread/shared/site/configuration.py
@@ -39,7 +39,7 @@
     kind: Kind
     shares: tuple[TrafficShare, ...]
     timeout: float
-    aim: float
+    latency_goal: float
     attempts: int = 1
     priority: int = 0
     is_open: bool = False
--- a/tamarackthread/shared/site/feed_client.py
+++ b/tamarackthread/shared/site/feed_client.py
@@ -239,18 +239,18 @@
         source.serial = reply.serial
         source.groups_serial = reply.groups_serial or 0
         for row in reply.targets:
-            self._pupil.learn_target(announcements.of_message(row))
+            self._pupil.learn_target(announcements.from_message(row))
         self._pupil.learn_paces(
             address,
             {slow.id: slow.percent / PERCENT for slow in reply.paces},
         )
         if reply.groups is not None:
             self._pupil.learn_groups(
-                reply.groups_term or 0, groups.of_messages(reply.groups)
+                reply.groups_term or 0, groups.from_messages(reply.groups)
             )
         # Before the first configuration, with which work begins.
         if reply.zones is not None:
-            self._pupil.learn_zones(zones.of_messages(reply.zones))
+            self._pupil.learn_zones(zones.from_messages(reply.zones))
         is_newer = reply.version > self._pupil.version
         # A host that was cut off may tell of an older configuration.
         if reply.document is not None and is_newer:
--- a/tamarackthread/shared/site/groups.py
+++ b/tamarackthread/shared/site/groups.py
@@ -46,7 +46,7 @@
         """List the groups by name."""
         return [self._held[name] for name in sorted(self._held)]
 
-    def of(self, target: str) -> str:
+    def group_of(self, target: str) -> str:
         """Return the name of a target's group, empty if unknown."""
         found = self._by_target.get(target)
         return '' if found is None else found.name
@@ -87,7 +87,7 @@
     ]
 
 
-def of_messages(
+def from_messages(
     rows: collections.abc.Iterable[messages.SiteGroup],
 ) -> list[Group]:
     """Read what ``to_messages`` wrote."""
--- a/tamarackthread/shared/site/zones.py
+++ b/tamarackthread/shared/site/zones.py
@@ -66,13 +66,13 @@
     return messages.SiteZone(row.name, row.is_evacuated, row.revision)
 
 
-def of_messages(
+def from_messages(
     rows: collections.abc.Iterable[messages.SiteZone],
 ) -> list[Zone]:
     """Read what ``to_messages`` wrote."""
-    return [of_message(row) for row in rows]
+    return [from_message(row) for row in rows]
 
 
-def of_message(row: messages.SiteZone) -> Zone:
+def from_message(row: messages.SiteZone) -> Zone:
     """Read what ``to_message`` wrote."""
     return Zone(row.name, bool(row.is_evacuated), row.revision or 0)
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -202,7 +202,7 @@
             prefix='/a/',
             kind=kind,
             shares=(configuration.TrafficShare('s', 1),),
-            **{'timeout': 5, 'aim': 0.4, 'attempts': 2, **fields},
+            **{'timeout': 5, 'latency_goal': 0.4, 'attempts': 2, **fields},
         )
         owner = configuration.Organisation(
             name='org', keys=frozenset(('secret',))
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -36,7 +36,7 @@
     )
 
 
-def call_of(aim=0.5, timeout=8.0, priority=1, call_id='c'):
+def call_of(latency_goal=0.5, timeout=8.0, priority=1, call_id='c'):
     """Build a streaming call that arrives now."""
     now = asyncio.get_running_loop().time()
     route = configuration.Route(
@@ -46,7 +46,7 @@
         kind=configuration.Kind.STREAM,
         shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=timeout,
-        aim=aim,
+        latency_goal=latency_goal,
         priority=priority,
         gap=GAP,
     )
@@ -133,7 +133,7 @@
         self.run_paused(self._waits_for_free_slot())
 
     def test_in_time_first(self):
-        """A call that can meet its aim goes before an older one that can't."""
+        """A call that can meet its goal goes before an older one that can't."""
         self.run_paused(self._in_time_first())
 
     def test_urgent_first(self):
@@ -204,7 +204,9 @@
         await second
 
     async def _in_time_first(self):
-        done = await self._two_waiting(call_of(aim=0.05), call_of(aim=0.9))
+        done = await self._two_waiting(
+            call_of(latency_goal=0.05), call_of(latency_goal=0.9)
+        )
         self.assertEqual([False, True], done)
 
     async def _urgent_first(self):
@@ -242,8 +244,8 @@
         known, queue = self._queue(FixedLimit(1))
         known.get('0').own_calls = 1
         tasks = [
-            asyncio.create_task(queue.admit(call_of(aim=aim)))
-            for aim in (0.5, 0.6)
+            asyncio.create_task(queue.admit(call_of(latency_goal=latency_goal)))
+            for latency_goal in (0.5, 0.6)
         ]
         await asyncio.sleep(0.01)
         tasks[0].cancel()
@@ -338,7 +340,7 @@
         kind=configuration.Kind.STREAM,
         shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=8.0,
-        aim=0.5,
+        latency_goal=0.5,
     )
 
 
--- a/tests/test_call_log.py
+++ b/tests/test_call_log.py
@@ -15,7 +15,7 @@
     prefix='/',
     kind=configuration.Kind.STREAM,
     timeout=8,
-    aim=0.4,
+    latency_goal=0.4,
     gap=0.12,
     attempts=2,
     shares=(('s', 1),),
@@ -33,7 +33,7 @@
         self.assertEqual('t1', fields['target'])
 
     def test_late_start(self):
-        """A stream whose first event came after its aim is late."""
+        """A stream whose first event came after its goal is late."""
         fields = self.run_paused(self._logged((0.5, 0.55)))
         self.assertTrue(fields['is_late'])
         self.assertEqual(500, fields['first_ms'])
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -325,14 +325,14 @@
         used = set()
         for number in range(200):
             key = f'order-{number}'
-            near = claim_keys.shard_of('o', key, shards, 'east')
+            near = claim_keys.select_shard('o', key, shards, 'east')
             self.assertEqual(near.region, 'east')
             self.assertEqual(
-                near, claim_keys.shard_of('o', key, backwards, 'east')
+                near, claim_keys.select_shard('o', key, backwards, 'east')
             )
-            used.add(claim_keys.shard_of('o', key, shards, 'north').name)
+            used.add(claim_keys.select_shard('o', key, shards, 'north').name)
         self.assertEqual(len(used), 4)
 
     def test_no_shard_is_refused(self):
         with self.assertRaises(claim_errors.ShardUnknown):
-            claim_keys.shard_of('o', 'k', [], 'east')
+            claim_keys.select_shard('o', 'k', [], 'east')
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -289,7 +289,7 @@
         self.assertFalse(waiting.done())
         site.apply(1, command('east', 0))
         reply = await waiting
-        rows = zones.of_messages(reply.zones)
+        rows = zones.from_messages(reply.zones)
         self.assertEqual([zones.Zone('east', True, 1)], rows)
         asked.zone_changes = 1
         asked.wait_ms = 0
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -191,7 +191,7 @@
         held.record_groups(7, rows())
         reply = await waiting
         self.assertEqual(7, reply.groups_term)
-        self.assertEqual(rows(), groups.of_messages(reply.groups))
+        self.assertEqual(rows(), groups.from_messages(reply.groups))
         held.record_groups(7, rows())
         asked.serial = reply.serial
         asked.groups_serial = reply.groups_serial
--- a/tests/test_site_control.py
+++ b/tests/test_site_control.py
@@ -67,18 +67,22 @@
     def test_farewell_is_final(self):
         """A late announcement does not revive a target that is leaving."""
         leaving = announcement(State.LEAVING, sequence=5)
-        self.assertFalse(announcement(sequence=9).follows(leaving))
-        self.assertTrue(announcement(State.GONE, sequence=0).follows(leaving))
+        self.assertFalse(announcement(sequence=9).supersedes(leaving))
+        self.assertTrue(
+            announcement(State.GONE, sequence=0).supersedes(leaving)
+        )
         gone = announcement(State.GONE, sequence=0)
-        self.assertFalse(announcement(State.LEAVING, sequence=9).follows(gone))
+        self.assertFalse(
+            announcement(State.LEAVING, sequence=9).supersedes(gone)
+        )
 
     def test_overtaken(self):
         """Of two hosts' announcements the higher sequence wins."""
         self.assertFalse(
-            announcement(sequence=4).follows(announcement(sequence=5))
+            announcement(sequence=4).supersedes(announcement(sequence=5))
         )
         self.assertTrue(
-            announcement(sequence=6).follows(announcement(State.SILENT, 5))
+            announcement(sequence=6).supersedes(announcement(State.SILENT, 5))
         )
 
 
--- a/tests/test_target_file.py
+++ b/tests/test_target_file.py
@@ -72,7 +72,7 @@
             announcements.State.LEAVING,
         ):
             held = attrs.evolve(READY, sequence=7, state=state)
-            self.assertFalse(found[0].follows(held))
+            self.assertFalse(found[0].supersedes(held))
 
     async def _forgotten(self):
         registry = target_registry.TargetRegistry(BEAT)
--- a/tests/test_target_starts.py
+++ b/tests/test_target_starts.py
@@ -50,40 +50,42 @@
     def test_later_start_counts(self):
         """A restarted target is known despite its lower sequence number."""
         self.assertTrue(
-            announcement(born=LATER).follows(announcement(sequence=41))
+            announcement(born=LATER).supersedes(announcement(sequence=41))
         )
 
     def test_farewell_is_of_one_start(self):
         """A farewell of an instance doesn't apply to the next one."""
         for farewell in (State.LEAVING, State.GONE):
             held = announcement(farewell, sequence=41)
-            self.assertTrue(announcement(born=LATER).follows(held))
+            self.assertTrue(announcement(born=LATER).supersedes(held))
 
     def test_earlier_start_never_counts(self):
         """Delayed announcements of an ended instance are ignored."""
         held = announcement(born=LATER)
         for state in (State.READY, State.LEAVING, State.GONE, State.SILENT):
-            self.assertFalse(announcement(state, sequence=99).follows(held))
+            self.assertFalse(announcement(state, sequence=99).supersedes(held))
 
     def test_announcement_without_start(self):
         """Announcements of an older release apply to the known instance."""
         held = announcement(sequence=5)
         late = announcement(born=0, sequence=4)
-        self.assertFalse(late.follows(held))
+        self.assertFalse(late.supersedes(held))
         leaving = announcement(State.LEAVING, born=0, sequence=1)
-        self.assertTrue(leaving.follows(held))
-        self.assertEqual(BORN, leaving.after(held).born)
+        self.assertTrue(leaving.supersedes(held))
+        self.assertEqual(BORN, leaving.inherit_start(held).born)
         self.assertTrue(
-            announcement(sequence=1).follows(announcement(born=0, sequence=9))
+            announcement(sequence=1).supersedes(
+                announcement(born=0, sequence=9)
+            )
         )
-        self.assertFalse(announcement(sequence=9).follows(leaving))
+        self.assertFalse(announcement(sequence=9).supersedes(leaving))
 
     def test_passed_on(self):
         """The start time is an optional field of the message."""
         row = announcements.to_message(announcement())
-        self.assertEqual(BORN, announcements.of_message(row).born)
+        self.assertEqual(BORN, announcements.from_message(row).born)
         row.born_ms = None
-        self.assertEqual(0, announcements.of_message(row).born)
+        self.assertEqual(0, announcements.from_message(row).born)
 
 
 class BookCase(policy_case.PausedCase):
@@ -209,7 +211,7 @@
                     messages.SiteTarget,
                     wire.encode(announcements.to_message(row)),
                 )
-                self.known.take(announcements.of_message(passed))
+                self.known.take(announcements.from_message(passed))
             self._serials[number] = host.serial
 
 
