--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -242,4 +242,4 @@
     ):
         return False
     keep_ms = request.keep_ms or 0
-    return claim_times.MIN_KEEP_MS <= keep_ms <= claim_times.MAX_KEEP_MS
+    return claim_times.MIN_TTL_MS <= keep_ms <= claim_times.MAX_TTL_MS
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -58,7 +58,7 @@
         self._control = settings.control
         self._node = settings.node.id
         self._folder = folder.DataFolder(self._control.data_folder)
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._rng = random.Random()
         self._links = link_pool.LinkPool(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
@@ -99,7 +99,7 @@
         if announce is not None:
             announce({'link': address})
         _log.info('control: listening on %s', address)
-        stop_requested = loop.create_task(process.stop_asked())
+        stop_requested = loop.create_task(process.wait_for_stop_signal())
         group_failed = loop.create_task(self._wait_for_failure())
         await asyncio.wait(
             (stop_requested, group_failed),
--- a/tamarackthread/entry/shard_claim_client.py
+++ b/tamarackthread/entry/shard_claim_client.py
@@ -63,7 +63,7 @@
             key=claimant.name,
             claim=claimant.identity,
             holder=self._holder,
-            keep_ms=max(claimant.keep_ms, claim_times.MIN_KEEP_MS),
+            keep_ms=max(claimant.keep_ms, claim_times.MIN_TTL_MS),
             deadline_ms=_milliseconds(claimant.deadline - now),
             digest=claimant.digest,
             handover=handover,
@@ -124,7 +124,7 @@
                 return reply
 
     def _shard(self, claimant: claim_client.Claimant) -> claim_keys.Shard:
-        return claim_keys.shard_of(
+        return claim_keys.select_shard(
             claimant.organisation,
             claimant.key,
             self._shards(),
