--- a/tamarackthread/cli/changes.py
+++ b/tamarackthread/cli/changes.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from tamarackthread.cli import client, edited, failures
+from tamarackthread.cli import client, document_files, failures
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import findings
 
@@ -68,7 +68,7 @@
     # itself be in force, and its first answer is what the operator lost.
     if not wish.change_id:
         current = await operator.document(wish.kind, wish.name)
-        if current is not None and edited.same(current.body, wish.body):
+        if current is not None and document_files.same(current.body, wish.body):
             return Result(
                 Outcome.UNCHANGED,
                 change_id,
@@ -173,8 +173,8 @@
         change.change_id,
         reply.version,
         reply.revision,
-        edited.difference(
-            edited.body_of(reply.current),
+        document_files.difference(
+            document_files.body_of(reply.current),
             change.body,
             f'in force (version {reply.version})',
             f'yours (made from version {change.based_on})',
--- a/tamarackthread/cli/commands/base.py
+++ b/tamarackthread/cli/commands/base.py
@@ -11,7 +11,7 @@
 from cleo.io.inputs import option as inputs
 from cleo.io.outputs import output
 
-from tamarackthread.cli import access, client, exit_codes, failures, render
+from tamarackthread.cli import client, connection, exit_codes, failures, render
 from tamarackthread.shared import errors, findings
 
 JSON_OPTION = helpers.option('json', None, 'Print JSON for scripts.')
@@ -29,7 +29,7 @@
             'settings',
             's',
             'Settings file that names the control hosts and the keys; '
-            f'{access.SETTINGS_VARIABLE} in the environment does the same.',
+            f'{connection.SETTINGS_VARIABLE} in the environment does the same.',
             flag=False,
         ),
         helpers.option(
@@ -153,11 +153,11 @@
         )
 
     async def _connected(self) -> exit_codes.ExitCode:
-        async with access.operator(self._options()) as operator:
+        async with connection.operator(self._options()) as operator:
             return await self.act(operator)
 
-    def _options(self) -> access.Options:
-        return access.Options(
+    def _options(self) -> connection.Options:
+        return connection.Options(
             settings_file=self.option('settings') or '',
             control=tuple(self.option('control') or ()),
             key_file=self.option('key-file') or '',
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -12,7 +12,7 @@
 from tamarackthread.cli import (
     changes,
     client,
-    edited,
+    document_files,
     exit_codes,
     failures,
     render,
@@ -105,7 +105,7 @@
         if self.option('effective'):
             whole = documents.parse(found.kind, found.body)
             found.body = json.dumps(structure.to_body(whole))
-        self.show(render.document_values(found), edited.write(found))
+        self.show(render.document_values(found), document_files.write(found))
         return exit_codes.ExitCode.DONE
 
 
@@ -121,10 +121,10 @@
         """Print a unified diff; the exit code says whether there is any."""
         name = self.argument('name')
         path = pathlib.Path(self.argument('file'))
-        wanted = edited.read(path, self._kind, name)
+        wanted = document_files.read(path, self._kind, name)
         current = await operator.document(self._kind, name)
-        shown = edited.difference(
-            edited.body_of(current),
+        shown = document_files.difference(
+            document_files.body_of(current),
             wanted.body,
             'in force',
             str(path),
@@ -205,7 +205,7 @@
     async def change(self, operator: client.Operator) -> changes.Result:
         """Read the file and apply it."""
         path = pathlib.Path(self.argument('file'))
-        wanted = edited.read(path, self._kind, self.argument('name'))
+        wanted = document_files.read(path, self._kind, self.argument('name'))
         wish = self.wish(wanted.body, wanted.based_on)
         return await changes.apply(operator, wish)
 
@@ -249,7 +249,7 @@
     for held in past:
         note = '' if held.body else ' (deleted)'
         yield f'version {held.version}, revision {held.revision}{note}'
-        shown = edited.difference(before, held.body, 'before', 'after')
+        shown = document_files.difference(before, held.body, 'before', 'after')
         yield from shown.splitlines()[2:]
         before = held.body
 
--- a/tamarackthread/cli/commands/explain.py
+++ b/tamarackthread/cli/commands/explain.py
@@ -8,7 +8,7 @@
 
 from cleo import helpers
 
-from tamarackthread.cli import exit_codes, story
+from tamarackthread.cli import exit_codes, request_trace
 from tamarackthread.cli.commands import base
 
 
@@ -30,13 +30,13 @@
 
     def perform(self) -> exit_codes.ExitCode:
         """Print the story; refuse if no line names the request."""
-        told = story.tell(self.argument('request'), self._texts())
+        told = request_trace.tell(self.argument('request'), self._texts())
         if told.unreadable:
             self.complain(f'{told.unreadable} lines are no JSON and left out')
         if not told.lines:
             self.complain('no line names this request')
             return exit_codes.ExitCode.REFUSED
-        for text in story.describe(told):
+        for text in request_trace.describe(told):
             self.say(text)
         return exit_codes.ExitCode.DONE
 
--- a/tamarackthread/cli/render.py
+++ b/tamarackthread/cli/render.py
@@ -7,7 +7,7 @@
 import json
 import typing
 
-from tamarackthread.cli import changes, edited
+from tamarackthread.cli import changes, document_files
 from tamarackthread.generated.messages import ttypes as messages
 
 MILLISECONDS = 1000
@@ -146,7 +146,7 @@
     )
     if not with_difference:
         return line
-    shown = edited.difference(
+    shown = document_files.difference(
         record.before or '',
         record.after or '',
         'before',
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 import types
 import unittest
 
-from tamarackthread.cli import edited
+from tamarackthread.cli import document_files
 from tamarackthread.generated import settings as generated
 from tamarackthread.shared import (
     findings,
@@ -141,7 +141,7 @@
         page = (ROOT / 'docs' / 'PROFILES.md').read_text(encoding='utf-8')
         for sample in page.split('```json\n')[1:]:
             self.path.write_text(sample.partition('```')[0], encoding='utf-8')
-            edited.read(self.path, 'profile', 'sample')
+            document_files.read(self.path, 'profile', 'sample')
 
     def test_no_input_breaks_the_check(self):
         chance = random.Random(11)
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -7,7 +7,7 @@
 import re
 import unittest
 
-from tamarackthread.cli import story
+from tamarackthread.cli import request_trace
 from tamarackthread.generated import settings
 from tamarackthread.shared import log_events, logs
 
@@ -31,7 +31,7 @@
 class StoryCase(unittest.TestCase):
     def test_beliefs_of_the_moment(self):
         """A story shows what its process believed then, not later or elsewhere."""
-        told = story.tell(
+        told = request_trace.tell(
             'r1',
             [
                 line('05', 'a', 'configuration', version=9),
@@ -50,11 +50,11 @@
         self.assertEqual(['00', '02'], [one.time for one in told.beliefs])
         self.assertEqual('leaving', told.beliefs[1].fields['state'])
         self.assertEqual(1, told.unreadable)
-        self.assertIn('code=TT7209', '\n'.join(story.describe(told)))
+        self.assertIn('code=TT7209', '\n'.join(request_trace.describe(told)))
 
     def test_targets_told_together(self):
         """What an entry learned of many targets in one line counts for each."""
-        told = story.tell(
+        told = request_trace.tell(
             'r1',
             [
                 line('01', 'a', 'target', targets=['t1', 't2'], state='ready'),
@@ -77,7 +77,7 @@
             )
         writer.flush()
         writer.close()
-        told = story.tell('r7', stream.getvalue().splitlines())
+        told = request_trace.tell('r7', stream.getvalue().splitlines())
         self.assertEqual('10.0.0.1/entry', told.lines[0].node)
         self.assertEqual({'code': 'X'}, told.lines[0].fields)
 
