--- a/tamarackthread/cli/client.py
+++ b/tamarackthread/cli/client.py
@@ -1,7 +1,6 @@
-"""Ask the control hosts on behalf of an operator.
+"""Send an operator's requests to the leader among the control hosts.
 
-``Operator`` hides which control host leads.  A change keeps its id over all
-resends, so it is applied once however often its answer is lost.
+A change keeps its id over all retries, so that it is applied only once.
 """
 
 from __future__ import annotations
@@ -16,22 +15,22 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import addresses, errors, peers
 
-DEFAULT_PATIENCE_SECONDS = 10.0
-ATTEMPT_SECONDS = 3.0
-PAUSE_SECONDS = 0.1
-POLL_SECONDS = 0.05
-AUDIT_PAGE = 100
+DEFAULT_TIMEOUT_SECONDS = 10.0
+ATTEMPT_TIMEOUT_SECONDS = 3.0
+RETRY_DELAY_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.05
+AUDIT_PAGE_SIZE = 100
 LIST_MEMBERS = 'members'
 
-# The request reached nobody, or somebody who certainly did nothing with it.
-_NOTHING_DONE = (
+# The request was not delivered, or the control host did not execute it.
+_NOT_EXECUTED = (
     errors.AddressUnreachable,
     errors.GreetingRefused,
     control_failures.NotLeader,
     control_failures.NoQuorum,
     control_failures.TooManyProposals,
 )
-_MAY_BE_DONE = (
+_MAYBE_EXECUTED = (
     errors.LinkLost,
     errors.RequestTimeout,
     control_failures.OutcomeUnknown,
@@ -52,62 +51,62 @@
 
 @attrs.frozen
 class Author:
-    """Say who makes changes, and from where, for the audit trail."""
+    """Identify who makes changes, and from where, for the audit trail."""
 
     actor: str
     origin: str
 
 
 class Operator:
-    """Ask any control host until one answers or patience ends."""
+    """Send requests to any control host, with retries until a timeout."""
 
     def __init__(
         self,
-        dialled: peers.Peers,
+        peer_links: peers.Peers,
         control: collections.abc.Sequence[str],
         author: Author,
-        patience_seconds: float = DEFAULT_PATIENCE_SECONDS,
+        timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
     ) -> None:
-        """Use links of ``dialled`` to the control hosts' addresses."""
-        self._peers = dialled
+        """Connect to the control hosts' addresses through ``peer_links``."""
+        self._peer_links = peer_links
         self._control = tuple(control)
         self._author = author
-        self._patience = patience_seconds
-        self._first = self._control[0]
+        self._timeout_seconds = timeout_seconds
+        self._preferred_address = self._control[0]
 
     async def ask(self, request: messages.Request) -> messages.Reply:
-        """Return the first answer; raise what the leader refused with."""
-        return await _Asking(self, request).run()
+        """Return the first reply; raise the error that the leader replied."""
+        return await _RetriedRequest(self, request).run()
 
     async def versions(
         self,
         kind: str,
         name: str,
     ) -> list[messages.Document]:
-        """Read the kept versions of one document."""
-        return await self._named(kind, name, history=True)
+        """Read the stored versions of one document."""
+        return await self._read_documents(kind, name, history=True)
 
-    async def everything(self, kind: str) -> list[messages.Document]:
-        """Read all documents of a kind by name, page after page."""
-        found: list[messages.Document] = []
+    async def list_documents(self, kind: str) -> list[messages.Document]:
+        """Read all pages of the documents of a kind, sorted by name."""
+        documents: list[messages.Document] = []
         more = True
         while more:
-            after = found[-1].name if found else ''
+            after = documents[-1].name if documents else ''
             read = messages.ReadRequest(kind=kind, after=after)
             reply = await self.ask(messages.Request(documents=read))
-            found.extend(reply.documents.documents)
+            documents.extend(reply.documents.documents)
             more = bool(reply.documents.more)
-        return found
+        return documents
 
     async def document(self, kind: str, name: str) -> messages.Document | None:
         """Read one document, or return ``None`` if there is none."""
-        for document in await self._named(kind, name, history=False):
+        for document in await self._read_documents(kind, name, history=False):
             if document.name == name and document.body:
                 return document
         return None
 
     async def change(self, change: Change) -> messages.ChangeReply:
-        """Send a change and return the answer to its first arrival."""
+        """Send a change; a retry returns the reply to its first execution."""
         request = messages.ChangeRequest(
             change_id=change.change_id,
             actor=self._author.actor,
@@ -121,18 +120,18 @@
         return reply.change
 
     async def status(self, revision: int = 0) -> messages.StatusReply:
-        """Tell how far a revision is in force; 0 is the newest."""
+        """Report which nodes have a revision in force; 0 is the newest."""
         request = messages.StatusRequest(revision=revision)
         reply = await self.ask(messages.Request(status=request))
         return reply.status
 
     async def wait(self, revision: int) -> messages.StatusReply:
-        """Poll until a revision is in force everywhere or patience ends."""
+        """Poll until a revision is in force everywhere or the timeout ends."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + self._patience
+        deadline = loop.time() + self._timeout_seconds
         status = await self.status(revision)
         while not status.in_force_everywhere and loop.time() < deadline:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             status = await self.status(revision)
         return status
 
@@ -142,52 +141,47 @@
         limit: int,
     ) -> list[messages.AuditRecord]:
         """Read audit records after a revision, oldest first."""
-        found: list[messages.AuditRecord] = []
-        while len(found) < limit:
-            count = min(limit - len(found), AUDIT_PAGE)
+        records: list[messages.AuditRecord] = []
+        while len(records) < limit:
+            count = min(limit - len(records), AUDIT_PAGE_SIZE)
             request = messages.AuditRequest(after=after, limit=count)
             reply = await self.ask(messages.Request(audit=request))
             if not reply.audit.records:
                 break
-            found.extend(reply.audit.records)
-            after = found[-1].revision
-        return found
+            records.extend(reply.audit.records)
+            after = records[-1].revision
+        return records
 
     async def newest_audit(self, count: int) -> list[messages.AuditRecord]:
-        """Read the newest audit records, oldest first.
-
-        Control answers from a revision on, so this reads from a window that
-        doubles until it holds enough.
-        """
+        """Read the newest audit records, oldest first."""
+        # Control only lists records after a given revision, so the window of
+        # revisions is doubled until it contains enough records.
         newest = (await self.status()).revision
         window = count
         while True:
             after = max(newest - window, 0)
-            found = await self.audit(after, window + count)
-            if len(found) >= count or not after:
-                return found[-count:]
+            records = await self.audit(after, window + count)
+            if len(records) >= count or not after:
+                return records[-count:]
             window *= 2
 
     async def member(
         self,
         request: messages.MemberRequest,
     ) -> messages.MemberReply:
-        """List or change the members of a replicated group.
-
-        Each host answers with what it sees itself, and only the leader hears
-        from all members, so its list is taken where it can be had.
-        """
+        """List or change the members of a replicated group."""
+        # Only the leader knows the state of all members, so its list is
+        # preferred to that of the control host that replied.
         reply = await self.ask(messages.Request(member=request))
         for member in reply.member.members or ():
             if member.leader and request.action == LIST_MEMBERS:
-                return await self._leader_view(member, request, reply.member)
+                return await self._members_from_leader(
+                    member, request, reply.member
+                )
         return reply.member
 
     async def drain(self, target: str, cancel: bool) -> int:
-        """Take a target out of service, or back, and return the revision.
-
-        Control records it and tells the agent, which refuses new calls.
-        """
+        """Drain a target, or cancel its draining; return the revision."""
         if await self.document('target', target) is None:
             raise failures.DocumentNotFound(f'target {target}')
         request = messages.DrainRequest(
@@ -199,14 +193,14 @@
         return reply.done.value
 
     async def zones(
-        self, asked: messages.SiteZoneRequest
+        self, request: messages.SiteZoneRequest
     ) -> list[messages.SiteZone]:
-        """Evacuate a zone or take it back if one is named; list all zones."""
-        asked.author = f'{self._author.actor} at {self._author.origin}'
-        reply = await self.ask(messages.Request(site_zone=asked))
+        """Evacuate or restore the named zone, if any; list all zones."""
+        request.author = f'{self._author.actor} at {self._author.origin}'
+        reply = await self.ask(messages.Request(site_zone=request))
         return reply.site_zone.zones
 
-    async def _named(
+    async def _read_documents(
         self,
         kind: str,
         name: str,
@@ -216,37 +210,43 @@
         reply = await self.ask(messages.Request(documents=read))
         return reply.documents.documents
 
-    async def _leader_view(
+    async def _members_from_leader(
         self,
         leader: messages.Member,
         request: messages.MemberRequest,
-        seen: messages.MemberReply,
+        fallback: messages.MemberReply,
     ) -> messages.MemberReply:
-        asked = messages.Request(member=request)
+        wrapped = messages.Request(member=request)
         try:
-            reply = await self.send(leader.address, asked, ATTEMPT_SECONDS)
+            reply = await self.send(
+                leader.address, wrapped, ATTEMPT_TIMEOUT_SECONDS
+            )
         except errors.CodedError:
-            return seen
+            return fallback
         return reply.member
 
     @property
-    def patience_seconds(self) -> float:
-        """Give how long an answer is waited for."""
-        return self._patience
-
-    def rotation(self) -> list[str]:
-        """List the control hosts, the one that answered last first."""
-        others = [held for held in self._control if held != self._first]
-        return [self._first, *others]
+    def timeout_seconds(self) -> float:
+        """Return the time for a request with its retries."""
+        return self._timeout_seconds
+
+    def attempt_order(self) -> list[str]:
+        """List the control hosts, the one that replied last first."""
+        others = [
+            address
+            for address in self._control
+            if address != self._preferred_address
+        ]
+        return [self._preferred_address, *others]
 
     def prefer(self, leader: str) -> None:
-        """Ask the named node or address first from now on."""
+        """Try the leader, given by node or address, first from now on."""
         if addresses.parse(leader) is not None:
-            self._first = leader
+            self._preferred_address = leader
             return
-        for address, link in self._peers.links.items():
+        for address, link in self._peer_links.links.items():
             if link.peer.node == leader and address in self._control:
-                self._first = address
+                self._preferred_address = address
 
     async def send(
         self,
@@ -254,64 +254,69 @@
         request: messages.Request,
         timeout_seconds: float,
     ) -> messages.Reply:
-        """Ask one control host and remember it if it answers."""
-        reply = await self._peers.request(address, request, timeout_seconds)
-        self._first = address
+        """Send to one control host; prefer it from now on if it replies."""
+        reply = await self._peer_links.request(
+            address, request, timeout_seconds
+        )
+        self._preferred_address = address
         return reply
 
 
-class _Asking:
-    """One request on its way to whoever can answer it."""
+class _RetriedRequest:
+    """A request that is retried on all control hosts until its deadline."""
 
     def __init__(self, operator: Operator, request: messages.Request) -> None:
         self._operator = operator
         self._request = request
-        self._last: errors.CodedError | None = None
-        self._may_be_done = False
+        self._last_error: errors.CodedError | None = None
+        self._maybe_executed = False
         loop = asyncio.get_running_loop()
-        self._deadline = loop.time() + operator.patience_seconds
+        self._deadline = loop.time() + operator.timeout_seconds
 
     async def run(self) -> messages.Reply:
-        while self._left() > 0:
-            for address in self._operator.rotation():
-                reply = await self._try(address)
+        while self._remaining_seconds() > 0:
+            for address in self._operator.attempt_order():
+                reply = await self._attempt(address)
                 if reply is not None:
                     return reply
-            await asyncio.sleep(PAUSE_SECONDS)
-        raise self._failure()
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
+        raise self._final_error()
 
-    async def _try(self, address: str) -> messages.Reply | None:
-        seconds = max(min(ATTEMPT_SECONDS, self._left()), PAUSE_SECONDS)
+    async def _attempt(self, address: str) -> messages.Reply | None:
+        seconds = max(
+            min(ATTEMPT_TIMEOUT_SECONDS, self._remaining_seconds()),
+            RETRY_DELAY_SECONDS,
+        )
         try:
             return await self._operator.send(address, self._request, seconds)
-        except _NOTHING_DONE as exc:
-            self._note(exc)
-        except _MAY_BE_DONE as exc:
-            self._note(exc)
-            self._may_be_done = True
+        except _NOT_EXECUTED as exc:
+            self._record_failure(exc)
+        except _MAYBE_EXECUTED as exc:
+            self._record_failure(exc)
+            self._maybe_executed = True
         return None
 
-    def _note(self, exc: errors.CodedError) -> None:
-        refused = isinstance(self._last, errors.GreetingRefused)
-        # After a refusal the address is left alone for a moment and counts as
-        # unreachable; the operator needs the first reason, the wrong key.
+    def _record_failure(self, exc: errors.CodedError) -> None:
+        refused = isinstance(self._last_error, errors.GreetingRefused)
+        # After a refused greeting, the backoff reports the address as
+        # unreachable; keep the refusal, which names the cause (a wrong key).
         if not refused or not isinstance(exc, errors.AddressUnreachable):
-            self._last = exc
+            self._last_error = exc
         self._operator.prefer(getattr(exc, 'leader', '') or '')
 
-    def _left(self) -> float:
+    def _remaining_seconds(self) -> float:
         return self._deadline - asyncio.get_running_loop().time()
 
-    def _failure(self) -> failures.CommandFailed:
+    def _final_error(self) -> failures.CommandFailed:
         reason = 'no time was given'
-        if self._last is not None:
-            reason = f'last reason {failures.describe(self._last)}'
-        if self._may_be_done and _changes(self._request):
+        if self._last_error is not None:
+            reason = f'last reason {failures.describe(self._last_error)}'
+        if self._maybe_executed and _is_change(self._request):
             return failures.ChangeOutcomeUnknown(reason)
         return failures.ControlUnreachable(reason)
 
 
-def _changes(request: messages.Request) -> bool:
+def _is_change(request: messages.Request) -> bool:
     if request.member is not None:
         return request.member.action != LIST_MEMBERS
     if request.site_zone is not None:
--- a/tamarackthread/cli/commands/base.py
+++ b/tamarackthread/cli/commands/base.py
@@ -56,7 +56,7 @@
             'p',
             'Seconds to wait for an answer, or for --wait.',
             flag=False,
-            default=str(client.DEFAULT_PATIENCE_SECONDS),
+            default=str(client.DEFAULT_TIMEOUT_SECONDS),
         ),
     ]
 
@@ -153,7 +153,7 @@
         )
 
     async def _connected(self) -> exit_codes.ExitCode:
-        async with connection.operator(self._options()) as operator:
+        async with connection.open_operator(self._options()) as operator:
             return await self.act(operator)
 
     def _options(self) -> connection.Options:
@@ -162,10 +162,10 @@
             control=tuple(self.option('control') or ()),
             key_file=self.option('key-file') or '',
             actor=self.option('actor') or '',
-            patience_seconds=self._patience(),
+            timeout_seconds=self._timeout_seconds(),
         )
 
-    def _patience(self) -> float:
+    def _timeout_seconds(self) -> float:
         value = self.option('patience')
         try:
             seconds = float(value)
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -79,7 +79,7 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a table, or all documents as JSON."""
-        found = await operator.everything(self._kind)
+        found = await operator.list_documents(self._kind)
         rows = [(held.name, held.version, held.revision) for held in found]
         self.show(
             [render.document_values(held) for held in found],
--- a/tamarackthread/cli/commands/members.py
+++ b/tamarackthread/cli/commands/members.py
@@ -54,7 +54,7 @@
             return [chosen]
         groups = {
             documents.parse(held.kind, held.body).group
-            for held in await operator.everything('shard')
+            for held in await operator.list_documents('shard')
         }
         return [CONFIG_GROUP, *sorted(groups)]
 
--- a/tamarackthread/cli/commands/targets.py
+++ b/tamarackthread/cli/commands/targets.py
@@ -28,7 +28,7 @@
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a table, or all target documents as JSON."""
         chosen = []
-        for held in await operator.everything('target'):
+        for held in await operator.list_documents('target'):
             service = json.loads(held.body).get('service')
             if self.option('service') in {None, service}:
                 chosen.append(render.document_values(held))
--- a/tamarackthread/cli/connection.py
+++ b/tamarackthread/cli/connection.py
@@ -1,4 +1,4 @@
-"""Open the way from an operator's terminal to the control hosts."""
+"""Connect an operator's command to the control hosts."""
 
 from __future__ import annotations
 
@@ -27,45 +27,44 @@
 
 @attrs.frozen
 class Options:
-    """How the operator said where control is.
+    """Where the control hosts are and how to authenticate to them.
 
-    Either a settings file, or addresses with a key file; addresses given
-    beside a settings file take the place of those in it.
+    ``control`` overrides the addresses in the settings file.
     """
 
     settings_file: str = ''
     control: tuple[str, ...] = ()
     key_file: str = ''
     actor: str = ''
-    patience_seconds: float = client.DEFAULT_PATIENCE_SECONDS
+    timeout_seconds: float = client.DEFAULT_TIMEOUT_SECONDS
 
 
 @contextlib.asynccontextmanager
-async def operator(
+async def open_operator(
     options: Options,
 ) -> collections.abc.AsyncIterator[client.Operator]:
-    """Give an operator client whose links are closed at the end."""
-    chosen = _settings(options)
-    control = options.control or _control_addresses(chosen)
+    """Yield an operator client and close its links at the end."""
+    loaded = _load_settings(options)
+    control = options.control or _control_addresses(loaded)
     _check_addresses(control)
     actor = options.actor or _login_name()
     own = identity.Identity(
         node=f'operator-{actor}-{os.getpid()}',
         role=messages.Role.OPERATOR,
-        region=chosen.node.region,
-        zone=chosen.node.zone,
+        region=loaded.node.region,
+        zone=loaded.node.zone,
         incarnation=process.new_incarnation(),
     )
-    dialled = peers.Peers(process.link_options(chosen, own))
+    peer_links = peers.Peers(process.link_options(loaded, own))
     try:
         yield client.Operator(
-            dialled,
+            peer_links,
             control,
             client.Author(actor, platform.node()),
-            options.patience_seconds,
+            options.timeout_seconds,
         )
     finally:
-        dialled.close()
+        peer_links.close()
 
 
 def _login_name() -> str:
@@ -77,7 +76,7 @@
         ) from None
 
 
-def _settings(options: Options) -> generated.Settings:
+def _load_settings(options: Options) -> generated.Settings:
     name = options.settings_file or os.environ.get(SETTINGS_VARIABLE, '')
     if options.key_file:
         return generated.Settings(
@@ -92,16 +91,16 @@
     return settings.load(name)
 
 
-def _control_addresses(chosen: generated.Settings) -> tuple[str, ...]:
-    if chosen.site is not None:
-        return tuple(places.link_addresses(chosen.site))
-    if chosen.control_addresses or chosen.control is None:
-        return chosen.control_addresses
-    members = chosen.control.members
+def _control_addresses(loaded: generated.Settings) -> tuple[str, ...]:
+    if loaded.site is not None:
+        return tuple(places.link_addresses(loaded.site))
+    if loaded.control_addresses or loaded.control is None:
+        return loaded.control_addresses
+    members = loaded.control.members
     if members:
         return tuple(member.address for member in members)
-    host = chosen.listen.advertise_host or chosen.listen.host
-    return (f'{host}:{chosen.listen.port}',)
+    host = loaded.listen.advertise_host or loaded.listen.host
+    return (f'{host}:{loaded.listen.port}',)
 
 
 def _check_addresses(control: tuple[str, ...]) -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -154,7 +154,7 @@
             name = f'o{number:04}'
             change = client.Change(name, 'organisation', name, 0, '{}')
             await self.operator.change(change)
-        found = await self.operator.everything('organisation')
+        found = await self.operator.list_documents('organisation')
         names = [held.name for held in found]
         self.assertEqual(len(names), 5000)
         self.assertEqual(names, sorted(set(names)))
