--- a/tamarackthread/cli/application.py
+++ b/tamarackthread/cli/application.py
@@ -1,4 +1,4 @@
-"""Put the command line together."""
+"""Build the command line application from its commands."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 NAME = 'tamarackthread'
-_FIRST = (
+_COMMANDS_BEFORE_DOCUMENTS = (
     roles.EntryCommand,
     roles.AgentCommand,
     roles.ControlCommand,
@@ -33,7 +33,7 @@
     explain.ExplainCommand,
     losses.LossesCommand,
 )
-_LAST = (
+_COMMANDS_AFTER_DOCUMENTS = (
     targets.TargetListCommand,
     targets.TargetDrainCommand,
     zones.ZoneListCommand,
@@ -46,7 +46,7 @@
     members.RemoveCommand,
     members.ReplaceCommand,
 )
-_WRITTEN_KINDS = ('profile', 'service', 'organisation')
+_DOCUMENT_KINDS = ('profile', 'service', 'organisation')
 
 
 _HELP = """\
@@ -63,16 +63,16 @@
 
 
 class Application(cleo.application.Application):
-    """The command line, with a first help for newcomers."""
+    """The command line, with an overview of its commands."""
 
     @property
     def help(self) -> str:
-        """Show the usual ways before the list of commands."""
+        """Return the overview that precedes the list of commands."""
         return _HELP.format(name=self.name, version=self.version)
 
 
 def build() -> Application:
-    """Make the application with all of its commands."""
+    """Build the application with all of its commands."""
     application = Application(NAME, tamarackthread.VERSION)
     application.auto_exits(auto_exits=False)
     application.catch_exceptions(catch_exceptions=False)
@@ -94,9 +94,9 @@
 
 
 def _commands() -> collections.abc.Iterator[command.Command]:
-    for first in _FIRST:
-        yield first()
-    for kind in _WRITTEN_KINDS:
+    for command_class in _COMMANDS_BEFORE_DOCUMENTS:
+        yield command_class()
+    for kind in _DOCUMENT_KINDS:
         yield from documents.for_kind(kind)
-    for last in _LAST:
-        yield last()
+    for command_class in _COMMANDS_AFTER_DOCUMENTS:
+        yield command_class()
--- a/tamarackthread/cli/changes.py
+++ b/tamarackthread/cli/changes.py
@@ -1,8 +1,4 @@
-"""Apply, delete and roll back documents.
-
-Each function makes one change with one id; a caller that repeats it after an
-unknown outcome passes the same id and gets the first answer.
-"""
+"""Apply, delete and roll back documents, each as one change with an id."""
 
 from __future__ import annotations
 
@@ -17,7 +13,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Say what became of a change."""
+    """Tell whether control accepted a change."""
 
     ACCEPTED = 'accepted'
     UNCHANGED = 'unchanged'
@@ -28,8 +24,7 @@
 class Result:
     """The outcome of a change.
 
-    ``difference`` leads from what is in force to what was asked for; it is
-    empty unless the outcome is a conflict.
+    ``difference`` is a diff from the version in force, for a conflict only.
     """
 
     outcome: Outcome
@@ -40,85 +35,84 @@
 
 
 @attrs.frozen
-class Wish:
-    """What an operator wants a document to become.
-
-    ``based_on`` is the version that the wish was made from, ``None`` if that
-    is unknown.  An empty body deletes.  A ``change_id`` is given only to
-    repeat a change whose outcome is unknown.
-    """
+class Edit:
+    """A change of one document; an empty body deletes the document."""
 
     kind: str
     name: str
     body: str
+    # The version that was edited, ``None`` if unknown.
     based_on: int | None = None
+    # Set only to retry a change whose outcome is unknown.
     change_id: str = ''
 
 
 def new_change_id() -> str:
-    """Make an id that no other change has."""
+    """Generate a unique id for a change."""
     return uuid.uuid4().hex
 
 
-async def apply(operator: client.Operator, wish: Wish) -> Result:
-    """Make a change; raise ``InvalidError`` if control refuses the body."""
-    change_id = wish.change_id or new_change_id()
-    based_on = wish.based_on
-    # A repeated change is sent without a look at what is in force: it may
-    # itself be in force, and its first answer is what the operator lost.
-    if not wish.change_id:
-        current = await operator.document(wish.kind, wish.name)
-        if current is not None and document_files.same(current.body, wish.body):
+async def apply(operator: client.Operator, edit: Edit) -> Result:
+    """Apply an edit; raise ``InvalidError`` if control rejects the body."""
+    change_id = edit.change_id or new_change_id()
+    based_on = edit.based_on
+    # A retried change is sent without comparing it to the version in force:
+    # it may be that version, and control then repeats its first reply.
+    if not edit.change_id:
+        current = await operator.document(edit.kind, edit.name)
+        if current is not None and document_files.is_same_body(
+            current.body, edit.body
+        ):
             return Result(
                 Outcome.UNCHANGED,
                 change_id,
                 current.version,
                 current.revision,
             )
-        based_on = _base(wish, current)
+        based_on = _base_version(edit, current)
     change = client.Change(
         change_id=change_id,
-        kind=wish.kind,
-        name=wish.name,
+        kind=edit.kind,
+        name=edit.name,
         based_on=based_on or 0,
-        body=wish.body,
+        body=edit.body,
     )
     return await _send(operator, change)
 
 
-async def delete(operator: client.Operator, wish: Wish) -> Result:
+async def delete(operator: client.Operator, edit: Edit) -> Result:
     """Delete a document; raise ``DocumentNotFound`` if there is none."""
-    if wish.change_id:
-        return await apply(operator, wish)
-    current = await operator.document(wish.kind, wish.name)
+    if edit.change_id:
+        return await apply(operator, edit)
+    current = await operator.document(edit.kind, edit.name)
     if current is None:
-        raise failures.DocumentNotFound(f'{wish.kind} {wish.name}')
-    if wish.based_on is None:
-        wish = attrs.evolve(wish, based_on=current.version)
-    return await apply(operator, wish)
+        raise failures.DocumentNotFound(f'{edit.kind} {edit.name}')
+    if edit.based_on is None:
+        edit = attrs.evolve(edit, based_on=current.version)
+    return await apply(operator, edit)
 
 
 async def roll_back(
     operator: client.Operator,
-    wish: Wish,
+    edit: Edit,
     version: int,
 ) -> Result:
-    """Make an earlier version's body the newest version."""
-    past = await versions(operator, wish.kind, wish.name)
+    """Apply the body of an earlier version as the newest version."""
+    documents = await versions(operator, edit.kind, edit.name)
     body = None
-    for document in past:
+    for document in documents:
         if document.version == version:
             body = document.body
     if body is None:
         raise failures.DocumentNotFound(
-            f'{wish.kind} {wish.name} version {version}',
+            f'{edit.kind} {edit.name} version {version}',
         )
-    based_on = wish.based_on
+    based_on = edit.based_on
     if based_on is None:
-        based_on = past[-1].version
+        based_on = documents[-1].version
     return await apply(
         operator,
-        attrs.evolve(wish, body=body, based_on=based_on),
+        attrs.evolve(edit, body=body, based_on=based_on),
     )
 
 
@@ -127,20 +121,20 @@
     kind: str,
     name: str,
 ) -> list[messages.Document]:
-    """List all kept versions of a document, the oldest first."""
-    past = await operator.versions(kind, name)
-    found = {document.version: document for document in past}
+    """List the stored versions of a document, the oldest first."""
+    documents = await operator.versions(kind, name)
+    found = {document.version: document for document in documents}
     return [found[version] for version in sorted(found)]
 
 
-def _base(wish: Wish, current: messages.Document | None) -> int:
-    if wish.based_on is not None:
-        return wish.based_on
+def _base_version(edit: Edit, current: messages.Document | None) -> int:
+    if edit.based_on is not None:
+        return edit.based_on
     if current is None:
         return 0
     raise failures.BaseUnknown(
-        f'{wish.kind} {wish.name} is at version {current.version}; start '
-        f'from "{wish.kind} show {wish.name}", or say --based-on',
+        f'{edit.kind} {edit.name} is at version {current.version}; start '
+        f'from "{edit.kind} show {edit.name}", or say --based-on',
     )
 
 
@@ -173,8 +167,8 @@
         change.change_id,
         reply.version,
         reply.revision,
-        document_files.difference(
-            document_files.body_of(reply.current),
+        document_files.unified_diff(
+            document_files.body_or_empty(reply.current),
             change.body,
             f'in force (version {reply.version})',
             f'yours (made from version {change.based_on})',
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -21,23 +21,23 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents, structure
 
-_NAME = helpers.argument('name', 'Name of the document.')
-_FILE = helpers.argument('file', 'File with the body, JSON with comments.')
-_BASED_ON = helpers.option(
+_NAME_ARGUMENT = helpers.argument('name', 'Name of the document.')
+_FILE_ARGUMENT = helpers.argument('file', 'File with the body, JSON with comments.')
+_BASED_ON_OPTION = helpers.option(
     'based-on',
     None,
     'Version that the change was made from, if the file does not say.',
     flag=False,
 )
-_CHANGE_ID = helpers.option(
+_CHANGE_ID_OPTION = helpers.option(
     'change-id',
     None,
     'Id of a change to repeat after its outcome was unknown.',
     flag=False,
 )
 _CHANGE_OPTIONS = (
-    _BASED_ON,
-    _CHANGE_ID,
+    _BASED_ON_OPTION,
+    _CHANGE_ID_OPTION,
     base.WAIT_OPTION,
     base.JSON_OPTION,
 )
@@ -93,7 +93,7 @@
 
     verb = 'show'
     summary = 'Print one {kind}, ready to be edited and applied.'
-    arguments: typing.ClassVar = [_NAME]
+    arguments: typing.ClassVar = [_NAME_ARGUMENT]
     options: typing.ClassVar = [
         helpers.option('effective', None, 'Add the defaults left out.'),
         base.JSON_OPTION,
@@ -105,7 +105,9 @@
         if self.option('effective'):
             whole = documents.parse(found.kind, found.body)
             found.body = json.dumps(structure.to_body(whole))
-        self.show(render.document_values(found), document_files.write(found))
+        self.show(
+            render.document_values(found), document_files.format_file(found)
+        )
         return exit_codes.ExitCode.DONE
 
 
@@ -114,18 +116,18 @@
 
     verb = 'diff'
     summary = 'Show how a file differs from the {kind} in force.'
-    arguments: typing.ClassVar = [_NAME, _FILE]
+    arguments: typing.ClassVar = [_NAME_ARGUMENT, _FILE_ARGUMENT]
     options: typing.ClassVar = [base.JSON_OPTION]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a unified diff; the exit code says whether there is any."""
         name = self.argument('name')
         path = pathlib.Path(self.argument('file'))
-        wanted = document_files.read(path, self._kind, name)
+        file = document_files.read(path, self._kind, name)
         current = await operator.document(self._kind, name)
-        shown = document_files.difference(
-            document_files.body_of(current),
-            wanted.body,
+        shown = document_files.unified_diff(
+            document_files.body_or_empty(current),
+            file.body,
             'in force',
             str(path),
         )
@@ -141,17 +143,17 @@
 
     verb = 'history'
     summary = 'Show the versions of {one} and what each changed.'
-    arguments: typing.ClassVar = [_NAME]
+    arguments: typing.ClassVar = [_NAME_ARGUMENT]
     options: typing.ClassVar = [base.JSON_OPTION]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print each version with its difference from the one before."""
         name = self.argument('name')
-        past = await changes.versions(operator, self._kind, name)
-        if not past:
+        history = await changes.versions(operator, self._kind, name)
+        if not history:
             raise failures.DocumentNotFound(f'{self._kind} {name}')
-        values = [render.document_values(held) for held in past]
-        self.show(values, '\n'.join(_history_lines(past)))
+        values = [render.document_values(held) for held in history]
+        self.show(values, '\n'.join(_format_history(history)))
         return exit_codes.ExitCode.DONE
 
 
@@ -176,11 +178,13 @@
     async def change(self, operator: client.Operator) -> changes.Result:
         """Make the change."""
 
-    def wish(self, body: str, based_on: int | None = None) -> changes.Wish:
+    def build_edit(
+        self, body: str, based_on: int | None = None
+    ) -> changes.Edit:
         """Build what the operator wants; an option goes before the file."""
         if self.option('based-on') is not None:
             based_on = self.number('based-on')
-        return changes.Wish(
+        return changes.Edit(
             kind=self._kind,
             name=self.argument('name'),
             body=body,
@@ -194,7 +198,7 @@
 
     verb = 'apply'
     summary = 'Make a file the newest version of {one}.'
-    arguments: typing.ClassVar = [_NAME, _FILE]
+    arguments: typing.ClassVar = [_NAME_ARGUMENT, _FILE_ARGUMENT]
     options: typing.ClassVar = _CHANGE_OPTIONS
     help = (
         'Start from "show NAME > FILE": its first line names the version, '
@@ -205,9 +209,9 @@
     async def change(self, operator: client.Operator) -> changes.Result:
         """Read the file and apply it."""
         path = pathlib.Path(self.argument('file'))
-        wanted = document_files.read(path, self._kind, self.argument('name'))
-        wish = self.wish(wanted.body, wanted.based_on)
-        return await changes.apply(operator, wish)
+        file = document_files.read(path, self._kind, self.argument('name'))
+        edit = self.build_edit(file.body, file.based_on)
+        return await changes.apply(operator, edit)
 
 
 class RollbackCommand(ChangeCommand):
@@ -216,7 +220,7 @@
     verb = 'rollback'
     summary = 'Undo: make an earlier version of {one} the newest one.'
     arguments: typing.ClassVar = [
-        _NAME,
+        _NAME_ARGUMENT,
         helpers.argument('to', 'Version to go back to, see "history".'),
     ]
     options: typing.ClassVar = _CHANGE_OPTIONS
@@ -226,7 +230,9 @@
         given = self.argument('to')
         if not given.isdecimal():
             raise failures.OptionInvalid(f'"{given}" is not a version')
-        return await changes.roll_back(operator, self.wish(''), int(given))
+        return await changes.roll_back(
+            operator, self.build_edit(''), int(given)
+        )
 
 
 class DeleteCommand(ChangeCommand):
@@ -234,22 +240,24 @@
 
     verb = 'delete'
     summary = 'Delete {one}; "rollback" brings it back.'
-    arguments: typing.ClassVar = [_NAME]
+    arguments: typing.ClassVar = [_NAME_ARGUMENT]
     options: typing.ClassVar = _CHANGE_OPTIONS
 
     async def change(self, operator: client.Operator) -> changes.Result:
         """Delete the version in force."""
-        return await changes.delete(operator, self.wish(''))
+        return await changes.delete(operator, self.build_edit(''))
 
 
-def _history_lines(
-    past: list[messages.Document],
+def _format_history(
+    history: list[messages.Document],
 ) -> typing.Iterator[str]:
     before = ''
-    for held in past:
+    for held in history:
         note = '' if held.body else ' (deleted)'
         yield f'version {held.version}, revision {held.revision}{note}'
-        shown = document_files.difference(before, held.body, 'before', 'after')
+        shown = document_files.unified_diff(
+            before, held.body, 'before', 'after'
+        )
         yield from shown.splitlines()[2:]
         before = held.body
 
--- a/tamarackthread/cli/commands/targets.py
+++ b/tamarackthread/cli/commands/targets.py
@@ -10,7 +10,7 @@
 from tamarackthread.cli import client, exit_codes, render
 from tamarackthread.cli.commands import base
 
-_HEADS = ('name', 'service', 'zone', 'address', 'group', 'ranks', 'leaving')
+_HEADERS = ('name', 'service', 'zone', 'address', 'group', 'ranks', 'leaving')
 
 
 class TargetListCommand(base.OperatorCommand):
@@ -33,7 +33,7 @@
             if self.option('service') in {None, service}:
                 chosen.append(render.document_values(held))
         rows = [_row(values) for values in chosen]
-        self.show(chosen, render.table(_HEADS, rows))
+        self.show(chosen, render.table(_HEADERS, rows))
         return exit_codes.ExitCode.DONE
 
 
@@ -72,8 +72,8 @@
 
 def _row(values: dict[str, typing.Any]) -> list[str]:
     body = values['body']
-    leaving = render.yes(body.get('leaving', False))
+    leaving = render.yes_no(body.get('leaving', False))
     cells = [values['name']]
-    for key in _HEADS[1:-1]:
+    for key in _HEADERS[1:-1]:
         cells.append(str(body.get(key) or '-'))
     return [*cells, leaving]
--- a/tamarackthread/cli/commands/zones.py
+++ b/tamarackthread/cli/commands/zones.py
@@ -11,7 +11,7 @@
 from tamarackthread.cli.commands import base
 from tamarackthread.generated.messages import ttypes as messages
 
-_HEADS = ('name', 'evacuated', 'changes')
+_HEADERS = ('name', 'evacuated', 'changes')
 _NAME = helpers.argument('name', 'Name of the availability zone.')
 
 
@@ -32,10 +32,10 @@
             for zone in found
         ]
         rows = [
-            [zone.name, render.yes(zone.is_evacuated), str(zone.revision)]
+            [zone.name, render.yes_no(zone.is_evacuated), str(zone.revision)]
             for zone in found
         ]
-        self.show(values, render.table(_HEADS, rows))
+        self.show(values, render.table(_HEADERS, rows))
         return exit_codes.ExitCode.DONE
 
     @abc.abstractmethod
--- a/tamarackthread/cli/document_files.py
+++ b/tamarackthread/cli/document_files.py
@@ -1,8 +1,6 @@
-"""Read a document that an operator edited, and write one to edit.
+"""Read and format the files in which operators edit documents.
 
-``show`` puts the version into a comment at the top of the text; ``apply``
-reads it from there.  So a file that was made from an old version conflicts
-with what another operator applied since, and nobody's work is undone unseen.
+A header comment holds the edited version, to detect concurrent changes.
 """
 
 from __future__ import annotations
@@ -31,15 +29,15 @@
 
 
 @attrs.frozen
-class Edited:
-    """The contents of a file; ``based_on`` is ``None`` without a header."""
+class DocumentFile:
+    """The body and base version; ``based_on`` is ``None`` without a header."""
 
     body: str
     based_on: int | None
 
 
-def read(path: pathlib.Path, kind: str, name: str) -> Edited:
-    """Read a file; raise ``InvalidError`` with all findings and places."""
+def read(path: pathlib.Path, kind: str, name: str) -> DocumentFile:
+    """Read a file; raise ``InvalidError`` with all findings and positions."""
     try:
         content = path.read_bytes().decode()
     except (OSError, UnicodeDecodeError) as exc:
@@ -58,10 +56,12 @@
     found = settings_checks.locate(str(path), text, broken)
     if found:
         raise findings.InvalidError(found)
-    return Edited(compact(text.value), _based_on(content, kind, name))
+    return DocumentFile(
+        canonical_json(text.value), _header_version(content, kind, name)
+    )
 
 
-def _based_on(content: str, kind: str, name: str) -> int | None:
+def _header_version(content: str, kind: str, name: str) -> int | None:
     header = _HEADER.match(content)
     if header is None:
         return None
@@ -70,19 +70,19 @@
     return int(header['version'])
 
 
-def write(document: messages.Document) -> str:
-    """Lay a document out so that it can be edited and applied."""
+def format_file(document: messages.Document) -> str:
+    """Format a document with its header, ready to be edited and applied."""
     header = f'// {document.kind} {document.name} version {document.version}'
-    return f'{header}\n{pretty(document.body)}'
+    return f'{header}\n{indent_body(document.body)}'
 
 
-def compact(value: typing.Any) -> str:
-    """Write a body in the one form in which bodies are compared."""
+def canonical_json(value: typing.Any) -> str:
+    """Serialize a body as compact JSON with sorted keys."""
     return json.dumps(value, sort_keys=True, separators=(',', ':'))
 
 
-def pretty(body: str) -> str:
-    """Lay a body out for people; a deletion has none."""
+def indent_body(body: str) -> str:
+    """Format a body as indented JSON; return an empty one unchanged."""
     if not body:
         return ''
     return json.dumps(
@@ -90,26 +90,26 @@
     )
 
 
-def body_of(document: messages.Document | None) -> str:
-    """Give the body of a document, empty if there is none."""
+def body_or_empty(document: messages.Document | None) -> str:
+    """Return the body of a document, empty if there is no document."""
     return '' if document is None else document.body
 
 
-def same(first: str, second: str) -> bool:
-    """Tell whether two bodies say the same."""
-    return pretty(first) == pretty(second)
+def is_same_body(first: str, second: str) -> bool:
+    """Tell whether two bodies are equal, regardless of their layout."""
+    return indent_body(first) == indent_body(second)
 
 
-def difference(
+def unified_diff(
     before: str,
     after: str,
     before_name: str,
     after_name: str,
 ) -> str:
-    """Show what differs between two bodies as a unified diff."""
+    """Return a unified diff between two bodies."""
     lines = difflib.unified_diff(
-        pretty(before).splitlines(),
-        pretty(after).splitlines(),
+        indent_body(before).splitlines(),
+        indent_body(after).splitlines(),
         before_name,
         after_name,
         lineterm='',
--- a/tamarackthread/cli/exit_codes.py
+++ b/tamarackthread/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Name the exit codes of the command line; docs/OPERATORS.md explains them."""
+"""Define the exit codes of the command line (see docs/OPERATORS.md)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Say how a command ended, so that a script need not read its words."""
+    """The result of a command, for scripts."""
 
     DONE = 0
     INVALID = 1
--- a/tamarackthread/cli/failures.py
+++ b/tamarackthread/cli/failures.py
@@ -48,7 +48,7 @@
 
 
 class OptionInvalid(CommandFailed):
-    """Option is missing or makes no sense."""
+    """Option is missing or invalid."""
 
     code = 'TT2105'
     status = 400
@@ -64,7 +64,7 @@
 
 
 class LineUnreadable(CommandFailed):
-    """Line of a log is cut or is no line of ours; the others are read."""
+    """Log line is truncated or malformed; the other lines are read."""
 
     code = 'TT2107'
     status = 400
@@ -72,7 +72,7 @@
 
 
 class LogsEmpty(CommandFailed):
-    """Files hold no line of a process's log."""
+    """Files contain no structured log line."""
 
     code = 'TT2108'
     status = 400
@@ -80,9 +80,9 @@
 
 
 def describe(exc: errors.CodedError) -> str:
-    """Say what failed: the code, what it stands for, and the particulars."""
+    """Format an error as its code, its meaning and its details."""
     meaning = (type(exc).__doc__ or '').partition('\n')[0]
-    particulars = str(exc)
-    if particulars in {'', type(exc).__doc__}:
+    details = str(exc)
+    if details in {'', type(exc).__doc__}:
         return f'{exc.code} {meaning}'
-    return f'{exc.code} {meaning.rstrip(".")}: {particulars}'
+    return f'{exc.code} {meaning.rstrip(".")}: {details}'
--- a/tamarackthread/cli/render.py
+++ b/tamarackthread/cli/render.py
@@ -1,4 +1,4 @@
-"""Lay answers out for people and for scripts."""
+"""Format replies as text and as JSON values."""
 
 from __future__ import annotations
 
@@ -11,35 +11,38 @@
 from tamarackthread.generated.messages import ttypes as messages
 
 MILLISECONDS = 1000
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 Rows = collections.abc.Sequence[collections.abc.Sequence[typing.Any]]
 
 
 def as_json(value: typing.Any) -> str:
-    """Write one value as JSON on one line."""
+    """Serialize a value as JSON on one line."""
     return json.dumps(value, ensure_ascii=False)
 
 
-def table(heads: collections.abc.Sequence[str], rows: Rows) -> str:
-    """Lay rows out under heads, each column as wide as it needs."""
-    lines = [tuple(heads), *(tuple(str(cell) for cell in row) for row in rows)]
+def table(headers: collections.abc.Sequence[str], rows: Rows) -> str:
+    """Format a table with column widths that fit the cells."""
+    lines = [
+        tuple(headers),
+        *(tuple(str(cell) for cell in row) for row in rows),
+    ]
     widths = [max(len(cell) for cell in column) for column in zip(*lines)]
     return '\n'.join(
-        _GAP.join(
+        _COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(line, widths)
         ).rstrip()
         for line in lines
     )
 
 
-def yes(value: bool) -> str:
-    """Write a truth value in a word."""
+def yes_no(value: bool) -> str:
+    """Format a truth value as ``yes`` or ``no``."""
     return 'yes' if value else 'no'
 
 
-def moment(unix_ms: int) -> str:
-    """Write a time of the wall clock in UTC, to the millisecond."""
+def utc_time(unix_ms: int) -> str:
+    """Format Unix milliseconds as an ISO 8601 time in UTC."""
     found = datetime.datetime.fromtimestamp(
         unix_ms / MILLISECONDS,
         datetime.UTC,
@@ -48,7 +51,7 @@
 
 
 def document_values(document: messages.Document) -> dict[str, typing.Any]:
-    """Give a document as plain values; the body of a deletion is null."""
+    """Convert a document to JSON values; a deletion has a null body."""
     return {
         'kind': document.kind,
         'name': document.name,
@@ -59,7 +62,7 @@
 
 
 def result_values(result: changes.Result) -> dict[str, typing.Any]:
-    """Give the result of a change as plain values."""
+    """Convert the result of a change to JSON values."""
     return {
         'outcome': str(result.outcome),
         'change_id': result.change_id,
@@ -70,7 +73,7 @@
 
 
 def result_text(result: changes.Result, title: str) -> str:
-    """Say what became of a change."""
+    """Format the result of a change."""
     if result.outcome == changes.Outcome.CONFLICT:
         return (
             f'{title}: conflict, version {result.version} is in force\n'
@@ -83,7 +86,7 @@
 
 
 def status_values(status: messages.StatusReply) -> dict[str, typing.Any]:
-    """Give a status as plain values."""
+    """Convert a status to JSON values."""
     return {
         'revision': status.revision,
         'nodes': status.nodes,
@@ -104,12 +107,12 @@
 
 
 def status_text(status: messages.StatusReply, revision: int) -> str:
-    """Say how far a revision is in force, and who lags."""
+    """Format how many nodes have a revision in force, and the laggards."""
     asked = revision or status.revision
     lines = [
         f'revision {asked} in force on {status.in_force} '
         f'of {status.nodes} nodes',
-        f'everywhere: {yes(bool(status.in_force_everywhere))}',
+        f'everywhere: {yes_no(bool(status.in_force_everywhere))}',
         f'newest revision {status.revision}, leader {status.leader}, '
         f'term {status.term}',
     ]
@@ -122,10 +125,10 @@
 
 
 def audit_values(record: messages.AuditRecord) -> dict[str, typing.Any]:
-    """Give an audit record as plain values."""
+    """Convert an audit record to JSON values."""
     return {
         'revision': record.revision,
-        'time': moment(record.unix_ms or 0),
+        'time': utc_time(record.unix_ms or 0),
         'actor': record.actor,
         'origin': record.origin,
         'kind': record.kind,
@@ -138,15 +141,15 @@
 
 
 def audit_text(record: messages.AuditRecord, with_difference: bool) -> str:
-    """Say who changed what and when, on one line or with the difference."""
+    """Format an audit record as one line, optionally with a diff."""
     line = (
-        f'{record.revision} {moment(record.unix_ms or 0)} '
+        f'{record.revision} {utc_time(record.unix_ms or 0)} '
         f'{record.actor}@{record.origin} {record.kind} {record.name} '
         f'{record.outcome}'
     )
     if not with_difference:
         return line
-    shown = document_files.difference(
+    shown = document_files.unified_diff(
         record.before or '',
         record.after or '',
         'before',
@@ -156,7 +159,7 @@
 
 
 def members_values(reply: messages.MemberReply) -> dict[str, typing.Any]:
-    """Give the members of a group as plain values."""
+    """Convert the members of a group to JSON values."""
     return {
         'term': reply.term,
         'commit_index': reply.commit_index,
@@ -177,12 +180,20 @@
 def members_text(
     groups: collections.abc.Mapping[str, messages.MemberReply],
 ) -> str:
-    """Show the members of each group in one table."""
+    """Format the members of all groups as one table."""
     rows = []
     for group, reply in groups.items():
         rows.extend(_member_rows(group, reply))
-    heads = ('group', 'node', 'address', 'part', 'leads', 'reachable', 'index')
-    return table(heads, rows)
+    headers = (
+        'group',
+        'node',
+        'address',
+        'part',
+        'leads',
+        'reachable',
+        'index',
+    )
+    return table(headers, rows)
 
 
 def _member_rows(group: str, reply: messages.MemberReply) -> Rows:
@@ -192,8 +203,8 @@
             member.node,
             member.address,
             'voter' if member.voter else 'learner',
-            yes(bool(member.leader)),
-            yes(bool(member.reachable)),
+            yes_no(bool(member.leader)),
+            yes_no(bool(member.reachable)),
             member.match_index,
         )
         for member in reply.members or ()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -29,8 +29,8 @@
     return identity.LinkOptions(own, keys=(KEY,))
 
 
-def wish(body, based_on=None, change_id=''):
-    return changes.Wish('profile', 'dawn', body, based_on, change_id)
+def edit(body, based_on=None, change_id=''):
+    return changes.Edit('profile', 'dawn', body, based_on, change_id)
 
 
 class ControlCase(unittest.IsolatedAsyncioTestCase):
@@ -59,9 +59,9 @@
         version 2; the second names version 1 as its base, so it must not
         undo the first unseen.
         """
-        await changes.apply(self.operator, wish('{}'))
-        first = wish('{"drain":{"seconds":60}}', 1)
-        second = wish('{"drain":{"seconds":90}}', 1)
+        await changes.apply(self.operator, edit('{}'))
+        first = edit('{"drain":{"seconds":60}}', 1)
+        second = edit('{"drain":{"seconds":90}}', 1)
         won = await changes.apply(self.operator, first)
         lost = await changes.apply(self.operator, second)
         self.assertEqual(won.outcome, changes.Outcome.ACCEPTED)
@@ -79,7 +79,7 @@
         answers as it did first, so there is one version and not three.
         """
         self.control.answers_to_lose = 2
-        result = await changes.apply(self.operator, wish('{}'))
+        result = await changes.apply(self.operator, edit('{}'))
         self.assertEqual(result.outcome, changes.Outcome.ACCEPTED)
         self.assertEqual(result.version, 1)
         sent = [
@@ -100,11 +100,11 @@
         hasty = self.make_operator(patience=1)
         caught = self.assertRaises(failures.ChangeOutcomeUnknown)
         with caught:
-            await changes.apply(hasty, wish('{}'))
+            await changes.apply(hasty, edit('{}'))
         words = str(caught.exception).split()
         change_id = words[words.index('--change-id') + 1]
         self.control.answers_to_lose = 0
-        result = await changes.apply(self.operator, wish('{}', 0, change_id))
+        result = await changes.apply(self.operator, edit('{}', 0, change_id))
         self.assertEqual((result.outcome, result.version), ('accepted', 1))
 
     async def test_unreachable_control_means_that_nothing_changed(self):
@@ -126,11 +126,11 @@
     async def test_rollback_is_a_new_version_and_delete_can_be_undone(self):
         bodies = ('{}', '{"drain":{"seconds":60}}')
         for base, body in enumerate(bodies):
-            await changes.apply(self.operator, wish(body, base))
-        back = await changes.roll_back(self.operator, wish(''), 1)
+            await changes.apply(self.operator, edit(body, base))
+        back = await changes.roll_back(self.operator, edit(''), 1)
         self.assertEqual(back.version, 3)
-        await changes.delete(self.operator, wish(''))
-        await changes.roll_back(self.operator, wish(''), 2)
+        await changes.delete(self.operator, edit(''))
+        await changes.roll_back(self.operator, edit(''), 2)
         held = await self.operator.document('profile', 'dawn')
         self.assertEqual(held.body, bodies[1])
 
@@ -138,15 +138,15 @@
         body = '{"drain":{"seconds":-1},"routng":{}}'
         caught = self.assertRaises(findings.InvalidError)
         with caught:
-            await changes.apply(self.operator, wish(body))
+            await changes.apply(self.operator, edit(body))
         places = {found.place for found in caught.exception.findings}
         self.assertEqual(places, {'$.drain.seconds', '$.routng'})
 
     async def test_file_without_version_does_not_replace_a_document(self):
-        await changes.apply(self.operator, wish('{}'))
+        await changes.apply(self.operator, edit('{}'))
         with self.assertRaises(failures.BaseUnknown):
-            await changes.apply(self.operator, wish('{"drain":{}}'))
-        same = await changes.apply(self.operator, wish('{ }'))
+            await changes.apply(self.operator, edit('{"drain":{}}'))
+        same = await changes.apply(self.operator, edit('{ }'))
         self.assertEqual(same.outcome, changes.Outcome.UNCHANGED)
 
     async def test_list_longer_than_a_page_is_read_whole(self):
@@ -162,7 +162,7 @@
     async def test_newest_audit_reads_back_far_enough(self):
         for base in range(7):
             body = f'{{"drain":{{"seconds":{base + 1}}}}}'
-            await changes.apply(self.operator, wish(body, base))
+            await changes.apply(self.operator, edit(body, base))
         records = await self.operator.newest_audit(3)
         self.assertEqual([one.revision for one in records], [5, 6, 7])
         self.assertEqual({one.actor for one in records}, {'ann'})
@@ -200,10 +200,10 @@
         operator's change comes in between; ``apply`` then exits with 3 and
         prints what differs.
         """
-        await changes.apply(self.operator, wish('{}'))
+        await changes.apply(self.operator, edit('{}'))
         code, shown, _ = await self.run_command('profile', 'show', 'dawn')
         self.assertEqual((code, shown), (0, '// profile dawn version 1\n{}\n'))
-        await changes.apply(self.operator, wish('{"drain":{"seconds":5}}', 1))
+        await changes.apply(self.operator, edit('{"drain":{"seconds":5}}', 1))
         edited = self.file(shown.replace('{}', '{"resume": {}, // mine\n}'))
         code, said, _ = await self.run_command(
             'profile', 'apply', 'dawn', edited
@@ -224,7 +224,7 @@
         self.assertIn(f'{path}:3:2: TT2004', said)
 
     async def test_json_reads_are_json(self):
-        await changes.apply(self.operator, wish('{}'))
+        await changes.apply(self.operator, edit('{}'))
         for words in (
             ('profile', 'list'),
             ('profile', 'show', 'dawn', '--effective'),
