--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -22,7 +22,9 @@
 from tamarackthread.shared import documents, structure
 
 _NAME_ARGUMENT = helpers.argument('name', 'Name of the document.')
-_FILE_ARGUMENT = helpers.argument('file', 'File with the body, JSON with comments.')
+_FILE_ARGUMENT = helpers.argument(
+    'file', 'File with the body, JSON with comments.'
+)
 _BASED_ON_OPTION = helpers.option(
     'based-on',
     None,
