--- a/bench/slopes/wire_sizes.py
+++ b/bench/slopes/wire_sizes.py
@@ -32,7 +32,7 @@
 
 def _heartbeats() -> fit.Slope:
     beat = wire.pack(wire.Kind.HEARTBEAT)
-    echo = wire.pack(wire.Kind.ECHO, link.CLOCK.pack(1))
+    echo = wire.pack(wire.Kind.ECHO, link.CLOCK_FORMAT.pack(1))
     each = float(len(beat) + len(echo))
     points = [(float(size), each * size) for size in SIZES]
     return fit.fit('heartbeat_bytes', 'bytes, with its echo', points)
