--- a/bench/engines/call_bounds.py
+++ b/bench/engines/call_bounds.py
@@ -17,7 +17,7 @@
 class Unbounded(concurrency.ConcurrencyLimit):
     """Let the ranks have all calls."""
 
-    def max_calls(self, crowd: concurrency.GroupLoad, now: float) -> float:
+    def max_calls(self, load: concurrency.GroupLoad, now: float) -> float:
         """Return infinity."""
         return math.inf
 
@@ -31,17 +31,17 @@
         self._most = math.inf
         self._tried_at = -math.inf
 
-    def max_calls(self, crowd: concurrency.GroupLoad, now: float) -> float:
+    def max_calls(self, load: concurrency.GroupLoad, now: float) -> float:
         """Return the bound as it is found by now."""
         usual = self._passes.median(now)
         if usual and now - self._tried_at >= TRY_SECONDS:
             self._tried_at = now
-            self._try(usual, crowd)
-        return min(self._most, super().max_calls(crowd, now))
+            self._try(usual, load)
+        return min(self._most, super().max_calls(load, now))
 
-    def _try(self, usual: float, crowd: concurrency.GroupLoad) -> None:
+    def _try(self, usual: float, load: concurrency.GroupLoad) -> None:
         if usual > self._limit:
-            fallen = min(self._most, crowd.calls) * FALL_SHARE
-            self._most = max(crowd.ranks, fallen)
+            fallen = min(self._most, load.calls) * FALL_SHARE
+            self._most = max(load.ranks, fallen)
         else:
-            self._most += crowd.ranks * GROWTH
+            self._most += load.ranks * GROWTH
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -169,7 +169,7 @@
         return concurrency.GroupLoad(
             calls=own + others,
             ranks=len(ready),
-            places=sum(target.slots for target in ready),
+            slots=sum(target.slots for target in ready),
             pace=max((target.pace for target in ready), default=1),
             own=own,
         )
--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -36,7 +36,7 @@
 def crowd(held, ranks=10, places=50, pace=1.0):
     """Build a group of ranks with some calls."""
     return concurrency.GroupLoad(
-        calls=held, ranks=ranks, places=places, pace=pace
+        calls=held, ranks=ranks, slots=places, pace=pace
     )
 
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -330,7 +330,7 @@
             found.own += 1
         self.assertEqual('w1', known.choose(SERVICE, ('w0',)).name)
         crowd = known.crowd(SERVICE, 1)
-        self.assertEqual((2, 4), (crowd.ranks, crowd.places))
+        self.assertEqual((2, 4), (crowd.ranks, crowd.slots))
         known.learn_zones([zones.Zone('west', True, 1)])
         self.assertIsNone(known.choose(SERVICE, ()))
         self.assertEqual(0, known.crowd(SERVICE, 1).ranks)
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -76,7 +76,7 @@
         self.assertEqual({'g1', 'g2'}, found)
         crowd = known.crowd(SERVICE, 1)
         self.assertEqual(2 * RANKS, crowd.ranks)
-        self.assertEqual(2 * RANKS * SLOTS, crowd.places)
+        self.assertEqual(2 * RANKS * SLOTS, crowd.slots)
         known.learn_groups(1, rows(closed=NAMES))
         self.assertIsNotNone(known.choose(SERVICE, ()))
 
