--- a/tests/policy_case.py
+++ b/tests/policy_case.py
@@ -1,4 +1,4 @@
-"""Help to test the policies on paused loop time."""
+"""Helpers for tests of policies on a virtual clock."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class PausedCase(unittest.TestCase):
-    """Run a test's coroutine on paused time."""
+    """Run a test's coroutine on a virtual clock."""
 
     def run_paused(self, work):
         with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
@@ -65,14 +65,14 @@
     )
 
 
-def gate(views, **fields):
-    """Build an admission in front of some targets."""
+def build_admission(views, **fields):
+    """Build the admission of some targets."""
     generator = random.Random(SEED)
     policy = routing.ExpectedFirstToken('east', generator)
-    place = allocator.TargetAllocator(
+    capacity = allocator.TargetAllocator(
         policy, allocator.AllocatorSettings(urgent_extra=0)
     )
-    place.set_targets(views)
+    capacity.set_targets(views)
     settings = admission.AdmissionSettings(**fields.pop('settings', {}))
     shares = fields.pop('shares', fairness.EqualShares())
-    return admission.Admission(place, shares, generator, settings, **fields)
+    return admission.Admission(capacity, shares, generator, settings, **fields)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Prove what callers are told when a service has less room than calls."""
+"""Test admission, fair queueing and retry times under overload."""
 
 import asyncio
 import random
@@ -19,33 +19,30 @@
 
 
 class TestAdmission(policy_case.PausedCase):
-    """Admit, queue and refuse on paused time."""
+    """Test admission, queueing and refusals on a virtual clock."""
 
-    async def serve(self, gate, call, seconds=HOLD):
-        ticket = await gate.submit(call)
+    async def serve(self, admission, call, seconds=HOLD):
+        ticket = await admission.submit(call)
         await asyncio.sleep(seconds)
         ticket.release()
         return asyncio.get_running_loop().time()
 
-    def start(self, gate, count, **fields):
+    def start(self, admission, count, **fields):
         return [
             asyncio.create_task(
-                self.serve(gate, policy_case.call(**fields)),
+                self.serve(admission, policy_case.call(**fields)),
             )
             for _ in range(count)
         ]
 
     def test_urgent_passes_full_queue(self):
-        """An urgent notice arrives behind a queue of drafts.
-
-        It takes the very next place; the drafts in front of it wait.
-        """
+        """Guards against urgent calls that wait behind queued ones."""
 
         async def scenario():
-            gate = policy_case.gate([policy_case.view('t')])
-            drafts = self.start(gate, 12)
+            admission = policy_case.build_admission([policy_case.view('t')])
+            drafts = self.start(admission, 12)
             await asyncio.sleep(0)
-            urgent = self.start(gate, 1, priority=calls.Priority.URGENT)
+            urgent = self.start(admission, 1, priority=calls.Priority.URGENT)
             ended = await urgent[0]
             self.assertAlmostEqual(ended, 2 * HOLD, places=2)
             await asyncio.gather(*drafts)
@@ -53,32 +50,25 @@
         self.run_paused(scenario())
 
     def test_large_organisation_waits_behind_itself(self):
-        """One organisation floods the service, then a small one calls.
-
-        The small one's call goes next although many arrived before it.
-        """
+        """Guards against one organisation starving another."""
 
         async def scenario():
-            gate = policy_case.gate([policy_case.view('t')])
-            flood = self.start(gate, 16, organisation='large')
+            admission = policy_case.build_admission([policy_case.view('t')])
+            flood = self.start(admission, 16, organisation='large')
             await asyncio.sleep(0)
-            small = self.start(gate, 1, organisation='small')
+            small = self.start(admission, 1, organisation='small')
             self.assertAlmostEqual(await small[0], 2 * HOLD, places=2)
             await asyncio.gather(*flood)
 
         self.run_paused(scenario())
 
     def test_refused_at_once(self):
-        """Far more calls arrive than can start in time.
-
-        Each one too many hears so in the moment it asks, with a time to come
-        back, and none is refused after a wait.
-        """
+        """Guards against excess calls that are refused only after a wait."""
 
         async def scenario():
-            gate = policy_case.gate([policy_case.view('t')])
+            admission = policy_case.build_admission([policy_case.view('t')])
             loop = asyncio.get_running_loop()
-            admitted = self.start(gate, 200)
+            admitted = self.start(admission, 200)
             await asyncio.sleep(0.001)
             refused = [task for task in admitted if task.done()]
             self.assertLess(loop.time(), 0.01)
@@ -94,38 +84,32 @@
         self.run_paused(scenario())
 
     def test_lost_target_sheds_queue(self):
-        """A queue has formed and three of four targets are lost.
-
-        The callers who can't be served in time hear so within a moment, not
-        when their time has run out.
-        """
+        """Guards against holding calls until expiry after targets are lost."""
 
         async def scenario():
             views = [policy_case.view(f't-{rank}') for rank in range(4)]
-            gate = policy_case.gate(views)
-            tasks = self.start(gate, 70, deadline=3.0)
+            admission = policy_case.build_admission(views)
+            tasks = self.start(admission, 70, deadline=3.0)
             await asyncio.sleep(0.001)
             for view in views[1:]:
                 view.load.report(policy_case.report(1, leaving=True), 0.001)
-            queued = gate.queued
+            queued = admission.queued
             await asyncio.sleep(0.3)
             self.assertGreater(queued, 15)
-            self.assertLess(gate.queued, queued / 2)
+            self.assertLess(admission.queued, queued / 2)
             await asyncio.gather(*tasks, return_exceptions=True)
 
         self.run_paused(scenario())
 
     def test_caller_leaves_as_it_is_admitted(self):
-        """A caller hangs up in the very moment its place becomes free.
-
-        Nobody would release that place: the target would seem to have one
-        slot less for good.
-        """
+        """Guards against leaking the slot of a call cancelled on admission."""
 
         async def scenario():
-            gate = policy_case.gate([policy_case.view('t')])
-            holders = [await gate.submit(policy_case.call()) for _ in range(4)]
-            waiting = self.start(gate, 2)
+            admission = policy_case.build_admission([policy_case.view('t')])
+            holders = [
+                await admission.submit(policy_case.call()) for _ in range(4)
+            ]
+            waiting = self.start(admission, 2)
             await asyncio.sleep(0)
             holders[0].release()
             waiting[0].cancel()
@@ -133,20 +117,19 @@
             await asyncio.gather(*waiting, return_exceptions=True)
             for holder in holders:
                 holder.release()
-            self.assertEqual((gate.running, gate.queued), (0, 0))
-            await gate.submit(policy_case.call())
+            self.assertEqual((admission.running, admission.queued), (0, 0))
+            await admission.submit(policy_case.call())
 
         self.run_paused(scenario())
 
     def test_preempts_newest_draft(self):
-        """Background drafts hold every slot and an urgent notice arrives.
+        """Guards against urgent calls that wait for background ones.
 
-        After a short wait the newest draft is asked to give way; the notice
-        gets its place, and the draft, begun, goes on before the queue.
+        The newest one is pre-empted and resumes ahead of the queue.
         """
 
         async def scenario():
-            gate = policy_case.gate(
+            admission = policy_case.build_admission(
                 [policy_case.view('t')],
                 preempt=preemption.NewestDraft(),
             )
@@ -155,10 +138,10 @@
                 background = policy_case.call(
                     priority=calls.Priority.BACKGROUND, answer_tokens=50
                 )
-                drafts.append(await gate.submit(background))
+                drafts.append(await admission.submit(background))
                 await asyncio.sleep(0.01)
             drafts[3].advance(5)
-            urgent = self.start(gate, 1, priority=calls.Priority.URGENT)
+            urgent = self.start(admission, 1, priority=calls.Priority.URGENT)
             await drafts[3].preempted.wait()
             self.assertFalse(drafts[0].preempted.is_set())
             drafts[3].release()
@@ -170,39 +153,36 @@
         self.run_paused(scenario())
 
     def test_slow_target_does_not_refuse_for_others(self):
-        """The one target with room is stalled; the good one is full.
-
-        The call waits for the good one instead of being refused for the bad.
-        """
+        """Guards against a refusal because the only free target is stalled."""
 
         async def scenario():
             good, bad = policy_case.view('good'), policy_case.view('bad')
             bad.load.report(policy_case.report(1, step_ms=500.0), 0)
-            gate = policy_case.gate([good, bad])
+            admission = policy_case.build_admission([good, bad])
             fields = {'deadline': 1.5, 'answer_tokens': 20}
-            tasks = self.start(gate, 5, **fields)
+            tasks = self.start(admission, 5, **fields)
             ended = await asyncio.gather(*tasks)
             self.assertAlmostEqual(max(ended), 2 * HOLD, places=2)
 
         self.run_paused(scenario())
 
     def test_late_stream_asks_to_move(self):
-        """A rank stalls and a stream slows so that it would end late.
+        """Guards against late streams that stay on a stalled target.
 
-        It asks to go on elsewhere.  A call that must not repeat stays.
+        Calls that aren't idempotent stay.
         """
 
         async def scenario():
             budget = retries.RetryBudget(retries.RetrySettings(), 0)
-            gate = policy_case.gate(
+            admission = policy_case.build_admission(
                 [policy_case.view(f't-{rank}') for rank in range(5)],
                 move=migration.LateStreams(budget),
             )
             fields = {'deadline': 3.0, 'answer_tokens': 100}
-            stream = await gate.submit(
+            stream = await admission.submit(
                 policy_case.call(idempotent=True, **fields)
             )
-            order = await gate.submit(policy_case.call(**fields))
+            order = await admission.submit(policy_case.call(**fields))
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 stream.advance(2)
@@ -217,42 +197,41 @@
         async def scenario():
             portions = buckets.Portions()
             portions.set_cap('capped', safe_rate=2.0, now=0)
-            gate = policy_case.gate([policy_case.view('t')], portions=portions)
+            admission = policy_case.build_admission(
+                [policy_case.view('t')], portions=portions
+            )
             capped = policy_case.call(organisation='capped')
             for _ in range(2):
-                await gate.submit(capped)
+                await admission.submit(capped)
             refused = await asyncio.gather(
-                gate.submit(capped), return_exceptions=True
+                admission.submit(capped), return_exceptions=True
             )
             self.assertIsInstance(refused[0], refusals.ShareExceeded)
             self.assertAlmostEqual(refused[0].retry_after, 0.5)
             with self.assertRaises(refusals.DeadlineTooClose):
-                await gate.submit(policy_case.call(deadline=0.001))
+                await admission.submit(policy_case.call(deadline=0.001))
 
         self.run_paused(scenario())
 
     def test_long_prompt_is_served(self):
-        """A prompt needs longer than the goal for the first token by itself.
-
-        On an idle service it must be answered, not refused for good.
-        """
+        """Guards against always refusing prompts with a long prefill."""
 
         async def scenario():
-            gate = policy_case.gate([policy_case.view('t')])
-            await self.start(gate, 1, prompt_tokens=100_000)[0]
+            admission = policy_case.build_admission([policy_case.view('t')])
+            await self.start(admission, 1, prompt_tokens=100_000)[0]
 
         self.run_paused(scenario())
 
     def test_no_target(self):
         async def scenario():
             with self.assertRaises(refusals.NoTarget):
-                await policy_case.gate([]).submit(policy_case.call())
+                await policy_case.build_admission([]).submit(policy_case.call())
 
         self.run_paused(scenario())
 
 
 class TestFairQueue(policy_case.PausedCase):
-    """Serve flows by weight."""
+    """Test the order of service and its estimate."""
 
     def fill(self, queue, weights, count):
         for flow, weight in weights.items():
@@ -296,14 +275,10 @@
 
 
 class TestRetryTimes(policy_case.PausedCase):
-    """Spread the callers who come back."""
+    """Test how retries are spread over time."""
 
     def test_not_all_at_once(self):
-        """A hundred refused callers follow their retry times.
-
-        They come back at the organisation's share of the drain rate, 10 a
-        second, and not as the next wave.
-        """
+        """Guards against a retry storm of refused calls."""
         times = queue_rates.RetrySchedule(random.Random(policy_case.SEED))
         found = [
             times.reserve('a', cost=1, rate=10, wait=0.2, now=0)
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -1,8 +1,4 @@
-"""Prove that entries together keep to what a target in need takes.
-
-The pattern: a target names a limit that many entries share, and callers press at
-all of them at twice of it, at some much more than at others.
-"""
+"""Test that entries together keep to the rate limit of a target."""
 
 import functools
 import itertools
@@ -19,39 +15,43 @@
 from tests import policy_case, test_backpressure, test_shared_calls
 
 TARGET = 't'
-TICK = 0.05
-SECONDS = 14.0
-WINDOW = 4.0
-# What a target bears beyond its limit before it is worse than without one.
-MOST_FACTOR = 1.5
-MOST_MORE = 5
-PRESSED = 2.0
+TICK_SECONDS = 0.05
+DURATION_SECONDS = 14.0
+WINDOW_SECONDS = 4.0
+# Allowed excess over the limit in a window.
+MAX_FACTOR = 1.5
+MAX_EXTRA = 5
+OVERLOAD_FACTOR = 2.0
 
 
 @attrs.define
 class Sender:
-    """An entry: its limit, what it sent, and its part."""
+    """A simulated entry with its share of the limit."""
 
     part: rate_limit.EntryShare
     demand: float
     limit: rate_limit.RateLimit = attrs.field(factory=rate_limit.RateLimit)
     sent: sent_calls.SentCalls = attrs.field(factory=sent_calls.SentCalls)
-    owed: float = 0
+    pending_calls: float = 0
 
-    def press(self, rate, now):
-        """Send what callers want and the limit lets go; return how many."""
-        self.owed = min(2 * rate + 1, self.owed + self.demand * TICK)
+    def send(self, rate, now):
+        """Send as many calls as demand and limit allow; return the count."""
+        self.pending_calls = min(
+            2 * rate + 1, self.pending_calls + self.demand * TICK_SECONDS
+        )
         count = 0
-        while self.owed >= 1 and self.limit.allows(self.sent, self.part, now):
+        while self.pending_calls >= 1 and self.limit.allows(
+            self.sent, self.part, now
+        ):
             self.sent.record(now)
             self.limit.update(rate, now)
-            self.owed -= 1
+            self.pending_calls -= 1
             count += 1
         return count
 
 
-def senders_of(weights, sides, rate):
-    """Build entries that see those of their own side only."""
+def build_senders(weights, sides, rate):
+    """Build entries that see only those on their side of a partition."""
     names = tuple(f'e{number}' for number in range(len(weights)))
     found = []
     for number, name in enumerate(names):
@@ -67,39 +67,39 @@
             fleet.count(),
             fleet.place(TARGET),
         )
-        wanted = PRESSED * rate * weights[number] / sum(weights)
+        wanted = OVERLOAD_FACTOR * rate * weights[number] / sum(weights)
         sender = Sender(part, wanted)
         sender.limit.update(rate, 0)
         found.append(sender)
     return found
 
 
-def play(senders, rate):
-    """Press for some time; return the calls of each tick."""
-    ticks = int(SECONDS / TICK)
+def simulate(senders, rate):
+    """Simulate all entries; return the calls sent in each tick."""
+    ticks = int(DURATION_SECONDS / TICK_SECONDS)
     return [
-        sum(sender.press(rate, 1 + tick * TICK) for sender in senders)
+        sum(sender.send(rate, 1 + tick * TICK_SECONDS) for sender in senders)
         for tick in range(ticks)
     ]
 
 
-def worst(counts):
-    """Return the most calls of any window."""
-    width = int(WINDOW / TICK)
+def max_in_window(counts):
+    """Return the largest number of calls in any window."""
+    width = int(WINDOW_SECONDS / TICK_SECONDS)
     sums = list(itertools.accumulate(counts, initial=0))
     return max(
         last - first for first, last in zip(sums, sums[width:], strict=False)
     )
 
 
-def used(counts, rate):
-    """Return which part of the limit was used, the first window apart."""
-    width = int(WINDOW / TICK)
+def utilisation(counts, rate):
+    """Return the utilisation of the limit after the first window."""
+    width = int(WINDOW_SECONDS / TICK_SECONDS)
     late = counts[width:]
-    return sum(late) / (rate * len(late) * TICK)
+    return sum(late) / (rate * len(late) * TICK_SECONDS)
 
 
-class SumCase(unittest.TestCase):
+class SharedLimitCase(unittest.TestCase):
     @hypothesis.settings(
         max_examples=60, deadline=None, derandomize=True, database=None
     )
@@ -113,34 +113,35 @@
         ),
     )
     def test_never_over(self, rate, weights, cuts):
-        """Guards against entries that together send more than a target bears."""
-        senders = senders_of(weights, cuts[: len(weights)], rate)
-        most = MOST_FACTOR * rate * WINDOW + MOST_MORE
-        self.assertLessEqual(worst(play(senders, rate)), most)
+        """Guards against entries that together exceed the limit."""
+        senders = build_senders(weights, cuts[: len(weights)], rate)
+        most = MAX_FACTOR * rate * WINDOW_SECONDS + MAX_EXTRA
+        self.assertLessEqual(max_in_window(simulate(senders, rate)), most)
 
     def test_used_in_touch(self):
-        """Guards against a limit that is left unused while calls wait."""
+        """Guards against an underused limit while calls wait."""
         weights = [1 + number % 4 for number in range(17)]
         for rate in (5.0, 12.0, 40.0):
             with self.subTest(rate=rate):
-                found = play(
-                    senders_of(weights, tuple(map(int, bytes(17))), rate), rate
+                found = simulate(
+                    build_senders(weights, tuple(map(int, bytes(17))), rate),
+                    rate,
                 )
-                self.assertGreaterEqual(used(found, rate), 0.8)
+                self.assertGreaterEqual(utilisation(found, rate), 0.8)
 
     def test_used_with_a_third_cut_off(self):
-        """Guards against a limit left unused while a third is cut off."""
+        """Guards against an underused limit during a partition."""
         weights = [1 + number % 4 for number in range(18)]
         sides = [int(number % 3 == 0) for number in range(18)]
         for rate in (5.0, 12.0, 40.0):
             with self.subTest(rate=rate):
-                found = play(senders_of(weights, sides, rate), rate)
-                self.assertGreaterEqual(used(found, rate), 0.5)
+                found = simulate(build_senders(weights, sides, rate), rate)
+                self.assertGreaterEqual(utilisation(found, rate), 0.5)
 
 
-class TouchCase(policy_case.PausedCase):
+class ConnectedEntriesCase(policy_case.PausedCase):
     def test_entries_in_touch(self):
-        """Guards against a part of the limit for an entry that is not heard."""
+        """Guards against a share for an entry that can't be reached."""
         self.run_paused(self._exchanged())
 
     async def _exchanged(self):
@@ -158,21 +159,21 @@
         self.assertEqual(1, first._standing._demands['s'].entries)
 
 
-class EndCase(unittest.TestCase):
+class LimitExpiryCase(unittest.TestCase):
     def setUp(self):
         self.sent = sent_calls.SentCalls()
         self.limit = rate_limit.RateLimit()
         self.part = rate_limit.EntryShare(rate_limit.SOLE_ENTRY, 1, 0)
 
     def test_answer_without_a_limit(self):
-        """Guards against a limit that outlives the target's need."""
+        """Guards against a limit kept after an answer without one."""
         self.limit.update(0, 1)
         self.assertFalse(self.limit.allows(self.sent, self.part, 2))
         self.limit.update(None, 3)
         self.assertTrue(self.limit.allows(self.sent, self.part, 3))
 
     def test_nobody_answers(self):
-        """Guards against a limit for ever, and against its end at once."""
+        """Guards against a stale limit that is never, or fully, lifted."""
         self.limit.update(0, 1)
         late = 1 + rate_limit.STALE_SECONDS + 0.1
         self.assertTrue(self.limit.allows(self.sent, self.part, late))
@@ -180,7 +181,7 @@
         self.assertFalse(self.limit.allows(self.sent, self.part, late + 1))
 
     def test_values(self):
-        """Guards against values that make no sense."""
+        """Guards against accepting invalid rates."""
         wanted = {'2.5': 2.5, '0': 0, '-1': None, '': None, 'nan': None}
         found = {text: backpressure.parse_rate(text) for text in wanted}
         self.assertEqual(wanted, found)
@@ -188,7 +189,7 @@
 
 class LimitedCase(direct.DirectCase):
     async def test_limited_target(self):
-        """Guards against calls beyond the limit that an answer has named."""
+        """Guards against calls beyond the limit set by an answer."""
         self.serve(configuration.Kind.IDEMPOTENT)
         limited = await self.add(
             test_backpressure.naming('Server-Limit: 0.5', 'slow')
