--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -1,14 +1,4 @@
-"""Prove that targets get from an entry what their answers ask for.
-
-What was seen: a target of a plain service refused calls, asked an entry for
-some seconds of rest, and had several more calls from it in that time.  How it
-came about: all targets of the service were slow and its least loaded one, the
-one that refused, was chosen again at once.  Cause: the entry took a refusal
-for the answer to one call, and no part of it read what the same head said of
-calls to come.  Proof: the first case here, in which six calls of six went to
-the target, and one since its rest is kept with its start and every choice of
-a target goes by it.
-"""
+"""Test that entries respect the backpressure signals of targets."""
 
 import asyncio
 import unittest
@@ -23,8 +13,8 @@
 CALLS = 6
 
 
-def asking_for_rest(seconds):
-    """Refuse calls unrun and ask for rest."""
+def refuse_with_retry_after(seconds):
+    """Refuse every call with a ``Retry-After`` header."""
 
     async def script(target, head, writer):
         writer.write(
@@ -35,45 +25,47 @@
     return script
 
 
-class RestCase(direct.DirectCase):
-    async def test_resting_target_gets_no_call(self):
-        """Guards against calls to a target that has asked for rest."""
+class CooldownCase(direct.DirectCase):
+    async def test_no_calls_during_cooldown(self):
+        """Guards against calls to a target during its cooldown."""
         self.serve(configuration.Kind.IDEMPOTENT)
-        resting = await self.add(asking_for_rest(300))
-        sound = await self.add(direct.whole('yes'), zone='far')
+        cooling = await self.add(refuse_with_retry_after(300))
+        healthy = await self.add(direct.whole('yes'), zone='far')
         for _ in range(CALLS):
             self.assertEqual((200, b'yes'), (await self.ask())[:2])
-        self.assertEqual((1, CALLS), (len(resting.heads), len(sound.heads)))
+        self.assertEqual((1, CALLS), (len(cooling.heads), len(healthy.heads)))
 
-    async def test_all_rest(self):
-        """Guards against callers that wait, or return, while all rest."""
+    async def test_all_cooling_down(self):
+        """Guards against waits and early retries while all targets cool down."""
         self.serve(configuration.Kind.ONCE)
-        resting = [await self.add(asking_for_rest(30)) for _ in range(2)]
+        cooling = [
+            await self.add(refuse_with_retry_after(30)) for _ in range(2)
+        ]
         self.assertEqual(503, (await self.ask())[0])
         status, body, headers = await self.ask()
         self.assertEqual(503, status)
         self.assertIn(b'TT7215', body)
         self.assertGreater(float(headers['Retry-After']), 25)
-        self.assertEqual([1, 1], [len(fake.heads) for fake in resting])
+        self.assertEqual([1, 1], [len(fake.heads) for fake in cooling])
 
     async def test_answer_of_another_target(self):
-        """Guards against rest for a target whose address another one has."""
+        """Guards against signals from another target at the same address."""
         self.serve(configuration.Kind.ONCE)
 
-        async def another(target, head, writer):
+        async def other_target(target, head, writer):
             writer.write(
                 b'HTTP/1.1 421 No\r\nServer-Leaving: 1\r\n'
                 b'Content-Length: 0\r\n\r\n'
             )
 
-        await self.add(another)
+        await self.add(other_target)
         await self.add(direct.whole('yes'), zone='far')
         self.assertEqual(200, (await self.ask())[0])
         self.assertEqual(backpressure.NONE, self.known.get('t1').asked)
 
 
-def naming(header, text):
-    """Answer with a whole body and one header more."""
+def answer_with_header(header, text):
+    """Answer with a whole body and an additional header."""
 
     async def script(target, head, writer):
         start = direct.head_of(target, head)
@@ -87,9 +79,9 @@
 
 class LeavingCase(direct.DirectCase):
     async def test_leaving_target_gets_no_call(self):
-        """Guards against calls to a target whose answers say it leaves."""
+        """Guards against calls to a target that announces its shutdown."""
         self.serve(configuration.Kind.IDEMPOTENT)
-        near = await self.add(naming('Server-Leaving: 1', 'last'))
+        near = await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         await self.add(direct.whole('yes'), zone='far')
         answers = [(await self.ask())[1] for _ in range(CALLS)]
         self.assertEqual(b'last', answers[0])
@@ -97,18 +89,18 @@
         self.assertEqual(1, len(near.heads))
 
     async def test_last_target_leaves(self):
-        """Guards against refusals while only a target that leaves is there."""
+        """Guards against refusals while only a leaving target is left."""
         self.serve(configuration.Kind.IDEMPOTENT)
-        await self.add(naming('Server-Leaving: 1', 'last'))
+        await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
         self.known.get('t1').leaving_at = loop.time() - standing.LAST_SECONDS
         self.assertEqual(503, (await self.ask())[0])
 
     async def test_later_start(self):
-        """Guards against holding a later start for one that leaves."""
+        """Guards against treating a restarted target as leaving."""
         self.serve(configuration.Kind.IDEMPOTENT)
-        await self.add(naming('Server-Leaving: 1', 'last'))
+        await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         await self.ask()
         left = self.known.get('t1').said
         later = attrs.evolve(left, born=left.born + 1)
@@ -117,44 +109,44 @@
         self.assertFalse(self.known.get('t1').leaving_at)
 
 
-class ReturnCase(unittest.TestCase):
-    """Answer the load in which all callers of a target return at once."""
+class ProbeCase(unittest.TestCase):
+    """Test the single probe call after a cooldown."""
 
     def test_one_call_first(self):
-        """Guards against all calls at the moment at which a rest is over."""
-        rest = backpressure.Cooldown()
-        self.assertTrue(rest.allows_call(1))
-        rest.start(3, now=1)
-        self.assertFalse(rest.allows_call(3.9))
-        self.assertTrue(rest.allows_call(4))
-        rest.record_sent(4)
-        self.assertFalse(rest.allows_call(4.1))
-        rest.record_accepted(4.2)
-        self.assertTrue(rest.allows_call(4.2))
+        """Guards against all calls returning when a cooldown ends."""
+        cooldown = backpressure.Cooldown()
+        self.assertTrue(cooldown.allows_call(1))
+        cooldown.start(3, now=1)
+        self.assertFalse(cooldown.allows_call(3.9))
+        self.assertTrue(cooldown.allows_call(4))
+        cooldown.record_sent(4)
+        self.assertFalse(cooldown.allows_call(4.1))
+        cooldown.record_accepted(4.2)
+        self.assertTrue(cooldown.allows_call(4.2))
 
     def test_call_without_an_answer(self):
-        """Guards against a target that gets nothing more after a lost call."""
-        rest = backpressure.Cooldown()
-        rest.start(3, now=1)
-        rest.record_sent(4)
-        self.assertTrue(rest.allows_call(4 + backpressure.PROBE_SECONDS))
+        """Guards against a target without calls after a lost probe."""
+        cooldown = backpressure.Cooldown()
+        cooldown.start(3, now=1)
+        cooldown.record_sent(4)
+        self.assertTrue(cooldown.allows_call(4 + backpressure.PROBE_SECONDS))
 
     def test_answer_to_an_earlier_call(self):
-        """Guards against a rest that ends when an earlier call is answered."""
-        rest = backpressure.Cooldown()
-        rest.start(3, now=1)
-        rest.record_accepted(2)
-        self.assertFalse(rest.allows_call(2))
-
-    def test_shorter_rest(self):
-        """Guards against a rest cut short by a shorter one."""
-        rest = backpressure.Cooldown()
-        rest.start(3, now=1)
-        rest.start(0.5, now=1.1)
-        self.assertAlmostEqual(1.9, rest.remaining(2.1))
+        """Guards against a cooldown ended by the answer to an earlier call."""
+        cooldown = backpressure.Cooldown()
+        cooldown.start(3, now=1)
+        cooldown.record_accepted(2)
+        self.assertFalse(cooldown.allows_call(2))
+
+    def test_shorter_cooldown(self):
+        """Guards against a cooldown cut short by a shorter one."""
+        cooldown = backpressure.Cooldown()
+        cooldown.start(3, now=1)
+        cooldown.start(0.5, now=1.1)
+        self.assertAlmostEqual(1.9, cooldown.remaining(2.1))
 
     def test_values(self):
-        """Guards against values that would end or never end a rest."""
+        """Guards against invalid values of ``Retry-After``."""
         wanted = {
             '3': 3,
             '0.25': 0.25,
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""Prove that cold targets get no more calls than they bear, from all entries."""
+"""Test that entries together keep to the limits of cold targets."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 ENTRIES = tuple(f'e{number}' for number in range(17))
 
 
-def said(target, cold=0.0, sequence=1, zone='east'):
+def announcement(target, cold=0.0, sequence=1, zone='east'):
     return announcements.Announcement(
         target=target,
         service=SERVICE,
@@ -29,80 +29,78 @@
     )
 
 
-def shares_of(own, seen, rates=None):
-    found = cold_start.ColdStartLimits(
+def build_limits(own, seen, rates=None):
+    limits = cold_start.ColdStartLimits(
         fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK
     )
-    found.set_rates({SERVICE: RATE} if rates is None else rates)
-    return found
+    limits.set_rates({SERVICE: RATE} if rates is None else rates)
+    return limits
 
 
 class Entry:
-    """Be an entry whose callers ask as fast as it lets them."""
+    """A simulated entry that sends as many calls as its limits allow."""
 
     def __init__(self, own, seen, number=1):
         self.known = targets.Targets(
-            'east', 1.0, random.Random(number), shares_of(own, seen)
+            'east', 1.0, random.Random(number), build_limits(own, seen)
         )
 
-    def press(self):
-        """Send calls until no target takes one; return who got them."""
+    def send_all(self):
+        """Send calls until no target is eligible; return their targets."""
         now = asyncio.get_running_loop().time()
-        got = []
-        while len(got) < 1000:
+        chosen = []
+        while len(chosen) < 1000:
             target = self.known.choose(SERVICE, ())
             if target is None:
                 break
             target.sent.record(now)
-            got.append(target.name)
-        return got
+            chosen.append(target.name)
+        return chosen
 
 
-class SharesCase(policy_case.PausedCase):
+class SharedLimitCase(policy_case.PausedCase):
     def test_zone_comes_back_cold(self):
-        """A zone's targets come back cold and empty, and callers press.
+        """Guards against overloading a zone's targets after a restart."""
+        self.run_paused(self._overloaded({own: ENTRIES for own in ENTRIES}))
 
-        In no second may a target get more than its limit, although each entry
-        has more calls than that by itself.
-        """
-        self.run_paused(self._pressed({own: ENTRIES for own in ENTRIES}))
+    def test_network_partition(self):
+        """Guards against shares that grow during a network partition."""
+        self.run_paused(self._partitioned())
 
-    def test_cut_off_from_each_other(self):
-        """Entries that lose sight of the others keep to the share they had."""
-        self.run_paused(self._cut_off())
-
-    def test_entries_nobody_told_of(self):
-        """Entries that have just started are not known to the others yet."""
-        told = ENTRIES[:9]
-        seen = {own: told if own in told else () for own in ENTRIES}
-        self.run_paused(self._pressed(seen))
+    def test_undiscovered_entries(self):
+        """Guards against exceeding the limit through undiscovered entries."""
+        discovered = ENTRIES[:9]
+        seen = {own: discovered if own in discovered else () for own in ENTRIES}
+        self.run_paused(self._overloaded(seen))
 
     def test_more_entries_than_calls(self):
-        """With 200 entries each target is left to some of them."""
+        """Guards against exceeding the limit with more entries than calls."""
         many = tuple(f'e{number}' for number in range(200))
-        self.run_paused(self._pressed({own: many for own in many}))
+        self.run_paused(self._overloaded({own: many for own in many}))
 
     def test_no_limit(self):
-        """Without a limit in the configuration a cold target takes any call."""
-        self.assertIsNone(shares_of('e1', ENTRIES, {}).max_calls(SERVICE, 't0'))
+        """Guards against a limit where none is configured."""
+        self.assertIsNone(
+            build_limits('e1', ENTRIES, {}).max_calls(SERVICE, 't0')
+        )
 
     def test_warm_again(self):
-        """A target that is warm takes any call."""
+        """Guards against a limit that remains on a warm target."""
         self.run_paused(self._warm())
 
     def test_restored_zone(self):
-        """A zone that is taken back is cold, whatever its targets said last."""
+        """Guards against treating the targets of a restored zone as warm."""
         self.run_paused(self._restored())
 
-    async def _pressed(self, seen):
-        await self._press([Entry(own, seen[own]) for own in seen])
+    async def _overloaded(self, seen):
+        await self._send_and_check([Entry(own, seen[own]) for own in seen])
 
-    async def _press(self, entries):
+    async def _send_and_check(self, entries):
         for one in entries:
-            one.known.take(said('t0', cold=30))
+            one.known.take(announcement('t0', cold=30))
         counts = []
         for _ in range(12):
-            counts.append(sum(len(entry.press()) for entry in entries))
+            counts.append(sum(len(entry.send_all()) for entry in entries))
             await asyncio.sleep(0.25)
         worst = max(
             sum(counts[start : start + 4]) for start in range(len(counts))
@@ -110,51 +108,47 @@
         self.assertLessEqual(worst, LIMIT)
         self.assertGreater(sum(counts), 0)
 
-    async def _cut_off(self):
+    async def _partitioned(self):
         seen = {own: list(ENTRIES) for own in ENTRIES}
         entries = [Entry(own, seen[own]) for own in ENTRIES]
         for one in entries:
-            one.known.take(said('t0', cold=1))
-            one.press()
+            one.known.take(announcement('t0', cold=1))
+            one.send_all()
         await asyncio.sleep(5)
         for held in seen.values():
             del held[2:]
-        await self._press(entries)
+        await self._send_and_check(entries)
 
     async def _warm(self):
         entry = Entry('e1', ENTRIES)
-        entry.known.take(said('t0', cold=2))
-        self.assertEqual(1, len(entry.press()))
+        entry.known.take(announcement('t0', cold=2))
+        self.assertEqual(1, len(entry.send_all()))
         await asyncio.sleep(2)
-        self.assertEqual(1000, len(entry.press()))
+        self.assertEqual(1000, len(entry.send_all()))
 
     async def _restored(self):
         entry = Entry('e1', ENTRIES)
-        entry.known.take(said('t0'))
+        entry.known.take(announcement('t0'))
         entry.known.learn_zones([zones.Zone('east', True, 1)])
-        self.assertEqual([], entry.press())
+        self.assertEqual([], entry.send_all())
         entry.known.learn_zones([zones.Zone('east', False, 2)])
-        self.assertEqual(['t0'], entry.press())
+        self.assertEqual(['t0'], entry.send_all())
         self.assertIsNone(entry.known.choose(SERVICE, ()))
 
 
-class NewsCase(policy_case.PausedCase):
+class AnnouncementCase(policy_case.PausedCase):
     def test_cold_again(self):
-        """Entries hear at once that a target has turned cold, and warm.
-
-        Told with the next word that is due in any case, three seconds later,
-        a cold target would have crashed by then.
-        """
+        """Guards against delayed announcements of cold and warm targets."""
         self.run_paused(self._again())
 
     async def _again(self):
         held = book.Book(1)
-        held.take(said('t0', sequence=1))
+        held.take(announcement('t0', sequence=1))
         before = held.serial
-        held.take(said('t0', cold=3, sequence=2))
+        held.take(announcement('t0', cold=3, sequence=2))
         self.assertGreater(held.serial, before)
         before = held.serial
-        held.take(said('t0', cold=2, sequence=3))
+        held.take(announcement('t0', cold=2, sequence=3))
         self.assertEqual(held.serial, before)
-        held.take(said('t0', sequence=4))
+        held.take(announcement('t0', sequence=4))
         self.assertGreater(held.serial, before)
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -192,7 +192,7 @@
         """Guards against calls beyond the limit set by an answer."""
         self.serve(configuration.Kind.IDEMPOTENT)
         limited = await self.add(
-            test_backpressure.naming('Server-Limit: 0.5', 'slow')
+            test_backpressure.answer_with_header('Server-Limit: 0.5', 'slow')
         )
         await self.add(direct.whole('yes'), zone='far')
         for _ in range(6):
