--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -1,4 +1,4 @@
-"""Prove that a call that crashes targets is known, and others are not taken for it."""
+"""Test that poison calls are detected and other calls aren't."""
 
 import asyncio
 import random
@@ -15,72 +15,71 @@
 from tests import direct_case, policy_case, test_admitting
 from tests import test_shared_calls as shared_calls
 
-BAD = b'b'
-GOOD = b'g'
-FREE = poison_calls.Verdict.ALLOWED
-WATCHED = poison_calls.Verdict.NO_RETRY
+POISON = b'b'
+ORDINARY = b'g'
+ALLOWED = poison_calls.Verdict.ALLOWED
+NO_RETRY = poison_calls.Verdict.NO_RETRY
 REFUSED = poison_calls.Verdict.REFUSED
-SETTLED = poison_calls.CORRELATED_LOSS_SECONDS
+ATTRIBUTION_SECONDS = poison_calls.CORRELATED_LOSS_SECONDS
 SEED = 9
 ENTRIES = 6
 
 
-class EvidenceCase(unittest.TestCase):
-    """Answer the load in which one call takes down one target after another."""
+class AttributionCase(unittest.TestCase):
+    """Test the attribution of lost targets to calls."""
 
     def setUp(self):
         self.known = poison_calls.PoisonCalls()
 
     def test_three_targets(self):
-        """The third target that is lost by a call is the last one."""
+        """Guards against a poison call that crashes a fourth target."""
         found = []
         for number in range(3):
-            self.known.record_crash(BAD, f't{number}', 10.0 * number)
-            found.append(self.known.verdict(BAD, 10.0 * number + SETTLED))
-        self.assertEqual([FREE, WATCHED, REFUSED], found)
+            self.known.record_crash(POISON, f't{number}', 10.0 * number)
+            found.append(
+                self.known.verdict(POISON, 10.0 * number + ATTRIBUTION_SECONDS)
+            )
+        self.assertEqual([ALLOWED, NO_RETRY, REFUSED], found)
 
-    def test_beside_it(self):
-        """An ordinary call ran on the same target, and is answered elsewhere."""
+    def test_ordinary_call_on_same_target(self):
+        """Guards against blaming an ordinary call on the crashed target."""
         for number in range(3):
             moment = 10.0 * number
-            self.known.record_crash(BAD, f't{number}', moment)
-            self.known.record_crash(GOOD, f't{number}', moment)
-            self.known.record_answer(GOOD, moment + 1)
-            self.assertEqual(FREE, self.known.verdict(GOOD, moment + 2))
-        self.assertEqual(REFUSED, self.known.verdict(BAD, 30))
+            self.known.record_crash(POISON, f't{number}', moment)
+            self.known.record_crash(ORDINARY, f't{number}', moment)
+            self.known.record_answer(ORDINARY, moment + 1)
+            self.assertEqual(ALLOWED, self.known.verdict(ORDINARY, moment + 2))
+        self.assertEqual(REFUSED, self.known.verdict(POISON, 30))
 
     def test_lost_together(self):
-        """A zone loses power three times, each time with the same call's target.
-
-        Many targets are lost at once, which tells nothing of any call.
-        """
+        """Guards against blaming a call for power failures of its zone."""
         for number in range(3):
             for target in range(poison_calls.CORRELATED_LOSS_TARGETS):
-                mark = BAD if target == 0 else bytes([target])
+                mark = POISON if target == 0 else bytes([target])
                 self.known.record_crash(
                     mark, f't{number}-{target}', 10.0 * number
                 )
-        self.assertEqual(FREE, self.known.verdict(BAD, 21))
+        self.assertEqual(ALLOWED, self.known.verdict(POISON, 21))
 
     def test_failing_target(self):
-        """One target drops whatever it gets, and a call is sent there often.
+        """Guards against blaming a call for one target that drops connections.
 
-        It has not crashed: it is the same start of it all the while.
+        The target hasn't crashed, so all losses have the same start.
         """
         for number in range(9):
-            self.known.record_crash(BAD, 't0', 10.0 * number)
-        self.assertEqual(FREE, self.known.verdict(BAD, 90))
+            self.known.record_crash(POISON, 't0', 10.0 * number)
+        self.assertEqual(ALLOWED, self.known.verdict(POISON, 90))
 
     def test_forgotten(self):
-        """A call is let through after a minute, and known again by its losses."""
+        """Guards against refusing a call for ever."""
         for number in range(3):
-            self.known.record_crash(BAD, f't{number}', 10.0 * number)
+            self.known.record_crash(POISON, f't{number}', 10.0 * number)
         later = 20 + poison_calls.HISTORY_TTL_SECONDS + 1
-        self.assertEqual(FREE, self.known.verdict(BAD, later))
+        self.assertEqual(ALLOWED, self.known.verdict(POISON, later))
         self.assertFalse(self.known)
 
     def test_bounded(self):
-        """Calls without end are lost; so many are remembered and no more."""
+        """Guards against unbounded memory."""
         for number in range(10 * poison_calls.MAX_CALLS):
             self.known.record_crash(
                 number.to_bytes(4), f't{number}', number / 100
@@ -90,10 +89,7 @@
         )
 
     def test_ordinary_losses(self):
-        """Targets crash at random; no call of thousands is refused for it.
-
-        Each call is sent again until it is answered, as its callers do.
-        """
+        """Guards against refusing ordinary calls for random crashes."""
         generator = random.Random(SEED)
         now = 0.0
         for number in range(3000):
@@ -115,7 +111,7 @@
 
 
 class Entry:
-    """Be an entry with its exchange."""
+    """A simulated entry that exchanges histories with others."""
 
     def __init__(self, name, hosts):
         self.crashing = crashing.Crashing()
@@ -131,8 +127,8 @@
         )
 
 
-class Counting(loads.Loads):
-    """Count the rows of suspects that go either way."""
+class CountingLoads(loads.Loads):
+    """Count the histories sent in either direction."""
 
     def __init__(self, epoch):
         super().__init__(epoch)
@@ -146,31 +142,31 @@
 
 class SharedCase(policy_case.PausedCase):
     def test_any_entry(self):
-        """A call crashes a target at each of three entries; the rest refuse it."""
+        """Guards against entries that each detect a poison call alone."""
         self.run_paused(self._any())
 
     def test_lost_host(self):
-        """The host that joins what entries know is lost: the next one does."""
+        """Guards against losing histories with the host that merges them."""
         self.run_paused(self._lost_host())
 
     def test_restarted_entries(self):
-        """The entries that have seen the crashes start again; others remember."""
+        """Guards against losing histories with the entries that saw them."""
         self.run_paused(self._restarted())
 
     def test_forgotten_by_all(self):
-        """Entries that tell each other of a call don't keep it for ever."""
+        """Guards against histories kept alive by the exchange itself."""
         self.run_paused(self._forgotten())
 
-    def test_told_once(self):
-        """What is known of a call is not sent with each of twenty exchanges a second."""
-        self.run_paused(self._told_once())
+    def test_sent_once(self):
+        """Guards against sending unchanged histories with every exchange."""
+        self.run_paused(self._sent_once())
 
-    def test_host_starts_again(self):
-        """The host that joins the rows starts again and is told all anew."""
-        self.run_paused(self._host_again())
+    def test_restarted_host(self):
+        """Guards against missing histories after the merging host restarts."""
+        self.run_paused(self._restarted_host())
 
     def test_answered_elsewhere(self):
-        """One entry has an answer to a call: it is refused by none."""
+        """Guards against refusing a call that another entry saw answered."""
         self.run_paused(self._answered())
 
     async def _any(self):
@@ -212,8 +208,8 @@
             entry.crashing.check(call)
             self.assertEqual([], entry.crashing.own())
 
-    async def _told_once(self):
-        hosts = {'h0': Counting(1)}
+    async def _sent_once(self):
+        hosts = {'h0': CountingLoads(1)}
         entries = await self._crashed(hosts)
         await _exchange(entries)
         hosts['h0'].rows = 0
@@ -221,7 +217,7 @@
             await _exchange(entries)
         self.assertEqual(0, hosts['h0'].rows)
 
-    async def _host_again(self):
+    async def _restarted_host(self):
         hosts = {'h0': loads.Loads(1)}
         entries = await self._crashed(hosts)
         hosts['h0'] = loads.Loads(2)
@@ -251,9 +247,9 @@
         return entries
 
 
-class MarkCase(policy_case.PausedCase):
-    def test_what_is_the_same(self):
-        """The same caller, path and body make the same call, whatever its id."""
+class FingerprintCase(policy_case.PausedCase):
+    def test_same_call(self):
+        """Guards against a fingerprint that depends on the call id."""
         self.run_paused(self._same())
 
     async def _same(self):
@@ -266,17 +262,16 @@
 
 class CallerCase(direct_case.DirectCase):
     async def test_refused_unrun(self):
-        """The caller of a call that has crashed three targets is told so.
+        """Guards against sending a poison call to one more target.
 
-        It is told that the call did not run, and no further target sees it; the
-        call of another caller is answered.
+        Its caller learns that it did not run; other calls are answered.
         """
         self.serve(configuration.Kind.ONCE)
         fake = await self.add(direct_case.dropping)
         status, _, _ = await self.ask(body=b'bad')
         self.assertEqual(502, status)
         fake.close()
-        # What was lost with it is known at once, so that the loss counts.
+        # Attributes the loss without waiting for correlated ones.
         with mock.patch.object(poison_calls, 'CORRELATED_LOSS_SECONDS', 0):
             rows = self.crashing.own()
         self.assertEqual(1, len(rows))
