--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -16,17 +16,17 @@
     timed_work,
 )
 from tamarackthread.control.site import loads
-from tamarackthread.control.site.maps import owner, planning
+from tamarackthread.control.site.maps import group_maps, owner
 from tamarackthread.entry.direct import (
-    admitting,
+    admission_control,
     calls,
     failures,
-    sharing,
-    starts,
+    instances,
+    load_exchange,
     targets,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.policy import evening
+from tamarackthread.policy import rebalancing
 from tamarackthread.shared.site import announcements, configuration
 
 SHIFT_SHARE = 0.65
@@ -88,7 +88,7 @@
         if self._pattern.pace != 1:
             self._group.slow(5, self._pattern.pace)
             for entry in self._entries:
-                entry.slow('owner', {'5': self._pattern.pace})
+                entry.set_paces('owner', {'5': self._pattern.pace})
         working = [
             asyncio.create_task(self._group.run()),
             asyncio.create_task(self._shift()),
@@ -112,8 +112,8 @@
             names, self._entries, self._lines, strict=True
         ):
             links = _Links(name, summed)
-            shared = sharing.Sharing(
-                known, links, _hosts, names.copy, line.share
+            shared = load_exchange.LoadExchange(
+                known, links, _hosts, names.copy, line.refill
             )
             tasks.append(asyncio.create_task(shared.run()))
         return tasks
@@ -132,10 +132,10 @@
             )
         return known
 
-    def _line(self, known: targets.Targets) -> admitting.Line:
+    def _line(self, known: targets.Targets) -> admission_control.AdmissionQueue:
         bound = self._variant.bound or call_bounds.Unbounded
         empty = self._engine.stride * self._engine.step
-        return admitting.Line(
+        return admission_control.AdmissionQueue(
             SERVICE,
             bound(self._site.gap, empty),
             known,
@@ -160,7 +160,7 @@
         self._streams.append(stream)
         number = self._random.randrange(len(self._entries))
         known, line = self._entries[number], self._lines[number]
-        stream.on_pause = line.note_pause
+        stream.on_pause = line.note_gap
         try:
             await line.admit(self._asked(stream))
         except failures.NoRoomInTime:
@@ -171,11 +171,11 @@
             target = self._choose(known, tried)
             tried.append(target.name)
             if self._group.take(int(target.name), stream):
-                target.own += 1
+                target.own_calls += 1
                 await stream.done.wait()
-                target.own -= 1
-                line.answered(stream.last_at - stream.arrived)
-                line.left()
+                target.own_calls -= 1
+                line.record_answer(stream.last_at - stream.arrived)
+                line.release()
                 return
         self._refused += 1
 
@@ -190,14 +190,14 @@
             aim=self._site.first,
         )
         return calls.Call(
-            asked=calls.Asked(
+            request=calls.CallRequest(
                 call_id='', method='POST', host='h', path='/', headers=()
             ),
             body=b'',
             route=route,
             service=SERVICE,
             organisation='',
-            arrived=stream.arrived,
+            arrived_at=stream.arrived,
             deadline=stream.arrived + route.timeout,
         )
 
@@ -205,7 +205,7 @@
         self,
         known: targets.Targets,
         tried: list[str],
-    ) -> starts.Start:
+    ) -> instances.TargetInstance:
         if self._variant.route == 'ours':
             found = known.choose(SERVICE, tried)
             assert found is not None
@@ -218,7 +218,7 @@
         if self._variant.route == 'round_robin':
             self._turn += 1
             return free[self._turn % len(free)]
-        return min(free, key=lambda one: (one.own, self._random.random()))
+        return min(free, key=lambda one: (one.own_calls, self._random.random()))
 
     async def _shift(self) -> None:
         while True:
@@ -231,10 +231,10 @@
         shape = self._engine.shape
         paces = [1.0 for _ in range(self._engine.ranks)]
         paces[5] = self._pattern.pace
-        return planning.plan(
+        return group_maps.plan(
             self._group.placement_in_force,
             self._group.demand.tolist(),
-            evening.Bounds(shape.places, shape.places),
+            rebalancing.Bounds(shape.places, shape.places),
             paces,
         )
 
@@ -242,7 +242,7 @@
         maps = owner.Owner(
             self._group,
             self._group.members,
-            self._group.note_pace,
+            self._group.record_pace,
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
         service = configuration.Service(
@@ -253,11 +253,11 @@
         while True:
             if 0 <= loop.time() - lost_at < self._pattern.lost_seconds:
                 await asyncio.sleep(self._pattern.lost_seconds)
-            await maps.look([service], 1)
-            until = loop.time() + owner.LOOK_SECONDS
+            await maps.discover_and_release([service], 1)
+            until = loop.time() + owner.DISCOVERY_SECONDS
             while loop.time() < until:
                 await asyncio.sleep(owner.READ_SECONDS)
-                await maps.read(1)
+                await maps.reconcile_all(1)
 
     def _figures(self) -> dict[str, float]:
         served = [stream for stream in self._streams if stream.done.is_set()]
--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -22,8 +22,8 @@
 import async_solipsism
 import attrs
 
-from tamarackthread.entry.direct import records, starts, targets
-from tamarackthread.policy import backpressure, cold_start, fleets
+from tamarackthread.entry.direct import instances, outlier_detection, targets
+from tamarackthread.policy import backpressure, cold_start, known_entries
 from tamarackthread.shared.site import announcements
 
 ENTRIES = 30
@@ -113,7 +113,7 @@
             name: self._entry(name, names, number)
             for number, name in enumerate(names)
         }
-        self._under_way: list[tuple[float, str, starts.Start]] = []
+        self._under_way: list[tuple[float, str, instances.TargetInstance]] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     async def run(self, seconds: float) -> dict[str, typing.Any]:
@@ -132,7 +132,9 @@
     def _entry(
         self, name: str, names: tuple[str, ...], number: int
     ) -> targets.Targets:
-        fleet = fleets.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.KnownEntries(
+            name, functools.partial(tuple, names)
+        )
         known = targets.Targets(
             'z',
             1.0,
@@ -164,17 +166,17 @@
             start = self._entries[entry].choose('s', tried)
             if start is None:
                 break
-            start.begin(now)
+            start.begin_call(now)
             is_taken, asked = self._targets[start.name].take(entry, now)
             if self._is_heard:
-                start.hear(asked, now, is_taken=is_taken)
+                start.apply_backpressure(asked, now, is_taken=is_taken)
             if is_taken:
                 self.counts['answered'] += 1
                 end = now + SERVICE_SECONDS
                 self._under_way.append((end, entry, start))
                 return
-            start.own -= 1
-            start.record.note(is_good=False, now=now)
+            start.own_calls -= 1
+            start.outcomes.note(is_good=False, now=now)
             self.counts['refused by targets'] += 1
             tried.append(start.name)
         self.counts['refused'] += 1
@@ -183,8 +185,8 @@
         now = asyncio.get_running_loop().time()
         for end, _, start in self._under_way:
             if end <= now:
-                start.own -= 1
-                start.record.note(is_good=True, now=now)
+                start.own_calls -= 1
+                start.outcomes.note(is_good=True, now=now)
         self._under_way = [row for row in self._under_way if row[0] > now]
 
     def _exchange(self) -> None:
@@ -203,10 +205,12 @@
                 entry.forget_others()
                 continue
             others = {
-                target: summed.minus(own[name].get(target, records.IDLE))
+                target: summed.minus(
+                    own[name].get(target, outlier_detection.IDLE)
+                )
                 for target, summed in sums.items()
             }
-            entry.share(others, len(own))
+            entry.set_other_loads(others, len(own))
 
     def _summed(self, seconds: float, used: float) -> dict[str, typing.Any]:
         limited = [one for one in self._targets.values() if one.kind == 'limit']
@@ -227,15 +231,15 @@
 
 
 def _sums(
-    told: collections.abc.Iterable[dict[str, records.Load]],
-) -> dict[str, records.Load]:
+    told: collections.abc.Iterable[dict[str, outlier_detection.TargetLoad]],
+) -> dict[str, outlier_detection.TargetLoad]:
     """Add the calls that some entries have and had, by target."""
-    sums: dict[str, records.Load] = {}
+    sums: dict[str, outlier_detection.TargetLoad] = {}
     for loads in told:
         for target, load in loads.items():
-            held = sums.get(target, records.IDLE)
-            sums[target] = records.Load(
-                held.calls + load.calls, held.ends.plus(load.ends)
+            held = sums.get(target, outlier_detection.IDLE)
+            sums[target] = outlier_detection.TargetLoad(
+                held.calls + load.calls, held.outcomes.plus(load.outcomes)
             )
     return sums
 
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -19,14 +19,14 @@
 from aiohttp import web
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
-    front,
-    ledger,
-    running,
-    sending,
-    table,
+    admission_control,
+    call_log,
+    call_runner,
+    frontend,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings
@@ -75,24 +75,24 @@
         generator = random.Random(1)
         spoken = dialect.PlatformDialect()
         self._known = targets.Targets('z', 1.0, generator)
-        self._sender = sending.Sender(spoken)
+        self._sender = target_client.TargetClient(spoken)
         await self._sender.start()
-        tables = table.Holder()
-        tables.put(table.Table(_configuration()))
+        tables = routing_table.CurrentTable()
+        tables.put(routing_table.RoutingTable(_configuration()))
         site = settings.Site(seeds=(), link_port=1)
-        self._front = front.Front(
+        self._front = frontend.Frontend(
             spoken,
             tables,
-            running.Runner(
+            call_runner.CallRunner(
                 self._known,
                 self._sender,
-                budgets.Budgets(site, lambda: 1, loop.time),
-                admitting.Admission(self._known, lambda: 1),
-                crashing.Crashing(),
+                retry_budgets.RetryBudgets(site, lambda: 1, loop.time),
+                admission_control.AdmissionControl(self._known, lambda: 1),
+                poison_requests.PoisonRequests(),
                 generator,
             ),
             generator,
-            ledger.Ledger(),
+            call_log.CallLog(),
         )
         self._address = await self._front.start('127.0.0.1:0')
         self._runner = web.ServerRunner(web.Server(_answer))
@@ -123,7 +123,11 @@
             await asyncio.gather(*(self._ask(path, each) for each in numbers))
 
     async def _ask(self, path: str, number: int) -> None:
-        headers = {'Host': HOST, wire.CALL_ID: f'c{number}', wire.LEFT: '4000'}
+        headers = {
+            'Host': HOST,
+            wire.CALL_ID: f'c{number}',
+            wire.DEADLINE: '4000',
+        }
         async with self._session.get(
             f'http://{self._address}{path}', headers=headers
         ) as answer:
--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -11,10 +11,10 @@
 
 from bench.fuzzing import mutations, report, samples
 from tamarackthread.control import claims, configuration
-from tamarackthread.control import machine as machines
-from tamarackthread.control.site import book
+from tamarackthread.control import state_machine as machines
+from tamarackthread.control.site import target_registry
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.platform import door
+from tamarackthread.platform import http_api
 from tamarackthread.shared import (
     documents,
     events,
@@ -202,10 +202,10 @@
 
 
 async def _take_announcement(body: bytes) -> None:
-    held = book.Book(1.0)
-    with held.hearing('fuzzer'):
-        held.take(door.read_announcement('t', body))
-    for said in held.after(0):
+    held = target_registry.TargetRegistry(1.0)
+    with held.validating('fuzzer'):
+        held.record(http_api.read_announcement('t', body))
+    for said in held.changed_since(0):
         wire.encode(announcements.to_message(said))
 
 
@@ -227,7 +227,9 @@
         raise CheckedBodyUnreadable(body) from exc
 
 
-def _apply_some(rng: random.Random, held: machines.Machine, kind: type) -> None:
+def _apply_some(
+    rng: random.Random, held: machines.StateMachine, kind: type
+) -> None:
     for index in range(1, _COMMANDS_EACH + 1):
         command = wire.encode(samples.message(rng, kind))
         if rng.random() < 0.5:
--- a/bench/slopes/planning.py
+++ b/bench/slopes/planning.py
@@ -10,7 +10,7 @@
     expert_map,
     forecast,
     placement,
-    ranks,
+    subset_ranking,
     subsets,
 )
 
@@ -81,7 +81,7 @@
     cold = expert_map.cold_start(shape)
     planner = placement.IncrementalPlanner(placement.EVEN)
     began = time.process_time()
-    planner.plan(cold, forecast.Outlook(shares, TRUST_SECONDS))
+    planner.plan(cold, forecast.LoadForecast(shares, TRUST_SECONDS))
     return time.process_time() - began
 
 
@@ -92,14 +92,14 @@
     sizes = (20, 60, 120) if quick else (60, 120, 240, 370)
     for entries in sizes:
         known = _places('entry', entries)
-        ranked = ranks.RankedTargets(known['entry-0'])
+        ranked = subset_ranking.RankedTargets(known['entry-0'])
         began = time.process_time()
         ranked.set_entries(known)
         ranked.set_targets(_places('target', targets))
         spent = time.process_time() - began
         starting.append((float(entries * targets), spent))
     for count in (targets, targets * 5, targets * 15):
-        ranked = ranks.RankedTargets(_place('entry', 0))
+        ranked = subset_ranking.RankedTargets(_place('entry', 0))
         ranked.set_targets(_places('target', count))
         began = time.process_time()
         ranked.set_entries(_places('entry', JOINING))
@@ -111,10 +111,10 @@
     ]
 
 
-def _places(kind: str, count: int) -> dict[str, subsets.Place]:
+def _places(kind: str, count: int) -> dict[str, subsets.Endpoint]:
     places = [_place(kind, number) for number in range(count)]
     return {place.name: place for place in places}
 
 
-def _place(kind: str, number: int) -> subsets.Place:
-    return subsets.Place(f'{kind}-{number}', f'zone-{number % 14}')
+def _place(kind: str, number: int) -> subsets.Endpoint:
+    return subsets.Endpoint(f'{kind}-{number}', f'zone-{number % 14}')
--- a/bench/surge/own.py
+++ b/bench/surge/own.py
@@ -17,8 +17,8 @@
     migration,
     retries,
     routing,
+    target_load,
 )
-from tamarackthread.policy import load as target_load
 from tamarackthread.shared import errors
 
 
@@ -150,5 +150,5 @@
         fairness.EqualShares(),
         generator,
         settings.admission[service],
-        move=migration.LateStreams(budget),
+        move=migration.MigrateLateStreams(budget),
     )
--- a/tamarackthread/agent/group_part.py
+++ b/tamarackthread/agent/group_runtime.py
@@ -1,4 +1,4 @@
-"""Put together what an agent does for the group of its rank."""
+"""Build and run the parts of an agent that serve its rank's group."""
 
 from __future__ import annotations
 
@@ -12,31 +12,29 @@
     balancer,
     control_client,
     engine,
-    loading,
-    maps,
+    map_cache,
     order_errors,
     order_state,
     orders,
     owner,
-    ranks,
+    rank_transport,
     store_slots,
-    switch,
-    switching,
+    switch_coordinator,
+    switch_participant,
+    weight_loading,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import expert_map, moves, placement
 from tamarackthread.shared import errors, offload
 
 OPERATOR_FENCE = 0
-_RETIRE_SECONDS = 0.1
+_REPLACE_POLL_SECONDS = 0.1
 
 
 @attrs.frozen
 class GroupSettings:
-    """Say which rank of which group this is.
-
-    Only a few ranks of a group are ``candidate`` owners, because each of
-    them asks control for the lease again and again.
+    """Identify the rank.  Only a few ranks of a group are ``candidate``
+    owners, because each of them polls control for the lease.
     """
 
     group: str
@@ -45,47 +43,50 @@
     initial: expert_map.ExpertMap
     candidate: bool
     checks_fencing: bool = False
-    switching: switching.SwitchingSettings = switching.SwitchingSettings()
+    switching: switch_coordinator.CoordinatorSettings = (
+        switch_coordinator.CoordinatorSettings()
+    )
     store: store_slots.SlotSettings | None = None
 
 
-class GroupPart:
-    """Hold the parts and run their tasks; the agent's role plugs it in."""
+class GroupRuntime:
+    """Own the group components of one agent and run their tasks."""
 
     def __init__(
         self,
         settings: GroupSettings,
         control: control_client.ControlClient,
-        transport: ranks.RankTransport,
+        transport: rank_transport.RankTransport,
         rank_engine: engine.Engine,
-        urgent: loading.UrgentSignal | None = None,
+        urgent: weight_loading.UrgentSignal | None = None,
     ) -> None:
-        """Build the parts; ``start`` runs them.
-
-        ``urgent`` is what the gate tells of urgent calls.
-        """
+        """Build the components; the gate reports its calls to ``urgent``."""
         self._settings = settings
-        self._store = _store(settings, control)
-        self.urgent = urgent or loading.UrgentSignal(moves.UrgentWatch())
-        self.book = maps.MapBook(
+        self._limiter = _limiter(settings, control)
+        self.urgent = urgent or weight_loading.UrgentSignal(
+            moves.UrgentCallMonitor()
+        )
+        self.maps = map_cache.MapCache(
             settings.initial,
-            ranks.PeerMaps(settings.group, transport),
+            rank_transport.PeerMapSource(settings.group, transport),
         )
-        self.switch = switch.RankSwitch(
+        self.participant = switch_participant.SwitchParticipant(
             settings.group,
             settings.rank,
             rank_engine,
             control,
-            self.book,
-            loading.WeightLoader(rank_engine, self.urgent, self._store),
+            self.maps,
+            weight_loading.WeightLoader(
+                rank_engine, self.urgent, self._limiter
+            ),
         )
-        self.desk = orders.OrderDesk(
+        self.executor = orders.OrderExecutor(
             settings.group,
             control,
             rank_engine,
-            self.switch,
-            self.book,
-            self._store,
+            self.participant,
+            self.maps,
+            self._limiter,
         )
         self.owner = owner.GroupOwner(
             owner.OwnerSettings(
@@ -96,13 +97,15 @@
             control,
             transport,
         )
-        self.driver = switching.SwitchDriver(self.owner, settings.switching)
+        self.coordinator = switch_coordinator.SwitchCoordinator(
+            self.owner, settings.switching
+        )
         self._tasks: list[asyncio.Task[None]] = []
-        self._planning: list[asyncio.Task[None]] = []
+        self._balancers: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Run the rank's side, and an owner if this rank is a candidate."""
-        work = [self.desk.start(), self.switch.run()]
+        """Run the rank's tasks, and an owner if this rank is a candidate."""
+        work = [self.executor.start(), self.participant.run()]
         if self._settings.candidate:
             work.append(self.owner.run())
         self._tasks = [asyncio.create_task(one) for one in work]
@@ -110,77 +113,71 @@
     def balance(
         self,
         source: balancer.TokenSource,
-        weights: placement.BalanceWeights,
+        weights: placement.BalanceSettings,
         settings: balancer.BalancerSettings,
     ) -> balancer.Balancer:
-        """Plan for the group while this rank owns it.
-
-        Called again, it takes the place of the planning before.
-        """
+        """Start a balancer, in place of an earlier one."""
         planning = balancer.Balancer(
             self.owner,
-            self.driver,
+            self.coordinator,
             placement.IncrementalPlanner(weights),
             source,
-            self.book,
+            self.maps,
             settings,
             offload.ThreadOffload(),
         )
-        before = tuple(self._planning)
-        work = asyncio.create_task(self._plan(planning, before))
-        self._planning = [task for task in before if not task.done()]
-        self._planning.append(work)
+        previous = tuple(self._balancers)
+        work = asyncio.create_task(self._replace_balancer(planning, previous))
+        self._balancers = [task for task in previous if not task.done()]
+        self._balancers.append(work)
         return planning
 
     async def stop(self) -> None:
-        """Stop, and let another owner begin at once."""
+        """Stop and release the lease."""
         self.abandon()
         if self.owner.is_owner:
             await self.owner.release()
 
     def abandon(self) -> None:
-        """Stop without a word to anyone."""
-        self.switch.close()
-        for task in (*self._tasks, *self._planning):
+        """Stop without releasing the lease."""
+        self.participant.close()
+        for task in (*self._tasks, *self._balancers):
             task.cancel()
 
     async def handle_order(
         self,
         order: messages.GroupOrder,
     ) -> messages.GroupOrderReply:
-        """Take an owner's order for this rank, or an operator's for all.
-
-        Operators send fencing number 0, which no owner ever has; the agent
-        that owns the group gives the order to every rank under its own.
+        """Execute an owner's order at this rank.  An operator's, with fencing
+        number 0, is sent by the owner to all ranks under its own number.
         """
         is_read = order.action in orders.UNFENCED
         if is_read or order.fence != OPERATOR_FENCE:
-            return await self.desk.handle_order(order)
+            return await self.executor.handle_order(order)
         try:
-            state = await self._order_all(order)
+            state = await self._relay_to_all(order)
         except errors.CodedError as exc:
             state = order_state.from_failure(exc, order_state.REFUSED)
         return messages.GroupOrderReply(
             accepted=state.state != order_state.REFUSED,
             body=state.to_json(),
-            highest_fence=self.desk.highest_fence,
+            highest_fence=self.executor.highest_fence,
         )
 
-    async def _plan(
+    async def _replace_balancer(
         self,
         planning: balancer.Balancer,
-        before: tuple[asyncio.Task[None], ...],
+        previous: tuple[asyncio.Task[None], ...],
     ) -> None:
-        # A switch that is cut off after its intent has no outcome, and the
-        # ranks hold at its step until the owner is lost.  Between switches
-        # there is nothing to cut off.
-        while before and self.driver.is_busy:
-            await asyncio.sleep(_RETIRE_SECONDS)
-        for task in before:
+        # Cancelling a switch after its intent leaves it undecided, and the
+        # ranks hold at its step until the next owner takes over.
+        while previous and self.coordinator.is_busy:
+            await asyncio.sleep(_REPLACE_POLL_SECONDS)
+        for task in previous:
             task.cancel()
         await planning.run()
 
-    async def _order_all(
+    async def _relay_to_all(
         self,
         order: messages.GroupOrder,
     ) -> order_state.OrderState:
@@ -194,31 +191,30 @@
             order.order_id,
             order.body,
         )
-        return combine(answers)
+        return combine_states(answers)
 
 
-def combine(
+def combine_states(
     answers: dict[int, order_state.OrderState | errors.CodedError],
 ) -> order_state.OrderState:
-    """Sum up what the ranks answered; the slowest rank gives the progress.
-
-    The result has each rank's state or error code as JSON.
+    """Merge the answers of all ranks; progress is that of the slowest one.
+    The result maps each rank to its state or error code, as JSON.
     """
     states = {
         rank: _as_state(answer) for rank, answer in sorted(answers.items())
     }
-    found = {one.state for one in states.values()}
+    distinct = {one.state for one in states.values()}
     overall = order_state.RUNNING
-    if len(found) == 1:
-        overall = found.pop()
-    elif order_state.REFUSED in found or order_state.FAILED in found:
+    if len(distinct) == 1:
+        overall = distinct.pop()
+    elif order_state.REFUSED in distinct or order_state.FAILED in distinct:
         overall = order_state.FAILED
-    bad = next((one for one in states.values() if one.code), None)
+    first_error = next((one for one in states.values() if one.code), None)
     return order_state.OrderState(
         overall,
         done=min(one.done for one in states.values()),
-        code=bad.code if bad else '',
-        text=bad.text if bad else '',
+        code=first_error.code if first_error else '',
+        text=first_error.text if first_error else '',
         result=json.dumps(
             {rank: one.code or one.state for rank, one in states.items()},
         ),
@@ -233,13 +229,13 @@
     return order_state.from_failure(answer, order_state.FAILED)
 
 
-def _store(
+def _limiter(
     settings: GroupSettings,
     control: control_client.ControlClient,
-) -> store_slots.WeightStore:
+) -> store_slots.StoreLimiter:
     if settings.store is None:
-        return store_slots.OpenStore()
-    return store_slots.LeasedStore(
+        return store_slots.UnlimitedStore()
+    return store_slots.LeasedStoreLimiter(
         control,
         settings.holder,
         settings.store,
--- /dev/null
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -0,0 +1,83 @@
+"""Track the progress of a call over all its tries."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+import attrs
+
+from tamarackthread.entry.direct import calls, instances
+from tamarackthread.shared import errors, log_events
+from tamarackthread.shared.site import figures
+
+_log = logging.getLogger('tamarackthread.entry')
+
+
+@attrs.define(eq=False)
+class CallProgress:
+    """The progress of a call over all its tries."""
+
+    # Targets that may have run the call.
+    sent: list[str] = attrs.field(factory=list)
+    # Targets that refused the call without running it.
+    refused: list[str] = attrs.field(factory=list)
+    # Targets that could not be reached.
+    unreachable: set[str] = attrs.field(factory=set)
+    may_have_run: bool = False
+    # The target that may be running the call now.
+    current_target: instances.TargetInstance | None = None
+    # Whether the caller got events without an id, which can't be resumed from.
+    is_unnumbered: bool = False
+    # Number of the last event that the caller was sent.
+    last_event: int = -1
+    failure: errors.CodedError | None = None
+    # Groups whose targets have failed the call.
+    failed_groups: set[str] = attrs.field(factory=set)
+
+    @property
+    def tried(self) -> set[str]:
+        """Return the names of the targets that are not tried again."""
+        return self.unreachable.union(self.sent, self.refused)
+
+    @property
+    def names(self) -> str:
+        """Return the targets that may have run the call, as text."""
+        return ', '.join(self.sent)
+
+
+def log_failed_try(
+    call: calls.Call,
+    target: instances.TargetInstance,
+    progress: CallProgress,
+    failure: errors.CodedError,
+) -> None:
+    """Log and count a try that gave no complete answer."""
+    now = asyncio.get_running_loop().time()
+    figures.TRIES_FAILED.labels(call.service, failure.code).inc()
+    log_events.tell(
+        _log,
+        log_events.Event.TRY_FAILED,
+        'entry: try at %s failed, %s %s',
+        target.name,
+        failure.code,
+        failure,
+        target=target.name,
+        service=call.service,
+        code=failure.code,
+        after_ms=_milliseconds(now - call.arrived_at),
+        left_ms=_milliseconds(call.deadline - now),
+        own_calls=target.own_calls,
+        other_calls=target.other_calls,
+        state=target.announcement.state.name.lower(),
+        heard_ms_ago=_milliseconds(now - target.announced_at),
+        asked_rest_ms=_milliseconds(target.last_backpressure.rest),
+        is_leaving=target.last_backpressure.is_leaving,
+        paused_ms=_milliseconds(max(0, target.backoff_until - now)),
+        may_have_run=progress.may_have_run,
+        last_event=progress.last_event,
+    )
+
+
+def _milliseconds(seconds: float) -> int:
+    return round(seconds * 1000)
--- /dev/null
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -0,0 +1,323 @@
+"""Run a call at targets, with retries, until it is answered or fails."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+
+from tamarackthread.entry.direct import (
+    admission_control,
+    call_progress,
+    calls,
+    failures,
+    instances,
+    poison_requests,
+    retry_budgets,
+    sink,
+    sse,
+    stream_timing,
+    target_client,
+    targets,
+)
+from tamarackthread.shared import errors
+from tamarackthread.shared.site import configuration, figures
+
+# A failed connection costs a target nothing, but the caller waits for it.
+MAX_CONNECT_FAILURES = 4
+# Refusals don't count as attempts, since the call has not run.  One target may
+# refuse by chance; two indicate that the service is full.
+MAX_REFUSALS = 2
+# Longer than a full target usually takes to free a slot.
+FULL_RETRY_AFTER_SECONDS = 0.25
+NO_TARGET_RETRY_AFTER_SECONDS = 0.5
+# About the time in which a group that has lost a rank recovers.
+CLOSED_RETRY_AFTER_SECONDS = 2.0
+# Spreads the retries of callers that were refused during a cooldown.
+COOLDOWN_JITTER_SECONDS = 1.0
+# Responses with at least this status are failures of the target.
+MIN_ERROR_STATUS = 500
+
+
+class CallRunner:
+    """Run calls at the targets of their services."""
+
+    def __init__(
+        self,
+        all_targets: targets.Targets,
+        client: target_client.TargetClient,
+        budget: retry_budgets.RetryBudgets,
+        admission: admission_control.AdmissionControl,
+        poison: poison_requests.PoisonRequests,
+        generator: random.Random,
+    ) -> None:
+        """Select among ``all_targets`` and send with ``client``."""
+        self._poison = poison
+        self._targets = all_targets
+        self._admission = admission
+        self._client = client
+        self._budget = budget
+        self._random = generator
+
+    async def run(self, call: calls.Call, out: sink.Sink) -> None:
+        """Send the caller an answer, or raise a coded error.
+
+        The error says whether the call may have run; part of the answer may
+        have been sent by then.
+        """
+        self._poison.check(call)
+        progress = call_progress.CallProgress()
+        self._budget.earn(call.service)
+        try:
+            async with asyncio.timeout_at(call.deadline):
+                await self._try_until_answered(call, progress, out)
+        except TimeoutError as exc:
+            if progress.current_target is not None:
+                self._record_outcome(progress.current_target, is_good=False)
+                progress.sent.append(progress.current_target.name)
+                progress.may_have_run = True
+                timed_out = failures.DeadlinePassed('no answer')
+                call_progress.log_failed_try(
+                    call, progress.current_target, progress, timed_out
+                )
+            if progress.may_have_run:
+                raise failures.DeadlinePassed(progress.names) from exc
+            raise failures.DeadlineBeforeSend(
+                retry_after=self._jittered(FULL_RETRY_AFTER_SECONDS),
+            ) from exc
+
+    async def _try_until_answered(
+        self,
+        call: calls.Call,
+        progress: call_progress.CallProgress,
+        out: sink.Sink,
+    ) -> None:
+        while True:
+            target = await self._next_target(call, progress)
+            if await self._try_target(call, target, progress, out):
+                return
+
+    async def _try_target(
+        self,
+        call: calls.Call,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
+        out: sink.Sink,
+    ) -> bool:
+        """Try one target; tell whether the caller has its complete answer."""
+        loop = asyncio.get_running_loop()
+        started_at = loop.time()
+        target.begin_call(started_at)
+        progress.current_target = target
+        try:
+            async with target.lifetime():
+                await self._send(call, target, progress, out)
+        except errors.CodedError as exc:
+            self._poison.note_failure(call, target, exc)
+            self._record_failure(call, target, progress, exc)
+            call_progress.log_failed_try(call, target, progress, exc)
+            return False
+        finally:
+            target.own_calls -= 1
+            self._admission.release(call)
+        target.reset_backoff()
+        self._poison.note_answer(call)
+        self._admission.record_answer(call, loop.time() - started_at)
+        return True
+
+    async def _next_target(
+        self,
+        call: calls.Call,
+        progress: call_progress.CallProgress,
+    ) -> instances.TargetInstance:
+        """Select the next target; raise the final error if none is left."""
+        if progress.failure is not None and not self._may_retry(call, progress):
+            raise self._final_error(call, progress)
+        if self._targets.cooldown_seconds(call.service):
+            raise self._final_error(call, progress)
+        await self._admission.admit(call)
+        tried = progress.tried
+        time_left = call.deadline - asyncio.get_running_loop().time()
+        await self._targets.wait_for_target(
+            call.service, tried, calls.startup_wait(time_left)
+        )
+        target = self._targets.choose(
+            call.service, tried, progress.failed_groups
+        )
+        if target is None:
+            raise self._final_error(call, progress)
+        return target
+
+    def _may_retry(
+        self, call: calls.Call, progress: call_progress.CallProgress
+    ) -> bool:
+        if progress.may_have_run and not self._may_repeat(call):
+            return False
+        # Without event ids the stream can't be resumed, and the caller would
+        # get its first events twice.
+        if progress.is_unnumbered:
+            return False
+        if len(progress.unreachable) >= MAX_CONNECT_FAILURES:
+            return False
+        if not progress.sent and not progress.refused:
+            return True
+        if len(progress.sent) >= call.route.attempts:
+            return False
+        if len(progress.refused) >= MAX_REFUSALS:
+            return False
+        return self._budget.spend(call.service)
+
+    def _may_repeat(self, call: calls.Call) -> bool:
+        return call.route.may_repeat and self._poison.may_repeat(call)
+
+    async def _send(
+        self,
+        call: calls.Call,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
+        out: sink.Sink,
+    ) -> None:
+        last_event_id = call.request.last_event_id
+        if progress.last_event >= 0:
+            last_event_id = str(progress.last_event)
+        async with self._client.send(call, target, last_event_id) as answer:
+            is_stream = call.route.kind is configuration.Kind.STREAM
+            if is_stream and answer.head.status == 200:
+                await self._relay(call, answer, progress, out)
+                self._record_outcome(target, is_good=True)
+                return
+            body = await answer.whole()
+            if self._should_retry_error(call, progress, answer.head.status):
+                raise target_client.Lost(f'status {answer.head.status}')
+            if out.has_started:
+                raise target_client.Lost(f'status {answer.head.status}')
+            self._record_outcome(
+                target, is_good=answer.head.status < MIN_ERROR_STATUS
+            )
+            await out.whole(answer.head, body)
+
+    def _should_retry_error(
+        self,
+        call: calls.Call,
+        progress: call_progress.CallProgress,
+        status: int,
+    ) -> bool:
+        """Tell whether an error response may be retried at another target."""
+        if status < MIN_ERROR_STATUS or not call.route.may_repeat:
+            return False
+        if len(progress.sent) + 1 >= call.route.attempts:
+            return False
+        return self._budget.has_room(call.service)
+
+    async def _relay(
+        self,
+        call: calls.Call,
+        answer: target_client.TargetResponse,
+        progress: call_progress.CallProgress,
+        out: sink.Sink,
+    ) -> None:
+        """Relay events as they come, each at most once and in order."""
+        splitter = sse.EventSplitter()
+        now = asyncio.get_running_loop().time()
+        figures.FIRST_SECONDS.labels(call.service).observe(
+            now - call.arrived_at
+        )
+        if not out.has_started:
+            await out.start(answer.head)
+        out.timing.target = (
+            ''
+            if progress.current_target is None
+            else progress.current_target.name
+        )
+        async for piece in answer.pieces():
+            ready = []
+            for event in splitter.feed(piece):
+                if 0 <= event.number <= progress.last_event:
+                    continue
+                progress.last_event = max(progress.last_event, event.number)
+                progress.is_unnumbered |= event.number < 0
+                ready.append(event.payload)
+            if ready:
+                self._admission.note_piece(call)
+                self._note_gap(call, out.timing, len(ready))
+                await out.write(b''.join(ready))
+        if splitter.rest:
+            await out.write(splitter.rest)
+        await out.finish()
+
+    def _note_gap(
+        self,
+        call: calls.Call,
+        timing: stream_timing.StreamTiming,
+        pieces: int,
+    ) -> None:
+        if not timing.last_at:
+            return
+        pause = asyncio.get_running_loop().time() - timing.last_at
+        self._admission.note_gap(call, pause / pieces)
+
+    def _record_failure(
+        self,
+        call: calls.Call,
+        target: instances.TargetInstance,
+        progress: call_progress.CallProgress,
+        failure: errors.CodedError,
+    ) -> None:
+        progress.failure = failure
+        progress.current_target = None
+        now = asyncio.get_running_loop().time()
+        if isinstance(failure, target_client.NotSent):
+            target.back_off(now)
+            progress.unreachable.add(target.name)
+            return
+        if isinstance(failure, target_client.Elsewhere):
+            # The intended target never got the call, so this is no attempt.
+            self._targets.mark_gone(target)
+            progress.unreachable.add(target.name)
+            return
+        if isinstance(failure, (target_client.Refused, target_client.Lost)):
+            # When a rank is lost, all ranks of its group fail their calls.
+            progress.failed_groups.add(target.group)
+            self._record_outcome(target, is_good=False)
+        if isinstance(failure, target_client.Refused):
+            self._admission.note_refusal(call, target.name)
+            progress.refused.append(target.name)
+            return
+        progress.sent.append(target.name)
+        progress.may_have_run = True
+
+    def _record_outcome(
+        self, target: instances.TargetInstance, *, is_good: bool
+    ) -> None:
+        """Record the outcome of a call at a target."""
+        now = asyncio.get_running_loop().time()
+        target.outcomes.note(is_good=is_good, now=now)
+
+    def _final_error(
+        self,
+        call: calls.Call,
+        progress: call_progress.CallProgress,
+    ) -> errors.CodedError:
+        """Return the error for the caller: not run, or may have run."""
+        if progress.may_have_run:
+            return failures.TargetFailed(str(progress.failure))
+        cooldown = self._targets.cooldown_seconds(call.service)
+        if cooldown:
+            # Returning callers are spread, since one trial call ends the
+            # cooldown.
+            jitter = self._random.uniform(0, COOLDOWN_JITTER_SECONDS)
+            return failures.TargetsRest(retry_after=cooldown + jitter)
+        if progress.refused and self._admission.is_closed(call):
+            return failures.GroupClosed(
+                retry_after=self._jittered(CLOSED_RETRY_AFTER_SECONDS),
+            )
+        if progress.sent or progress.refused:
+            return failures.TargetsFull(
+                retry_after=self._jittered(FULL_RETRY_AFTER_SECONDS),
+            )
+        return failures.NoTargetReady(
+            retry_after=self._jittered(NO_TARGET_RETRY_AFTER_SECONDS),
+        )
+
+    def _jittered(self, seconds: float) -> float:
+        """Add jitter to a retry time, so that callers don't return together."""
+        return seconds * self._random.uniform(0.7, 1.5)
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -1,4 +1,4 @@
-"""Run an entry of a site."""
+"""Run the process of an entry with direct calls."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 import random
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
+    admission_control,
+    call_log,
+    call_runner,
     dialect,
-    front,
-    learned,
-    ledger,
-    running,
-    sending,
-    sharing,
-    table,
+    feed_handler,
+    frontend,
+    load_exchange,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings as generated
-from tamarackthread.policy import cold_start, fleets
+from tamarackthread.policy import cold_start, known_entries
 from tamarackthread.shared import log_events, peers, process
 from tamarackthread.shared.site import configuration, figures, following, places
 
@@ -35,7 +35,7 @@
         self,
         settings: generated.Settings,
         reader: configuration.Reader,
-        spoken: dialect.Dialect,
+        header_dialect: dialect.Dialect,
     ) -> None:
         """Build the parts; ``run`` starts them."""
         assert settings.site is not None
@@ -49,82 +49,84 @@
             most_backoff=places.MOST_BACKOFF_SECONDS,
             dial_seconds=places.DIAL_SECONDS,
         )
-        fleet = fleets.Fleet(
+        entries = known_entries.KnownEntries(
             self._place.options.identity.address,
             lambda: self._follower.entries,
         )
-        shares = cold_start.ColdStartLimits(
-            fleet, self._site.cold_allowance, self._site.cold_slack
+        cold_limits = cold_start.ColdStartLimits(
+            entries, self._site.cold_allowance, self._site.cold_slack
         )
         self._targets = targets.Targets(
             settings.node.zone,
             self._site.announce_seconds,
             generator,
-            shares,
-            fleet,
+            cold_limits,
+            entries,
         )
-        self._ledger = ledger.Ledger()
-        self._page = figures.Page()
-        tables = table.Holder()
-        admission = admitting.Admission(
+        self._call_log = call_log.CallLog()
+        self._metrics_page = figures.Page()
+        tables = routing_table.CurrentTable()
+        admission = admission_control.AdmissionControl(
             self._targets, lambda: len(self._follower.entries)
         )
         self._follower = following.Follower(
             self._site,
             self._links,
-            learned.Learned(self._targets, reader, tables, admission, shares),
+            feed_handler.FeedHandler(
+                self._targets, reader, tables, admission, cold_limits
+            ),
         )
-        suspected = crashing.Crashing()
-        self._sharing = sharing.Sharing(
+        poison = poison_requests.PoisonRequests()
+        self._load_exchange = load_exchange.LoadExchange(
             self._targets,
             self._links,
             lambda: self._follower.followed,
             lambda: self._follower.entries,
-            admission.share,
-            suspected,
+            admission.refill,
+            poison,
         )
-        self._sender = sending.Sender(spoken)
-        self._front = front.Front(
-            spoken,
+        self._target_client = target_client.TargetClient(header_dialect)
+        self._frontend = frontend.Frontend(
+            header_dialect,
             tables,
-            running.Runner(
+            call_runner.CallRunner(
                 self._targets,
-                self._sender,
-                budgets.Budgets(
+                self._target_client,
+                retry_budgets.RetryBudgets(
                     self._site,
                     lambda: len(self._follower.entries),
                     loop.time,
                 ),
                 admission,
-                suspected,
+                poison,
                 generator,
             ),
             generator,
-            self._ledger,
+            self._call_log,
         )
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until asked to stop, then end without cutting anything off.
+        """Run until asked to stop, then drain.
 
         Raises what has ended one of the entry's own tasks.
         """
-        await self._sender.start()
+        await self._target_client.start()
         loop = asyncio.get_running_loop()
         working = [
             loop.create_task(self._follower.run()),
             loop.create_task(self._targets.run()),
-            loop.create_task(self._sharing.run()),
-            loop.create_task(self._ledger.run()),
+            loop.create_task(self._load_exchange.run()),
+            loop.create_task(self._call_log.run()),
         ]
-        http = await self._front.start(self._site.callers_address)
-        ready = await self._front.start_readiness(self._site.http_address)
-        await self._page.start(self._site.metrics_address)
+        http = await self._frontend.start(self._site.callers_address)
+        ready = await self._frontend.start_readiness(self._site.http_address)
+        await self._metrics_page.start(self._site.metrics_address)
         if announce is not None:
             announce({'http': http, 'ready': ready})
         log_events.tell(
             _log,
             log_events.Event.STARTED,
-            'entry: serves callers on %s',
+            'entry: serving callers on %s',
             http,
             address=http,
         )
@@ -133,47 +135,45 @@
             (stopping, *working), return_when=asyncio.FIRST_COMPLETED
         )
         fault = process.first_fault(working)
-        await self._leave()
+        await self._drain()
         for work in (*working, stopping):
             work.cancel()
         self._links.close()
         if fault is not None:
             raise fault
 
-    async def _leave(self) -> None:
-        """Stop in order: not ready, then no new call, then nothing open.
-
-        The platform sends new connections here until it has asked twice, so
-        the address stays open for that long.  Callers with an open connection
-        are asked at each answer to make a new one, which goes elsewhere.
-        """
+    async def _drain(self) -> None:
+        """Stop accepting calls and wait until those in progress have ended."""
         log_events.tell(
             _log,
             log_events.Event.STOPPING,
-            'entry: leaves, %d calls open',
-            self._front.open_calls,
-            open_calls=self._front.open_calls,
+            'entry: draining, %d calls open',
+            self._frontend.open_calls,
+            open_calls=self._frontend.open_calls,
         )
-        self._front.leave()
+        self._frontend.begin_drain()
+        # The platform sends new connections until its readiness probe has
+        # failed twice.  Responses ask callers to reconnect elsewhere.
         await asyncio.sleep(self._own.health_grace_seconds)
-        self._front.refuse_new()
+        self._frontend.refuse_new()
         try:
             async with asyncio.timeout(self._own.drain_seconds):
-                await self._front.wait_idle()
+                await self._frontend.wait_idle()
         except TimeoutError:
             _log.warning(
-                'entry: ends with %d calls open', self._front.open_calls
+                'entry: drain timed out with %d calls open',
+                self._frontend.open_calls,
             )
-        await self._front.stop()
-        await self._page.stop()
-        await self._sender.close()
+        await self._frontend.stop()
+        await self._metrics_page.stop()
+        await self._target_client.close()
 
 
 async def run(
     settings: generated.Settings,
     reader: configuration.Reader,
-    spoken: dialect.Dialect,
+    header_dialect: dialect.Dialect,
     announce: process.Announce | None = None,
 ) -> None:
     """Run an entry until SIGTERM; ``announce`` gets its addresses."""
-    await DirectEntry(settings, reader, spoken).run(announce)
+    await DirectEntry(settings, reader, header_dialect).run(announce)
--- a/tamarackthread/entry/direct/table.py
+++ b/tamarackthread/entry/direct/routing_table.py
@@ -11,95 +11,97 @@
 from tamarackthread.entry.direct import failures
 from tamarackthread.shared.site import configuration
 
-# A process that has just started has a configuration soon, if at all.
-NOT_YET_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_AFTER_SECONDS = 0.5
 
 
 @attrs.frozen
-class Found:
-    """Where a call goes, and for whom."""
+class RouteMatch:
+    """The route, organisation and priority of a call."""
 
     route: configuration.Route
     organisation: str
     priority: int
 
 
-class Table:
-    """Answer from one configuration, with an index for each question."""
+class RoutingTable:
+    """Index the routes and keys of one configuration."""
 
-    def __init__(self, held: configuration.Configuration) -> None:
-        """Index a configuration."""
-        self._held = held
+    def __init__(self, config: configuration.Configuration) -> None:
+        """Build the indexes."""
+        self._config = config
         self._routes: dict[tuple[str, str], configuration.Route] = {}
         self._owners: dict[str, configuration.Organisation] = {}
-        for route in held.routes:
+        for route in config.routes:
             self._routes[route.host, route.prefix] = route
-        for organisation in held.organisations:
+        for organisation in config.organisations:
             for key in organisation.keys:
                 self._owners[key] = organisation
 
     @property
     def version(self) -> int:
         """Return the configuration's version."""
-        return self._held.version
+        return self._config.version
 
     @property
-    def held(self) -> configuration.Configuration:
+    def config(self) -> configuration.Configuration:
         """Return the configuration."""
-        return self._held
+        return self._config
 
-    def find(self, host: str, path: str, key: str) -> Found:
-        """Find a call's place; raise ``RouteUnknown`` or ``KeyUnknown``."""
+    def find(self, host: str, path: str, key: str) -> RouteMatch:
+        """Match a call; raise ``RouteUnknown`` or ``KeyUnknown``."""
         route = self._route(host, path)
         if route is None:
             raise failures.RouteUnknown(f'{host}{path}')
         owner = self._owners.get(key)
         if owner is None:
-            if self._held.organisations and not route.is_open:
+            if self._config.organisations and not route.is_open:
                 raise failures.KeyUnknown
-            return Found(route, '', route.priority)
+            return RouteMatch(route, '', route.priority)
         priority = route.priority
         if owner.priority is not None:
             priority = owner.priority
-        return Found(route, owner.name, priority)
+        return RouteMatch(route, owner.name, priority)
 
     def _route(self, host: str, path: str) -> configuration.Route | None:
-        """Take the longest prefix; each begins and ends with a slash."""
+        """Return the route with the longest prefix that matches a path."""
+        # Prefixes begin and end with a slash.
         end = path.rfind('/')
         while end >= 0:
-            found = self._routes.get((host, path[: end + 1]))
-            if found is not None:
-                return found
+            route = self._routes.get((host, path[: end + 1]))
+            if route is not None:
+                return route
             end = path.rfind('/', 0, end)
         return None
 
 
-class Holder:
-    """Hold the table in force, and let calls wait for the first one."""
+class CurrentTable:
+    """Hold the routing table in force; calls can wait for the first one."""
 
     def __init__(self) -> None:
-        """Begin without a table."""
-        self._current: Table | None = None
+        """Start without a table."""
+        self._current: RoutingTable | None = None
         self._first = asyncio.Event()
 
     @property
-    def current(self) -> Table | None:
+    def current(self) -> RoutingTable | None:
         """Return the table in force, ``None`` before the first."""
         return self._current
 
-    def put(self, fresh: Table) -> None:
+    def put(self, table: RoutingTable) -> None:
         """Put a table in force."""
-        self._current = fresh
+        self._current = table
         self._first.set()
 
-    async def wait(self, seconds: float) -> Table:
-        """Return the table; raise ``NoConfiguration`` if there is none yet."""
+    async def wait(self, seconds: float) -> RoutingTable:
+        """Return the table; raise ``NoConfiguration`` if it does not arrive."""
         if self._current is None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     await self._first.wait()
         if self._current is None:
-            raise failures.NoConfiguration(retry_after=NOT_YET_SECONDS)
+            raise failures.NoConfiguration(
+                retry_after=NO_CONFIGURATION_RETRY_AFTER_SECONDS
+            )
         return self._current
 
 
@@ -107,7 +109,7 @@
     route: configuration.Route,
     generator: random.Random,
 ) -> str:
-    """Draw one of the route's services by their weights."""
+    """Choose one of the route's services at random, by their weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
     names = [share.service for share in route.shares]
--- /dev/null
+++ b/tamarackthread/entry/direct/target_client.py
@@ -0,0 +1,298 @@
+"""Send calls to targets over HTTP and classify the responses."""
+
+from __future__ import annotations
+
+import asyncio
+import collections.abc
+import contextlib
+
+import aiohttp
+import attrs
+import yarl
+
+from tamarackthread.entry.direct import (
+    calls,
+    dialect,
+    instances,
+    target_log,
+)
+from tamarackthread.shared import errors
+from tamarackthread.shared.site import configuration
+
+# Shorter than the retransmission timeout of a lost first packet, since trying
+# another target is faster.
+CONNECT_SECONDS = 0.35
+# Shorter than the idle timeout of targets, so that they rarely close a
+# connection just as it is reused.
+KEEPALIVE_SECONDS = 2.0
+READ_BYTES = 64 * 1024
+# Hop-by-hop headers, besides those that the Connection header names.
+_HOP_BY_HOP = frozenset(
+    (
+        'connection',
+        'keep-alive',
+        'proxy-connection',
+        'transfer-encoding',
+        'content-length',
+        'te',
+        'trailer',
+        'upgrade',
+        'expect',
+    ),
+)
+
+
+class NotSent(errors.CodedError):
+    """Connection to the target could not be made."""
+
+    code = 'TT7220'
+    status = 503
+
+
+class Refused(errors.CodedError):
+    """Target refused the call without running it."""
+
+    code = 'TT7221'
+    status = 503
+
+
+class Elsewhere(Refused):
+    """Another target answers at the address of the intended one."""
+
+    code = 'TT7222'
+
+
+class Lost(errors.CodedError):
+    """Target had the call, and its answer is missing or incomplete."""
+
+    code = 'TT7223'
+    status = 502
+
+
+class Unanswered(Lost):
+    """Connection to the target closed before any of its answer came."""
+
+    code = 'TT7225'
+
+
+@attrs.frozen
+class ResponseHead:
+    """The status and headers of a target's response."""
+
+    status: int
+    headers: list[tuple[str, str]]
+
+
+class TargetResponse:
+    """A target's response whose head has arrived."""
+
+    def __init__(
+        self, head: ResponseHead, response: aiohttp.ClientResponse
+    ) -> None:
+        """Wrap a response; read its body with ``pieces`` or ``whole``."""
+        self._head = head
+        self._response = response
+        connection = response.connection
+        # A response that has arrived completely has released its connection.
+        self._protocol = None if connection is None else connection.protocol
+
+    @property
+    def head(self) -> ResponseHead:
+        """Return the status and the headers for the caller."""
+        return self._head
+
+    async def whole(self) -> bytes:
+        """Read the complete body; raise ``Lost`` if it breaks off."""
+        with _raising_lost():
+            body = await self._response.read()
+        self._check_complete()
+        return body
+
+    async def pieces(self) -> collections.abc.AsyncIterator[bytes]:
+        """Yield the body as it arrives; raise ``Lost`` if it breaks off."""
+        content = self._response.content
+        while True:
+            with _raising_lost():
+                piece = await content.readany()
+            if not piece:
+                self._check_complete()
+                return
+            yield piece
+
+    def _check_complete(self) -> None:
+        """Raise ``Lost`` if a body without a length ended with a reset."""
+        if self._protocol is None or _is_framed(self._response):
+            return
+        # Such a body ends with its connection, and aiohttp takes a reset for a
+        # regular end: the answer of a crashed target would look complete.
+        if isinstance(self._protocol.exception(), aiohttp.ClientOSError):
+            raise Lost('connection was reset before the answer had ended')
+
+
+class TargetClient:
+    """Hold the connection pools for all targets."""
+
+    def __init__(self, header_dialect: dialect.Dialect) -> None:
+        """Open no connections until ``start``."""
+        self._dialect = header_dialect
+        self._pooled: aiohttp.ClientSession | None = None
+        self._unpooled: aiohttp.ClientSession | None = None
+
+    async def start(self) -> None:
+        """Create the pools; must be called in the running event loop."""
+        self._pooled = _new_session(keepalive_timeout=KEEPALIVE_SECONDS)
+        # Calls that must not repeat use a new connection each: a stale pooled
+        # one may lose the call, and nobody knows whether it ran.
+        self._unpooled = _new_session(force_close=True)
+
+    async def close(self) -> None:
+        """Close all connections."""
+        for session in (self._pooled, self._unpooled):
+            if session is not None:
+                await session.close()
+
+    @contextlib.asynccontextmanager
+    async def send(
+        self,
+        call: calls.Call,
+        target: instances.TargetInstance,
+        last_event_id: str,
+    ) -> collections.abc.AsyncIterator[TargetResponse]:
+        """Send a call and yield the response once its head has arrived.
+
+        Raises ``Lost`` if the call may have run, and ``NotSent``, ``Refused``
+        or ``Elsewhere`` if not.
+        """
+        now = asyncio.get_running_loop().time()
+        headers = self._dialect.request_headers(
+            call, target.name, call.deadline - now, last_event_id
+        )
+        requesting = self._pool(call).request(
+            call.request.method,
+            yarl.URL(
+                f'http://{target.announcement.address}{call.request.path}',
+                encoded=True,
+            ),
+            headers=_without_hop_by_hop(headers),
+            data=call.body or None,
+            allow_redirects=False,
+        )
+        response = await _await_head(requesting)
+        try:
+            yield self._classified(call, target, response)
+        finally:
+            # A response that was read completely has released its connection;
+            # this closes the others.
+            response.close()
+
+    def _pool(self, call: calls.Call) -> aiohttp.ClientSession:
+        session = self._pooled
+        if call.route.kind is configuration.Kind.ONCE:
+            session = self._unpooled
+        if session is None:
+            raise errors.CodedError('target client is not started')
+        return session
+
+    def _classified(
+        self,
+        call: calls.Call,
+        target: instances.TargetInstance,
+        response: aiohttp.ClientResponse,
+    ) -> TargetResponse:
+        kind = self._dialect.classify(call, response.status, response.headers)
+        self._apply_backpressure(target, response, kind)
+        if kind is dialect.ResponseKind.NOT_RUN:
+            raise Refused(f'status {response.status}')
+        if kind is dialect.ResponseKind.MISDIRECTED:
+            raise Elsewhere(f'status {response.status}')
+        if kind is dialect.ResponseKind.MISMATCHED:
+            raise Lost(f'status {response.status} is no answer to this call')
+        head = ResponseHead(
+            response.status, self._dialect.response_headers(response.headers)
+        )
+        return TargetResponse(head, response)
+
+    def _apply_backpressure(
+        self,
+        target: instances.TargetInstance,
+        response: aiohttp.ClientResponse,
+        kind: dialect.ResponseKind,
+    ) -> None:
+        """Apply the backpressure of a response to its target."""
+        if kind is dialect.ResponseKind.MISDIRECTED:
+            return
+        now = asyncio.get_running_loop().time()
+        requested = self._dialect.read_backpressure(
+            response.status, response.headers
+        )
+        before = target.active_backpressure(now)
+        target.apply_backpressure(
+            requested, now, is_taken=kind is not dialect.ResponseKind.NOT_RUN
+        )
+        if target.active_backpressure(now) != before:
+            target_log.log_backpressure(target, now)
+
+
+async def _await_head(
+    requesting: collections.abc.Awaitable[aiohttp.ClientResponse],
+) -> aiohttp.ClientResponse:
+    try:
+        return await requesting
+    except (
+        aiohttp.ConnectionTimeoutError,
+        aiohttp.ClientConnectorError,
+    ) as exc:
+        raise NotSent(str(exc)) from exc
+    except (aiohttp.ServerDisconnectedError, OSError) as exc:
+        raise Unanswered(str(exc) or type(exc).__name__) from exc
+    except (aiohttp.ClientError, ValueError) as exc:
+        raise Lost(str(exc) or type(exc).__name__) from exc
+
+
+@contextlib.contextmanager
+def _raising_lost() -> collections.abc.Iterator[None]:
+    try:
+        yield
+    except (aiohttp.ClientError, OSError, ValueError) as exc:
+        raise Lost(str(exc) or type(exc).__name__) from exc
+
+
+def _is_framed(response: aiohttp.ClientResponse) -> bool:
+    """Tell whether the response itself marks its end."""
+    if 'Content-Length' in response.headers:
+        return True
+    coding = response.headers.get('Transfer-Encoding', '')
+    return 'chunked' in coding.lower()
+
+
+def _new_session(**connector: object) -> aiohttp.ClientSession:
+    session = aiohttp.ClientSession(
+        connector=aiohttp.TCPConnector(limit=0, **connector),
+        timeout=aiohttp.ClientTimeout(
+            total=None, connect=CONNECT_SECONDS, sock_connect=CONNECT_SECONDS
+        ),
+        skip_auto_headers=(
+            'User-Agent',
+            'Accept',
+            'Accept-Encoding',
+            'Content-Type',
+        ),
+        auto_decompress=False,
+        cookie_jar=aiohttp.DummyCookieJar(),
+        read_bufsize=READ_BYTES,
+    )
+    # aiohttp would resend idempotent methods on its own, outside the retry
+    # budget.
+    session._retry_connection = False
+    return session
+
+
+def _without_hop_by_hop(headers: calls.Headers) -> calls.Headers:
+    """Leave out headers that concern only the caller's connection."""
+    dropped = set(_HOP_BY_HOP)
+    for header, text in headers:
+        if header.lower() == 'connection':
+            dropped.update(part.strip().lower() for part in text.split(','))
+    return tuple(
+        (name, value) for name, value in headers if name.lower() not in dropped
+    )
--- a/tamarackthread/entry/direct/targets.py
+++ b/tamarackthread/entry/direct/targets.py
@@ -1,4 +1,4 @@
-"""Know the targets of each service and choose one for a call."""
+"""Track the targets of each service and select one for a call."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 import attrs
 
 from tamarackthread.entry.direct import (
-    arrivals,
-    choosing,
     demands,
-    records,
-    standing,
-    starts,
-    target_lines,
+    discovery,
+    eligibility,
+    instances,
+    outlier_detection,
+    selection,
+    target_log,
 )
-from tamarackthread.policy import cold_start, concurrency, fleets
+from tamarackthread.policy import cold_start, concurrency, known_entries
 from tamarackthread.shared.site import announcements, figures, groups, zones
 
 State = announcements.State
 
-# A target without any word for so many beats counts as silent even if no
-# control host says so: the host that heard it last may be gone itself.
-BEATS_UNHEARD = 7
+# Missed heartbeats after which a target counts as silent, even without word
+# from a control host, which may be gone itself.
+SILENT_AFTER_BEATS = 7
 SWEEP_SECONDS = 0.5
 
 
@@ -37,135 +37,143 @@
         zone: str,
         beat_seconds: float,
         generator: random.Random,
-        shares: cold_start.ColdStartLimits | None = None,
-        fleet: fleets.Fleet | None = None,
+        cold_limits: cold_start.ColdStartLimits | None = None,
+        entries: known_entries.KnownEntries | None = None,
     ) -> None:
         """Start without targets; ``zone`` is this entry's own.
 
-        ``shares`` bounds what is sent to cold targets; without it nothing does.
-        The entries of ``fleet`` share what targets in need take.
-        Must be called from within a running loop.
+        ``cold_limits`` limits calls to cold targets; ``entries`` divide rate
+        limits among them.  Needs a running event loop.
         """
-        self._chooser = choosing.Chooser(zone, generator)
-        self._standing = standing.Standing(shares, fleet)
-        self._unheard = beat_seconds * BEATS_UNHEARD
-        self._arrivals = arrivals.Arrivals(beat_seconds)
-        self._knows_others = False
-        self._untold: list[announcements.Announcement] = []
-        self._by_name: dict[str, starts.Start] = {}
+        self._selector = selection.TargetSelector(zone, generator)
+        self._eligibility = eligibility.Eligibility(cold_limits, entries)
+        self._silent_after = beat_seconds * SILENT_AFTER_BEATS
+        self._discovery = discovery.InitialDiscovery(beat_seconds)
+        self._knows_other_loads = False
+        self._unlogged: list[announcements.Announcement] = []
+        self._by_name: dict[str, instances.TargetInstance] = {}
         self._paces: dict[str, dict[str, float]] = {}
-        # In the order of their first announcement: a set's order differs from
-        # process to process, and with it the choice among equals.
+        # Ordered dicts instead of sets, so that the choice among equals is
+        # reproducible.
         self._by_service: dict[str, dict[str, None]] = collections.defaultdict(
             dict
         )
 
-    def take(self, said: announcements.Announcement) -> None:
-        """Take an announcement unless a later one is held."""
+    def take(self, announcement: announcements.Announcement) -> None:
+        """Apply an announcement unless a later one is known."""
         now = asyncio.get_running_loop().time()
-        held = self._by_name.get(said.target)
-        if held is None:
-            self._add(said, now)
+        current = self._by_name.get(announcement.target)
+        if current is None:
+            self._add(announcement, now)
             return
-        if not said.follows(held.said):
+        if not announcement.follows(current.announcement):
             return
-        if said.is_later_start(held.said):
-            self._begin_anew(held, said, now)
+        if announcement.is_later_start(current.announcement):
+            self._replace(current, announcement, now)
             return
-        said = said.after(held.said)
-        if said.state != held.said.state:
-            target_lines.tell(attrs.evolve(held.said, state=said.state))
-        held.heard_at = now
-        if said.state == State.GONE:
-            said = attrs.evolve(held.said, state=State.GONE)
-        held.said = said
+        announcement = announcement.after(current.announcement)
+        if announcement.state != current.announcement.state:
+            target_log.log_state(
+                attrs.evolve(current.announcement, state=announcement.state)
+            )
+        current.announced_at = now
+        if announcement.state == State.GONE:
+            announcement = attrs.evolve(current.announcement, state=State.GONE)
+        current.announcement = announcement
 
     @property
     def zone_changes(self) -> int:
-        """Return how many changes of zones are held."""
-        return self._standing.zone_changes
+        """Return the number of zone changes that were applied."""
+        return self._eligibility.zone_changes
 
     def learn_zones(self, rows: list[zones.Zone]) -> None:
-        """Send nothing to evacuated zones, and work again to those restored."""
-        self._standing.learn_zones(rows, self._by_name.values())
+        """Stop sending to evacuated zones, and resume for restored ones."""
+        self._eligibility.learn_zones(rows, self._by_name.values())
 
     def learn_groups(self, term: int, rows: list[groups.Group]) -> None:
-        """Take which targets make a group, as an owner of a term tells."""
-        self._standing.learn_groups(term, rows, self._by_name.values())
+        """Replace the members of the groups, unless the term is outdated."""
+        self._eligibility.learn_groups(term, rows, self._by_name.values())
 
-    def slow(self, source: str, paces: dict[str, float]) -> None:
-        """Take the slow targets that one control host knows of.
-
-        Only the owner of a group knows them; what a former owner has said
-        ends within seconds, and until then the slower word counts.
-        """
+    def set_paces(self, source: str, paces: dict[str, float]) -> None:
+        """Replace the slow targets reported by one control host."""
+        # Only the owner of a group reports them.  While reports of a former
+        # owner last, the slower pace applies.
         self._paces[source] = paces
         for target in self._by_name.values():
-            told = [held.get(target.name, 1) for held in self._paces.values()]
-            target.pace = max(told)
+            known_paces = [
+                paces_of_host.get(target.name, 1)
+                for paces_of_host in self._paces.values()
+            ]
+            target.pace = max(known_paces)
 
-    def own_loads(self) -> dict[str, records.Load]:
-        """Return this entry's calls, by target, where it has or had any."""
+    def own_loads(self) -> dict[str, outlier_detection.TargetLoad]:
+        """Return this entry's load, by target, where it has or had calls."""
         now = asyncio.get_running_loop().time()
-        found: dict[str, records.Load] = {}
+        found: dict[str, outlier_detection.TargetLoad] = {}
         for name, target in self._by_name.items():
-            ends = target.record.own(now)
-            if not target.own and ends is records.NO_ENDS:
+            outcomes = target.outcomes.own_counts(now)
+            if (
+                not target.own_calls
+                and outcomes is outlier_detection.NO_OUTCOMES
+            ):
                 continue
-            found[name] = records.Load(target.own, ends)
+            found[name] = outlier_detection.TargetLoad(
+                target.own_calls, outcomes
+            )
         return found
 
     @property
-    def knows_others(self) -> bool:
-        """Tell whether the calls of other entries are known."""
-        return self._knows_others
+    def knows_other_loads(self) -> bool:
+        """Tell whether the load of other entries is known."""
+        return self._knows_other_loads
 
-    def share(
+    def set_other_loads(
         self,
-        others: collections.abc.Mapping[str, records.Load],
+        others: collections.abc.Mapping[str, outlier_detection.TargetLoad],
         entries: int = 1,
     ) -> None:
-        """Take the calls that all other entries have and had, by target.
+        """Replace the load of all other entries, by target.
 
-        ``entries`` counts those whose calls are in it, this one included.
+        ``entries`` counts the entries whose calls are known, this one included.
         """
-        self._knows_others = True
+        self._knows_other_loads = True
         now = asyncio.get_running_loop().time()
         for name, target in self._by_name.items():
-            load = others.get(name, records.IDLE)
-            target.others = load.calls
-            target.record.others = load.ends
-        self._judge()
+            load = others.get(name, outlier_detection.IDLE)
+            target.other_calls = load.calls
+            target.outcomes.other_counts = load.outcomes
+        self._eject_outliers()
         for service in self._by_service:
             known = self.of_service(service)
-            self._standing.demand(service, demands.of(known, entries, now))
+            self._eligibility.set_demand(
+                service, demands.of_entry(known, entries, now)
+            )
 
     def forget_others(self) -> None:
-        """Go by this entry's own calls until others are told of again."""
-        self.share({})
-        self._knows_others = False
+        """Balance by this entry's own calls until the next exchange."""
+        self.set_other_loads({})
+        self._knows_other_loads = False
 
-    def crowd(
+    def group_load(
         self,
         service: str,
         entries: int,
     ) -> concurrency.GroupLoad:
-        """Count the calls and the places at the targets of a service.
-
-        An entry that does not know the calls of the others takes it that all
-        ``entries`` have as many as itself.
-        """
+        """Count the calls and the slots at the targets of a service."""
         now = asyncio.get_running_loop().time()
         found = self.of_service(service)
         ready = [
             target
             for target in found
-            if target.is_ready(now) and self._standing.has_room(target, now)
+            if target.is_ready(now)
+            and self._eligibility.has_capacity(target, now)
         ]
-        own = sum(target.own for target in found)
+        # While the load of other entries is unknown, it is assumed to be like
+        # this one's.
+        own = sum(target.own_calls for target in found)
         others = own * max(0, entries - 1)
-        if self._knows_others:
-            others = sum(target.others for target in found)
+        if self._knows_other_loads:
+            others = sum(target.other_calls for target in found)
         return concurrency.GroupLoad(
             calls=own + others,
             ranks=len(ready),
@@ -174,16 +182,18 @@
             own=own,
         )
 
-    def get(self, name: str) -> starts.Start | None:
-        """Return a start of a target."""
+    def get(self, name: str) -> instances.TargetInstance | None:
+        """Return the instance of a target, ``None`` if unknown."""
         return self._by_name.get(name)
 
-    def gone(self, target: starts.Start) -> None:
-        """Note that another start of a target answers at the address."""
-        target.said = attrs.evolve(target.said, state=State.GONE)
-        target_lines.tell(target.said)
+    def mark_gone(self, target: instances.TargetInstance) -> None:
+        """Mark a target whose address now belongs to another instance."""
+        target.announcement = attrs.evolve(
+            target.announcement, state=State.GONE
+        )
+        target_log.log_state(target.announcement)
 
-    def of_service(self, service: str) -> list[starts.Start]:
+    def of_service(self, service: str) -> list[instances.TargetInstance]:
         """List the targets of a service, usable or not."""
         return [
             self._by_name[name] for name in self._by_service.get(service, ())
@@ -193,101 +203,108 @@
         self,
         service: str,
         tried: collections.abc.Collection[str],
-        left: collections.abc.Collection[str] = (),
-    ) -> starts.Start | None:
-        """Choose a target for a call, ``None`` if none may get it.
-
-        Targets whose group is closed, or one of those that the call has ``left``,
-        get it only if there is no other.
-        """
+        failed_groups: collections.abc.Collection[str] = (),
+    ) -> instances.TargetInstance | None:
+        """Choose a target for a call, ``None`` if none may get it."""
         now = asyncio.get_running_loop().time()
         usable = [
             target
             for target in self.of_service(service)
-            if target.name not in tried and self._standing.may_take(target, now)
+            if target.name not in tried
+            and self._eligibility.is_eligible(target, now)
         ]
-        sound = [
+        # Targets of closed groups, or of groups that failed the call, are a
+        # fallback.
+        preferred = [
             target
             for target in usable
-            if target.group not in left and self._standing.is_open(target)
+            if target.group not in failed_groups
+            and self._eligibility.is_group_open(target)
         ]
-        return self._chooser.best(
-            sound or usable or self._leaving(service, tried, now), now
+        return self._selector.select(
+            preferred or usable or self._draining(service, tried, now), now
         )
 
-    def _leaving(
+    def _draining(
         self,
         service: str,
         tried: collections.abc.Collection[str],
         now: float,
-    ) -> list[starts.Start]:
-        """List targets that leave and may still get a call."""
+    ) -> list[instances.TargetInstance]:
+        """List draining targets that may still get a call."""
         return [
             target
             for target in self.of_service(service)
             if target.name not in tried
-            and self._standing.may_take_last(target, now)
+            and self._eligibility.is_last_resort(target, now)
         ]
 
-    def rest_seconds(self, service: str) -> float:
-        """Return how long all targets of a service want no call, 0 if not all.
-
-        Those that get no call for another reason don't count.
-        """
+    def cooldown_seconds(self, service: str) -> float:
+        """Return the shortest cooldown, 0 unless all targets have one."""
         now = asyncio.get_running_loop().time()
         shortest: float = 0
         for target in self.of_service(service):
-            if not self._standing.is_in_service(target):
+            if not self._eligibility.is_in_service(target):
                 continue
-            left = target.rest.remaining(now)
+            left = target.cooldown.remaining(now)
             if not left:
                 return 0
             shortest = min(shortest or left, left)
         return shortest
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep periodically."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep()
 
-    async def arrival(
+    async def wait_for_target(
         self,
         service: str,
         tried: collections.abc.Collection[str],
         seconds: float,
     ) -> None:
-        """Wait for a target that was not tried, while more may be announced."""
-        await self._arrivals.wait(lambda: self.choose(service, tried), seconds)
+        """Wait for an untried target while the entry discovers targets."""
+        await self._discovery.wait(lambda: self.choose(service, tried), seconds)
 
     def sweep(self) -> None:
-        """Mark targets that nobody has spoken of for long."""
-        target_lines.tell_new(self._untold)
-        self._untold = []
+        """Mark silent targets and remove those that are gone."""
+        target_log.log_new(self._unlogged)
+        self._unlogged = []
         now = asyncio.get_running_loop().time()
         for name, target in tuple(self._by_name.items()):
-            quiet = now - target.heard_at
-            if target.said.is_leaving and quiet > self._unheard * 4:
+            silence = now - target.announced_at
+            if (
+                target.announcement.is_leaving
+                and silence > self._silent_after * 4
+            ):
                 self._forget(name)
                 continue
-            if target.said.state != State.READY or quiet < self._unheard:
+            if (
+                target.announcement.state != State.READY
+                or silence < self._silent_after
+            ):
                 continue
-            target.said = attrs.evolve(target.said, state=State.SILENT)
-            target_lines.tell(target.said)
+            target.announcement = attrs.evolve(
+                target.announcement, state=State.SILENT
+            )
+            target_log.log_state(target.announcement)
         self._count()
 
-    def _judge(self) -> None:
-        """Leave out targets that fail what others of their service answer."""
+    def _eject_outliers(self) -> None:
+        """Eject the targets of each service that fail far more than others."""
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
             ready = [
                 one for one in self.of_service(service) if one.is_ready(now)
             ]
-            by_record = {id(one.record): one for one in ready}
-            found = records.judge([one.record for one in ready], now)
+            by_history = {id(one.outcomes): one for one in ready}
+            found = outlier_detection.eject_outliers(
+                [one.outcomes for one in ready], now
+            )
             if found:
-                target_lines.tell_failing(
-                    service, [by_record[id(record)].name for record in found]
+                target_log.log_ejected(
+                    service, [by_history[id(history)].name for history in found]
                 )
 
     def _count(self) -> None:
@@ -296,38 +313,39 @@
         now = asyncio.get_running_loop().time()
         for service in self._by_service:
             for target in self.of_service(service):
-                state = target.said.state.name.lower()
+                state = target.announcement.state.name.lower()
                 figures.TARGETS.labels(service, state).inc()
-                for asked in target.asking(now):
-                    figures.TARGETS_ASKING.labels(service, asked).inc()
-
-    def _add(self, said: announcements.Announcement, now: float) -> None:
-        group = self._standing.group_of(said.target)
-        self._by_name[said.target] = starts.Start(said, now, group=group)
-        if said.service:
-            self._by_service[said.service][said.target] = None
-            self._arrivals.note()
-        if said.state == State.READY:
-            self._untold.append(said)
+                for kind in target.active_backpressure(now):
+                    figures.TARGETS_ASKING.labels(service, kind).inc()
+
+    def _add(
+        self, announcement: announcements.Announcement, now: float
+    ) -> None:
+        group = self._eligibility.group_of(announcement.target)
+        self._by_name[announcement.target] = instances.TargetInstance(
+            announcement, now, group=group
+        )
+        if announcement.service:
+            self._by_service[announcement.service][announcement.target] = None
+            self._discovery.note()
+        if announcement.state == State.READY:
+            self._unlogged.append(announcement)
         else:
-            target_lines.tell(said)
+            target_log.log_state(announcement)
 
-    def _begin_anew(
+    def _replace(
         self,
-        ended: starts.Start,
-        said: announcements.Announcement,
+        ended: instances.TargetInstance,
+        announcement: announcements.Announcement,
         now: float,
     ) -> None:
-        """Put a later start in the place of one that has ended.
-
-        Calls that the earlier one had may have run and are lost with it; what
-        was held of it, its load, its pauses and its pace, ends with it too.
-        """
-        ended.said = attrs.evolve(ended.said, state=State.GONE)
-        ended.end()
-        self._forget(said.target)
-        self._add(said, now)
+        """Replace an instance by a later one, which starts with clean state."""
+        ended.announcement = attrs.evolve(ended.announcement, state=State.GONE)
+        # Calls of the ended instance are lost and may have run.
+        ended.cancel_calls()
+        self._forget(announcement.target)
+        self._add(announcement, now)
 
     def _forget(self, name: str) -> None:
-        gone = self._by_name.pop(name)
-        self._by_service[gone.said.service].pop(name, None)
+        removed = self._by_name.pop(name)
+        self._by_service[removed.announcement.service].pop(name, None)
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -46,7 +46,7 @@
         settings: AdmissionSettings | None = None,
         portions: buckets.Portions | None = None,
         preempt: preemption.PreemptionPolicy | None = None,
-        move: migration.MovePolicy | None = None,
+        move: migration.MigrationPolicy | None = None,
     ) -> None:
         """Start empty; requires a running event loop."""
         self._settings = settings or AdmissionSettings()
@@ -64,8 +64,8 @@
         )
         self._running = running_calls.RunningCalls(
             capacity,
-            preempt or preemption.NewestDraft(),
-            move or migration.StayPut(),
+            preempt or preemption.LowestPriorityFirst(),
+            move or migration.NeverMigrate(),
         )
         self._timer: asyncio.TimerHandle | None = None
         self._next_shed_at: float = 0
@@ -136,7 +136,7 @@
 
     def _charge_portion(self, call: calls.CallFacts, now: float) -> None:
         portion = self._portions.find(call.organisation)
-        if portion is None or call.start or call.goes_first:
+        if portion is None or call.resume_offset or call.is_resumed:
             return
         wait = portion.take(1, now)
         if wait:
@@ -179,7 +179,7 @@
 
     def _must_be_next(self, head: call_queue.QueueEntry, now: float) -> bool:
         item = head.item
-        if item.call.is_ahead:
+        if item.call.bypasses_queue:
             return True
         if item.times_skipped >= self._settings.most_passes:
             return True
--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -12,8 +12,13 @@
 
 import attrs
 
-from tamarackthread.policy import calls, migration, refusals, routing
-from tamarackthread.policy import load as target_load
+from tamarackthread.policy import (
+    calls,
+    migration,
+    refusals,
+    routing,
+    target_load,
+)
 
 _SLOW_STEP_FACTOR = 1.5
 
@@ -23,12 +28,12 @@
     """A call's slot at a target, held until released."""
 
     target: routing.TargetView
-    flight: target_load.Flight
+    flight: target_load.InFlightCall
 
     def advance(self, progress: migration.Progress, now: float) -> None:
         """Record the progress of the stream."""
         self.target.load.first_token(self.flight, now)
-        self.target.load.paced(progress.pace, now)
+        self.target.load.observe_pace(progress.pace, now)
 
     def release(self, now: float) -> None:
         """Free the slot; idempotent."""
@@ -119,7 +124,7 @@
             if _meeting_deadline(call, usable, now):
                 return None
             raise refusals.DeadlineTooClose()
-        if call.is_ahead:
+        if call.bypasses_queue:
             in_time = self._prefer_healthy(in_time)
         view = self._policy.choose(call, in_time, now)
         if view is None:
@@ -149,8 +154,8 @@
         """Estimate from the slots and the hold time of own calls."""
         total: float = 0
         for view in self._targets:
-            if view.load.takes_calls:
-                total += view.share * view.load.own_rate
+            if view.load.accepts_calls:
+                total += view.share * view.load.guaranteed_rate
         return total
 
     def first_token_seconds(self, call: calls.CallFacts, now: float) -> float:
@@ -181,7 +186,7 @@
         call: calls.CallFacts,
         view: routing.TargetView,
     ) -> int:
-        if call.is_ahead:
+        if call.bypasses_queue:
             return -self._settings.urgent_extra
         return math.ceil(self._settings.reserved_share * view.load.slots)
 
@@ -230,7 +235,9 @@
     """
     if view.share >= 1:
         return False
-    return view.load.own_calls >= max(1, view.share * view.load.portion)
+    return view.load.own_calls >= max(
+        1, view.share * view.load.guaranteed_slots
+    )
 
 
 def _is_probe(call: calls.CallFacts, view: routing.TargetView) -> bool:
--- a/tamarackthread/policy/call_queue.py
+++ b/tamarackthread/policy/call_queue.py
@@ -91,7 +91,7 @@
             self._shares.weight(call.organisation),
             call.priority,
         )
-        if call.is_ahead:
+        if call.bypasses_queue:
             return own
         return own + self._urgent.backlog
 
@@ -112,6 +112,6 @@
         self,
         call: calls.CallFacts,
     ) -> fairness.FairQueue[QueuedCall]:
-        if call.is_ahead:
+        if call.bypasses_queue:
             return self._urgent
         return self._other
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -8,7 +8,7 @@
 
 import collections.abc
 
-from tamarackthread.policy import fleets
+from tamarackthread.policy import known_entries
 
 # Sliding window: the second over which targets count, plus the time to
 # connect.
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        fleet: fleets.Fleet,
+        fleet: known_entries.KnownEntries,
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
@@ -60,5 +60,5 @@
 
     def _is_selected(self, target: str, selected: int) -> bool:
         """Tell whether this entry is among the few that use a target."""
-        place = self._fleet.place(target)
+        place = self._fleet.position(target)
         return place is not None and place < selected
--- a/tamarackthread/policy/queue_limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -65,7 +65,7 @@
         )
         if until_end <= 0:
             raise refusals.DeadlineTooClose()
-        if call.is_ahead:
+        if call.bypasses_queue:
             return until_end
         settings = self._settings
         first = self._allocator.first_token_seconds(call, now)
@@ -87,7 +87,7 @@
         if length >= settings.organisation_limit:
             retry = self._estimator.retry_after(call, now)
             raise refusals.ShareExceeded(retry_after=retry)
-        if call.is_ahead:
+        if call.bypasses_queue:
             return
         if len(self._queue) >= settings.queue_limit:
             retry = self._estimator.retry_after(call, now)
--- a/tamarackthread/policy/running_calls.py
+++ b/tamarackthread/policy/running_calls.py
@@ -18,7 +18,7 @@
         self,
         capacity: allocator.Allocator,
         preempt: preemption.PreemptionPolicy,
-        move: migration.MovePolicy,
+        move: migration.MigrationPolicy,
     ) -> None:
         """Start empty."""
         self._allocator = capacity
@@ -56,10 +56,14 @@
         for ticket in self._tickets.values():
             if not ticket.call.idempotent or ticket.preempted.is_set():
                 continue
-            comparison = migration.Comparison(
-                step=ticket.step_seconds,
-                elsewhere=self._allocator.answer_seconds(ticket.resumed, now),
+            comparison = migration.MigrationEstimate(
+                step_seconds=ticket.step_seconds,
+                elsewhere_seconds=self._allocator.answer_seconds(
+                    ticket.resumed, now
+                ),
             )
             progress = ticket.progress
-            if self._move.should_move(ticket.call, progress, comparison, now):
+            if self._move.should_migrate(
+                ticket.call, progress, comparison, now
+            ):
                 ticket.request_move()
--- a/tamarackthread/policy/subsets.py
+++ b/tamarackthread/policy/subsets.py
@@ -1,9 +1,5 @@
-"""Score the pairs of an entry and a target.
-
-Every entry works its subset of targets out for itself, from the same two
-lists.  The choice is by rendezvous hashing from the target's side: each
-target picks its entries, so that each target has its share of entries, and a
-target or entry that comes or goes moves only its own pairs.
+"""Score entries for targets by weighted rendezvous hashing, so that each target
+has its share of entries and a change moves only the changed one's pairs.
 """
 
 from __future__ import annotations
@@ -15,7 +11,7 @@
 
 
 @attrs.frozen(slots=True)
-class Place:
+class Endpoint:
     """An entry or a target with its availability zone."""
 
     name: str
@@ -24,17 +20,19 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class SubsetSettings:
-    """Hold how pairs are scored.
-
-    ``zone_pull`` is how much likelier a pair within one zone is; a pull
-    without bound would leave a zone without entries unserved.
-    """
+    """Hold the weights of scores."""
 
-    zone_pull: float = 4.0
+    # Factor on the likelihood of pairs within a zone; finite, so that zones
+    # without entries are served from others.
+    same_zone_weight: float = 4.0
 
 
-def score(entry: Place, target: Place, zone_pull: float) -> float:
-    """Draw how much a target wants an entry, the same in every process."""
+def score(entry: Endpoint, target: Endpoint, same_zone_weight: float) -> float:
+    """Return a target's score for an entry, the same in every process."""
     digest = xxhash.xxh64_intdigest(f'{entry.name}\n{target.name}'.encode())
-    drawn = (digest + 1) / (_HASH_RANGE + 1)
-    return drawn ** (1 / zone_pull) if entry.zone == target.zone else drawn
+    uniform = (digest + 1) / (_HASH_RANGE + 1)
+    return (
+        uniform ** (1 / same_zone_weight)
+        if entry.zone == target.zone
+        else uniform
+    )
--- a/tests/claim_world.py
+++ b/tests/claim_simulation.py
@@ -1,8 +1,4 @@
-"""Run keyed calls in a world that fails at random, on paused time.
-
-Entries die, agents restart and stall, frames come late, answers get lost, and
-requests to the shards are doubled and applied again much later.
-"""
+"""Simulate keyed calls under random faults, on virtual time."""
 
 import asyncio
 import types
@@ -11,8 +7,8 @@
 from bench.checks import calls as checker
 from tamarackthread.agent import claims as gates
 from tamarackthread.control import failures
-from tamarackthread.entry import answers, keyed, takeover
 from tamarackthread.entry import failures as refusals
+from tamarackthread.entry import keyed_claim, responses, takeover
 from tamarackthread.generated import documents
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import calls
@@ -26,12 +22,12 @@
 
 
 class RandomLinks(shards.LocalLinks):
-    """Lose, delay and double what an entry asks of the shards."""
+    """Delay, drop and duplicate an entry's requests to the shards."""
 
-    def __init__(self, held, rng, world):
+    def __init__(self, held, rng, simulation):
         super().__init__(held)
         self._rng = rng
-        self._world = world
+        self._simulation = simulation
 
     async def request(self, address, request, timeout_seconds):
         if self.is_dead:
@@ -40,13 +36,13 @@
         if self._rng.random() < 0.08:
             raise claim_errors.ClaimsUnavailable
         if self._rng.random() < 0.1:
-            self._world.later(self._again(request))
+            self._simulation.run_in_background(self._send_duplicate(request))
         reply = await super().request(address, request, timeout_seconds)
         if self._rng.random() < 0.12:
             raise claim_errors.ClaimsUnavailable
         return reply
 
-    async def _again(self, request):
+    async def _send_duplicate(self, request):
         await asyncio.sleep(self._rng.choice([0.01, 1, 5, 60]))
         try:
             await self._dispatch(request)
@@ -55,11 +51,11 @@
 
 
 class Agent:
-    """Be an agent and its target; ``incarnation`` grows with restarts."""
+    """A simulated agent and its target; restarts raise ``incarnation``."""
 
-    def __init__(self, name, world):
+    def __init__(self, name, simulation):
         self.name = name
-        self.world = world
+        self.simulation = simulation
         self.incarnation = 0
         self.restart()
 
@@ -67,7 +63,7 @@
         self.incarnation += 1
         self.gate = gates.ClaimGate(self.name, self.incarnation)
 
-    def contact(self):
+    def connection(self):
         loop = asyncio.get_running_loop()
         held = types.SimpleNamespace(
             is_closed=False,
@@ -76,25 +72,25 @@
         )
         return types.SimpleNamespace(
             name=self.name,
-            held=held,
+            current_link=held,
             details=types.SimpleNamespace(address=self.name),
         )
 
-    async def serve(self, opening, body, answered):
-        """Take one call off the network and run it."""
-        rng = self.world.rng
+    async def serve(self, opening, body, result):
+        """Receive one call from the network and run it."""
+        rng = self.simulation.rng
         await asyncio.sleep(rng.choice([0, 0.002, 0.05, 3, 40, 2000]))
         gate = self.gate
         if rng.random() < 0.1:
-            _answer(answered, Ran.NOT_RUN)
+            _set_result(result, Ran.NOT_RUN)
             return
         try:
             gate.admit(opening)
         except errors.CodedError as exc:
-            _answer(answered, exc.ran)
+            _set_result(result, exc.ran)
             return
         now = asyncio.get_running_loop().time()
-        self.world.starts.append(checker.Start(body, now))
+        self.simulation.starts.append(checker.Start(body, now))
         await asyncio.sleep(rng.choice([0.01, 0.01, 0.5, 4]))
         text = f'booked {body}'
         if rng.random() < 0.1:
@@ -102,60 +98,60 @@
             return
         gate.finish(opening, gates.Answer(201, (), text.encode()))
         if rng.random() < 0.85:
-            _answer(answered, Ran.COMPLETE, text)
+            _set_result(result, Ran.COMPLETE, text)
 
 
-def _answer(answered, ran, text=''):
-    if not answered.done():
-        answered.set_result((ran, text))
+def _set_result(result, ran, text=''):
+    if not result.done():
+        result.set_result((ran, text))
 
 
 class Prober(takeover.Prober):
-    """Reach agents, if they can be reached."""
+    """Probe agents, with random failures."""
 
-    def __init__(self, world):
-        self._world = world
+    def __init__(self, simulation):
+        self._simulation = simulation
 
-    async def probe(self, handover, ask):
-        rng = self._world.rng
+    async def probe(self, handover, request):
+        rng = self._simulation.rng
         await asyncio.sleep(rng.choice([0.001, 0.01]))
         if rng.random() < 0.15:
             raise errors.AddressUnreachable(handover.address)
-        proof = self._world.agents[handover.address].gate.probe(ask)
+        proof = self._simulation.agents[handover.address].gate.probe(request)
         if rng.random() < 0.1:
             raise errors.RequestTimeout(handover.address)
         return proof
 
 
 class Sink:
-    """Take the answer of one try."""
+    """Keep the response of one request."""
 
     def __init__(self):
         self.text = None
 
-    async def whole(self, head, body):
+    async def send(self, head, body):
         self.text = body.decode()
 
 
 class Entry:
-    """Carry keyed calls as the entry's runner does."""
+    """Run keyed calls as the entry's runner does."""
 
-    def __init__(self, name, world):
-        self.world = world
-        self.links = RandomLinks(world.shards, world.rng, world)
+    def __init__(self, name, simulation):
+        self.simulation = simulation
+        self.links = RandomLinks(simulation.shards, simulation.rng, simulation)
         client = shards.connect(self.links, name)
-        self.keyed = keyed.KeyedCalls(
-            client, takeover.Takeover(client, Prober(world))
+        self.keyed = keyed_claim.KeyedClaims(
+            client, takeover.Takeover(client, Prober(simulation))
         )
 
-    def die(self):
+    def kill(self):
         self.links.is_dead = True
-        self.keyed.later = lambda work: work.close()
+        self.keyed.run_in_background = lambda work: work.close()
 
     async def run(self, key, sink):
-        """Run one try; raise what its caller is told."""
+        """Run one request; raise its caller's error."""
         loop = asyncio.get_running_loop()
-        request = keyed.Request(
+        request = keyed_claim.Request(
             facts=calls.CallFacts(organisation='o', deadline=loop.time() + 15),
             rules=RULES,
             home_region='',
@@ -164,53 +160,53 @@
             path='/order',
             body=key.encode(),
         )
-        claim = self.keyed.start(request)
-        claim.record(sink)
+        claim = self.keyed.create(request)
+        claim.wrap_sink(sink)
         try:
-            await self._attempts(claim, key, sink)
+            await self._run_attempts(claim, key, sink)
         except errors.CodedError as exc:
             await claim.fail(exc)
             raise
         claim.succeed()
 
-    async def _attempts(self, claim, key, sink):
+    async def _run_attempts(self, claim, key, sink):
         while True:
-            settled = None
+            resolved = None
             try:
-                ran, text = await self._attempt(claim, key)
-            except keyed.ClaimedElsewhere as exc:
-                settled = await claim.settle(exc.reply)
+                ran, text = await self._run_attempt(claim, key)
+            except keyed_claim.ClaimedElsewhere as exc:
+                resolved = await claim.resolve(exc.reply)
             else:
                 if ran == Ran.COMPLETE:
-                    await claim._sink.whole(answers.Head(201, ()), text)
+                    await claim._sink.send(responses.Head(201, ()), text)
                     return
                 if ran == Ran.MAY_HAVE_RUN:
-                    settled = await claim.settle(None)
-            if settled is not None and not settled.granted:
-                sink.text = settled.body.decode()
+                    resolved = await claim.resolve(None)
+            if resolved is not None and not resolved.granted:
+                sink.text = resolved.body.decode()
                 return
-            if self.world.rng.random() < 0.3:
+            if self.simulation.rng.random() < 0.3:
                 raise refusals.EntryLeaving
 
-    async def _attempt(self, claim, key):
-        rng = self.world.rng
-        agent = self.world.agents[rng.choice(TARGETS)]
+    async def _run_attempt(self, claim, key):
+        rng = self.simulation.rng
+        agent = self.simulation.agents[rng.choice(TARGETS)]
         opening = messages.OpenCall(call_id=b'c')
-        await claim.secure(opening, agent.contact())
+        await claim.record_handover(opening, agent.connection())
         if rng.random() < 0.1:
             await asyncio.sleep(rng.choice([0.1, 12]))
-        answered = asyncio.get_running_loop().create_future()
-        self.world.later(agent.serve(opening, key, answered))
+        result = asyncio.get_running_loop().create_future()
+        self.simulation.run_in_background(agent.serve(opening, key, result))
         try:
             async with asyncio.timeout(rng.choice([0.02, 1, 3])):
-                ran, text = await answered
+                ran, text = await result
         except TimeoutError:
             return Ran.MAY_HAVE_RUN, b''
         return ran, text.encode()
 
 
-class World:
-    """Hold everything and the history."""
+class Simulation:
+    """The simulated shards, agents and callers, and their history."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -220,20 +216,20 @@
         self.tries = []
         self._tasks = set()
 
-    def later(self, work):
+    def run_in_background(self, work):
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def run(self, keys):
-        breaking = asyncio.ensure_future(self._break())
-        await asyncio.gather(*(self._caller(key) for key in keys))
-        breaking.cancel()
+        faults = asyncio.ensure_future(self._inject_faults())
+        await asyncio.gather(*(self._run_caller(key) for key in keys))
+        faults.cancel()
         while self._tasks:
             await asyncio.wait(self._tasks)
         return checker.History(self.tries, self.starts)
 
-    async def _break(self):
+    async def _inject_faults(self):
         while True:
             await asyncio.sleep(self.rng.choice([0.3, 2, 20]))
             if self.rng.random() < 0.5:
@@ -246,30 +242,30 @@
             for shard in self.shards.values():
                 shard.group.failure = None
 
-    async def _caller(self, key):
+    async def _run_caller(self, key):
         await asyncio.sleep(self.rng.uniform(0, 3))
         for number in range(4):
-            trying = asyncio.ensure_future(self._try(key, number))
+            attempt = asyncio.ensure_future(self._send(key, number))
             if self.rng.random() < 0.6:
-                await trying
+                await attempt
             await asyncio.sleep(self.rng.choice([0.01, 0.5, 2, 20, 250]))
-            self._tasks.add(trying)
-            trying.add_done_callback(self._tasks.discard)
-            if trying.done() and trying.result():
+            self._tasks.add(attempt)
+            attempt.add_done_callback(self._tasks.discard)
+            if attempt.done() and attempt.result():
                 return
 
-    async def _try(self, key, number):
+    async def _send(self, key, number):
         loop = asyncio.get_running_loop()
-        asked = loop.time()
+        started = loop.time()
         entry = Entry(f'entry-{number}', self)
         sink = Sink()
         outcome = load.Outcome.COMPLETE
-        life = 60 if self.rng.random() < 0.6 else self.rng.uniform(0, 3)
+        lifetime = 60 if self.rng.random() < 0.6 else self.rng.uniform(0, 3)
         try:
-            async with asyncio.timeout(life):
+            async with asyncio.timeout(lifetime):
                 await entry.run(key, sink)
         except TimeoutError:
-            entry.die()
+            entry.kill()
             outcome = load.Outcome.BROKEN
         except errors.CodedError as exc:
             outcome = load.Outcome.REFUSED
@@ -280,7 +276,7 @@
                 call=key,
                 kind=checker.Kind.KEYED,
                 body=key,
-                asked_at=asked,
+                asked_at=started,
                 told_at=loop.time(),
                 outcome=outcome,
                 text=sink.text or '',
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -1,4 +1,4 @@
-"""Stand an entry before fake targets, each with a script of its own."""
+"""Run an entry with direct calls against scripted fake targets."""
 
 import asyncio
 import random
@@ -9,18 +9,18 @@
 import aiohttp
 
 from tamarackthread.entry.direct import (
-    admitting,
-    budgets,
-    crashing,
-    front,
-    ledger,
-    running,
-    sending,
-    table,
+    admission_control,
+    call_log,
+    call_runner,
+    frontend,
+    poison_requests,
+    retry_budgets,
+    routing_table,
+    target_client,
     targets,
 )
 from tamarackthread.generated import settings
-from tamarackthread.platform import calls as spoken
+from tamarackthread.platform import calls as platform_calls
 from tamarackthread.shared.site import announcements, configuration
 
 HOST = 'h.example'
@@ -34,14 +34,14 @@
 
 
 async def measuring(target, head, writer):
-    """Take a body and answer with its length."""
+    """Read a body and answer with its length."""
     text = str(len(await target.body(head)))
     start = head_of(target, head)
     writer.write(f'{start}Content-Length: {len(text)}\r\n\r\n{text}'.encode())
 
 
 class FakeTarget:
-    """Answer each call by a script: a coroutine that writes bytes."""
+    """Answer each request by a script, a coroutine that writes bytes."""
 
     def __init__(self, name, script):
         self.name = name
@@ -75,7 +75,7 @@
 
 
 def header(head, name):
-    """Find a header's value in a request's head."""
+    """Return the value of a header of a request head, empty if missing."""
     for line in head.split('\r\n'):
         if line.lower().startswith(f'{name.lower()}: '):
             return line.split(': ', 1)[1]
@@ -87,7 +87,7 @@
 
 
 def whole(text, status='200 OK'):
-    """Answer with a whole body."""
+    """Answer with a complete body."""
 
     async def script(target, head, writer):
         start = head_of(target, head).replace('200 OK', status)
@@ -105,7 +105,7 @@
 
 
 async def silent(target, head, writer):
-    """Take a call and never answer."""
+    """Accept a call and never answer."""
 
 
 async def dropping(target, head, writer):
@@ -134,7 +134,7 @@
 
 
 def streaming(first, last, is_whole):
-    """Send numbered events; break off in the middle of one unless whole."""
+    """Send numbered events; unless whole, break off within the next one."""
 
     async def script(target, head, writer):
         position = int(header(head, 'Last-Event-Id') or 0)
@@ -160,25 +160,29 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(3)
         self.known = targets.Targets('z', 1.0, rng)
-        self.sender = sending.Sender(spoken.PlatformDialect())
+        self.sender = target_client.TargetClient(
+            platform_calls.PlatformDialect()
+        )
         await self.sender.start()
         site = settings.Site(seeds=(), link_port=1, retry_reserve=20)
-        self.tables = table.Holder()
-        self.crashing = crashing.Crashing()
-        self.admission = admitting.Admission(self.known, lambda: 1)
-        self.front = front.Front(
-            spoken.PlatformDialect(),
+        self.tables = routing_table.CurrentTable()
+        self.crashing = poison_requests.PoisonRequests()
+        self.admission = admission_control.AdmissionControl(
+            self.known, lambda: 1
+        )
+        self.front = frontend.Frontend(
+            platform_calls.PlatformDialect(),
             self.tables,
-            running.Runner(
+            call_runner.CallRunner(
                 self.known,
                 self.sender,
-                budgets.Budgets(site, lambda: 1, loop.time),
+                retry_budgets.RetryBudgets(site, lambda: 1, loop.time),
                 self.admission,
                 self.crashing,
                 rng,
             ),
             rng,
-            ledger.Ledger(),
+            call_log.CallLog(),
         )
         self.address = await self.front.start('127.0.0.1:0')
         self.session = aiohttp.ClientSession()
@@ -204,7 +208,7 @@
             name='org', keys=frozenset(('secret',))
         )
         self.tables.put(
-            table.Table(
+            routing_table.RoutingTable(
                 configuration.Configuration(
                     version=1,
                     routes=(route,),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -131,7 +131,7 @@
         async def scenario():
             admission = policy_case.build_admission(
                 [policy_case.view('t')],
-                preempt=preemption.NewestDraft(),
+                preempt=preemption.LowestPriorityFirst(),
             )
             drafts = []
             for _ in range(4):
@@ -147,8 +147,10 @@
             drafts[3].release()
             await urgent[0]
             resumed = drafts[3].resumed
-            self.assertEqual((resumed.start, resumed.answer_tokens), (5, 45))
-            self.assertTrue(resumed.is_ahead)
+            self.assertEqual(
+                (resumed.resume_offset, resumed.answer_tokens), (5, 45)
+            )
+            self.assertTrue(resumed.bypasses_queue)
 
         self.run_paused(scenario())
 
@@ -176,7 +178,7 @@
             budget = retries.RetryBudget(retries.RetrySettings(), 0)
             admission = policy_case.build_admission(
                 [policy_case.view(f't-{rank}') for rank in range(5)],
-                move=migration.LateStreams(budget),
+                move=migration.MigrateLateStreams(budget),
             )
             fields = {'deadline': 3.0, 'answer_tokens': 100}
             stream = await admission.submit(
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from tamarackthread.entry.direct import standing
+from tamarackthread.entry.direct import eligibility
 from tamarackthread.policy import backpressure
 from tamarackthread.shared.site import configuration
 from tests import direct_case as direct
@@ -61,7 +61,9 @@
         await self.add(other_target)
         await self.add(direct.whole('yes'), zone='far')
         self.assertEqual(200, (await self.ask())[0])
-        self.assertEqual(backpressure.NONE, self.known.get('t1').asked)
+        self.assertEqual(
+            backpressure.NONE, self.known.get('t1').last_backpressure
+        )
 
 
 def answer_with_header(header, text):
@@ -94,7 +96,9 @@
         await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
-        self.known.get('t1').leaving_at = loop.time() - standing.LAST_SECONDS
+        self.known.get('t1').draining_since = (
+            loop.time() - eligibility.DRAINING_GRACE_SECONDS
+        )
         self.assertEqual(503, (await self.ask())[0])
 
     async def test_later_start(self):
@@ -102,11 +106,11 @@
         self.serve(configuration.Kind.IDEMPOTENT)
         await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         await self.ask()
-        left = self.known.get('t1').said
+        left = self.known.get('t1').announcement
         later = attrs.evolve(left, born=left.born + 1)
         self.known.take(attrs.evolve(left, born=1, sequence=1))
         self.known.take(attrs.evolve(later, born=2))
-        self.assertFalse(self.known.get('t1').leaving_at)
+        self.assertFalse(self.known.get('t1').draining_since)
 
 
 class ProbeCase(unittest.TestCase):
--- a/tests/test_claim_gate.py
+++ b/tests/test_claim_gate.py
@@ -1,4 +1,4 @@
-"""Prove that an agent starts each claim once and seals what it says it does."""
+"""Test that a gate starts each claim at most once and honours its seals."""
 
 import asyncio
 import unittest
@@ -47,7 +47,7 @@
         with self.assertRaises(error):
             gate.admit(opening)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_starts_once(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -56,13 +56,9 @@
         self.refused(gate, call())
         self.refused(gate, call(fence=2))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_sealed_claim_never_starts(self):
-        """A holder that wakes up late is refused by the seal.
-
-        A second try had the claim sealed and runs under the next fence; the
-        first holder was only stopped, and its call arrives at last.
-        """
+        """A delayed call of the first holder doesn't run after a takeover."""
         gate = claims.ClaimGate('a', 1)
         proof = gate.probe(probe())
         self.assertTrue(proof.known and proof.sealed)
@@ -71,7 +67,7 @@
         gate.admit(call(fence=2))
         self.refused(gate, call())
 
-    @shards.paused
+    @shards.virtual_time
     async def test_started_claim_is_not_sealed(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -84,7 +80,7 @@
         self.assertTrue(proof.finished and proof.answered)
         self.assertEqual((proof.status, proof.body), (201, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_withdrawn_call_may_come_again(self):
         gate = claims.ClaimGate('a', 1)
         gate.admit(call())
@@ -93,12 +89,10 @@
         self.assertFalse(gate.probe(probe(seal=False)).reached)
         gate.admit(call())
 
-    @shards.paused
-    async def test_window_bounds_the_start(self):
-        """A call that was stuck in a buffer doesn't run after its claim ended.
-
-        The frame waits while the agent is stopped.  Its claim is forgotten
-        and granted anew in the meantime; started now, it would run twice.
+    @shards.virtual_time
+    async def test_call_past_its_window_never_starts(self):
+        """A call delayed past its window never runs: its claim may have been
+        granted again.
         """
         gate = claims.ClaimGate('a', 1)
         late = call()
@@ -108,7 +102,7 @@
         self.refused(gate, call(window=far), claim_errors.HandoverExpired)
         self.assertEqual(len(gate), 0)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_other_process_or_start_is_refused(self):
         gate = claims.ClaimGate('a', 2)
         old = handover(incarnation=1)
@@ -117,26 +111,21 @@
             self.refused(
                 gate, call(window=window), claim_errors.HandoverMismatch
             )
-        bare = messages.OpenCall(claim=KEY, fence=1)
-        self.refused(gate, bare, claim_errors.HandoverMismatch)
+        without_handover = messages.OpenCall(claim=KEY, fence=1)
+        self.refused(gate, without_handover, claim_errors.HandoverMismatch)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_restart_proves_nothing_about_before(self):
-        """The caller is told 'may have run' after the agent was killed.
-
-        The call may have started under the agent's earlier start.  An empty
-        memory read as 'never came' would run the order again.
+        """A restarted agent doesn't report a call as not run that its earlier
+        start may have run.
         """
         gate = claims.ClaimGate('a', 2)
         proof = gate.probe(probe(window=handover(incarnation=1)))
         self.assertFalse(proof.known or proof.sealed or proof.reached)
 
-    @shards.paused
-    async def test_forgotten_is_unknown_and_never_starts(self):
-        """What was forgotten proves nothing and can't start.
-
-        The claim ran; long after that the agent no longer remembers it.
-        """
+    @shards.virtual_time
+    async def test_evicted_claim_is_unknown_and_never_starts(self):
+        """A claim that ran isn't reported as not run after its eviction."""
         gate = claims.ClaimGate('a', 1)
         ran = call()
         gate.admit(ran)
@@ -149,8 +138,8 @@
         self.assertEqual(len(gate), 0)
         self.refused(gate, ran, claim_errors.HandoverExpired)
 
-    @shards.paused
-    async def test_running_claim_is_never_forgotten(self):
+    @shards.virtual_time
+    async def test_running_claim_is_never_evicted(self):
         gate = claims.ClaimGate('a', 1)
         ran = call()
         gate.admit(ran)
@@ -159,8 +148,8 @@
             gate.probe(probe(key=b'other'))
         self.refused(gate, call(fence=2))
 
-    @shards.paused
-    async def test_keyless_call_is_forgotten_sooner(self):
+    @shards.virtual_time
+    async def test_unkeyed_call_is_evicted_sooner(self):
         gate = claims.ClaimGate('a', 1)
         ran = call(fence=claim_times.UNKEYED_FENCE)
         gate.admit(ran)
@@ -172,7 +161,7 @@
         self.assertFalse(gate.probe(asked).known)
         self.assertEqual(len(gate), 0)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_full_gate_refuses_and_seals_by_time_only(self):
         gate = claims.ClaimGate('a', 1, max_claims=1)
         gate.admit(call())
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -3,9 +3,9 @@
 import asyncio
 import random
 
-from tamarackthread.control.site import book
+from tamarackthread.control.site import target_registry
 from tamarackthread.entry.direct import targets
-from tamarackthread.policy import cold_start, fleets
+from tamarackthread.policy import cold_start, known_entries
 from tamarackthread.shared.site import announcements, zones
 from tests import policy_case
 
@@ -31,7 +31,7 @@
 
 def build_limits(own, seen, rates=None):
     limits = cold_start.ColdStartLimits(
-        fleets.Fleet(own, lambda: seen), ALLOWANCE, SLACK
+        known_entries.KnownEntries(own, lambda: seen), ALLOWANCE, SLACK
     )
     limits.set_rates({SERVICE: RATE} if rates is None else rates)
     return limits
@@ -142,13 +142,13 @@
         self.run_paused(self._again())
 
     async def _again(self):
-        held = book.Book(1)
-        held.take(announcement('t0', sequence=1))
+        held = target_registry.TargetRegistry(1)
+        held.record(announcement('t0', sequence=1))
         before = held.serial
-        held.take(announcement('t0', cold=3, sequence=2))
+        held.record(announcement('t0', cold=3, sequence=2))
         self.assertGreater(held.serial, before)
         before = held.serial
-        held.take(announcement('t0', cold=2, sequence=3))
+        held.record(announcement('t0', cold=2, sequence=3))
         self.assertEqual(held.serial, before)
-        held.take(announcement('t0', sequence=4))
+        held.record(announcement('t0', sequence=4))
         self.assertGreater(held.serial, before)
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -8,12 +8,17 @@
 import attrs
 
 from tamarackthread.control.site import loads
-from tamarackthread.entry.direct import crashing, sending, sharing, starts
 from tamarackthread.entry.direct import failures as refusals
+from tamarackthread.entry.direct import (
+    instances,
+    load_exchange,
+    poison_requests,
+    target_client,
+)
 from tamarackthread.policy import poison_calls
 from tamarackthread.shared.site import announcements, configuration
-from tests import direct_case, policy_case, test_admitting
-from tests import test_shared_calls as shared_calls
+from tests import direct_case, policy_case, test_admission_control
+from tests import test_load_exchange as shared_calls
 
 POISON = b'b'
 ORDINARY = b'g'
@@ -105,19 +110,21 @@
 
 def start_of(name):
     said = announcements.Announcement(
-        target=name, service=test_admitting.SERVICE, address=f'{name}:80'
+        target=name,
+        service=test_admission_control.SERVICE,
+        address=f'{name}:80',
     )
-    return starts.Start(said, 0)
+    return instances.TargetInstance(said, 0)
 
 
 class Entry:
     """A simulated entry that exchanges histories with others."""
 
     def __init__(self, name, hosts):
-        self.crashing = crashing.Crashing()
+        self.crashing = poison_requests.PoisonRequests()
         known, links, _ = shared_calls.entry_of(name, hosts)
         self.links = links
-        self.sharing = sharing.Sharing(
+        self.sharing = load_exchange.LoadExchange(
             known,
             self.links,
             lambda: tuple(hosts),
@@ -172,11 +179,11 @@
     async def _any(self):
         hosts = {'h0': loads.Loads(1)}
         entries = await self._crashed(hosts)
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
                 entry.crashing.check(call)
-        other = test_admitting.call_of(call_id='other')
+        other = test_admission_control.call_of(call_id='other')
         entries[-1].crashing.check(_with_body(other, b'another'))
 
     async def _lost_host(self):
@@ -186,7 +193,7 @@
             entry.links.cut.add('h0')
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _restarted(self):
         hosts = {'h0': loads.Loads(1)}
@@ -196,17 +203,17 @@
         await _exchange(entries)
         for entry in entries:
             with self.assertRaises(refusals.CallCrashes):
-                entry.crashing.check(test_admitting.call_of())
+                entry.crashing.check(test_admission_control.call_of())
 
     async def _forgotten(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
+        call = test_admission_control.call_of()
         for _ in range(int(2 * poison_calls.HISTORY_TTL_SECONDS)):
             await asyncio.sleep(1)
             await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
-            self.assertEqual([], entry.crashing.own())
+            self.assertEqual([], entry.crashing.own_rows())
 
     async def _sent_once(self):
         hosts = {'h0': CountingLoads(1)}
@@ -225,23 +232,23 @@
         await _exchange(entries)
         await _exchange(entries)
         with self.assertRaises(refusals.CallCrashes):
-            entries[-1].crashing.check(test_admitting.call_of())
+            entries[-1].crashing.check(test_admission_control.call_of())
 
     async def _answered(self):
         entries = await self._crashed({'h0': loads.Loads(1)})
-        call = test_admitting.call_of()
-        entries[-1].crashing.answered(call)
+        call = test_admission_control.call_of()
+        entries[-1].crashing.note_answer(call)
         await _exchange(entries)
         for entry in entries:
             entry.crashing.check(call)
 
     async def _crashed(self, hosts):
         entries = [Entry(f'e{number}', hosts) for number in range(ENTRIES)]
-        call = test_admitting.call_of()
-        lost = sending.Unanswered('closed')
+        call = test_admission_control.call_of()
+        lost = target_client.Unanswered('closed')
         for number, entry in enumerate(entries[:3]):
             entry.crashing.check(call)
-            entry.crashing.failed(call, start_of(f't{number}'), lost)
+            entry.crashing.note_failure(call, start_of(f't{number}'), lost)
             await asyncio.sleep(1)
             await _exchange(entries)
         return entries
@@ -253,11 +260,17 @@
         self.run_paused(self._same())
 
     async def _same(self):
-        call = test_admitting.call_of(call_id='one')
-        again = test_admitting.call_of(call_id='two')
-        self.assertEqual(crashing.mark_of(call), crashing.mark_of(again))
+        call = test_admission_control.call_of(call_id='one')
+        again = test_admission_control.call_of(call_id='two')
+        self.assertEqual(
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(again),
+        )
         other = _with_body(again, b'another')
-        self.assertNotEqual(crashing.mark_of(call), crashing.mark_of(other))
+        self.assertNotEqual(
+            poison_requests.fingerprint(call),
+            poison_requests.fingerprint(other),
+        )
 
 
 class CallerCase(direct_case.DirectCase):
@@ -273,17 +286,17 @@
         fake.close()
         # Attributes the loss without waiting for correlated ones.
         with mock.patch.object(poison_calls, 'CORRELATED_LOSS_SECONDS', 0):
-            rows = self.crashing.own()
+            rows = self.crashing.own_rows()
         self.assertEqual(1, len(rows))
         rows[0].starts = ['t7', 't8', 't9']
-        self.crashing.share(rows)
+        self.crashing.set_shared_rows(rows)
         sound = await self.add(direct_case.whole('yes'))
         status, body, headers = await self.ask(body=b'bad')
         self.assertEqual(503, status)
         self.assertIn(b'TT7213', body)
         self.assertGreater(float(headers['Retry-After']), 1)
         self.assertEqual([], sound.heads)
-        self.known.get(fake.name).failed(asyncio.get_running_loop().time())
+        self.known.get(fake.name).back_off(asyncio.get_running_loop().time())
         status, _, _ = await self.ask(body=b'good')
         self.assertEqual(200, status)
 
--- a/tests/test_group_part.py
+++ b/tests/test_group_part.py
@@ -1,4 +1,4 @@
-"""Prove that an owner evens its group out and relays operators' orders."""
+"""Test that an owner rebalances its group and relays operators' orders."""
 
 import asyncio
 import logging
@@ -14,14 +14,14 @@
     lifecycle,
     order_errors,
     order_state,
-    ordered_group,
+    remote_group,
     rollout,
 )
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import placement
 
 RANKS = 4
-SETTINGS = balancer.BalancerSettings(interval_seconds=10, ahead_seconds=10)
+SETTINGS = balancer.BalancerSettings(interval_seconds=10, horizon_seconds=10)
 
 
 class _Source(balancer.TokenSource):
@@ -36,23 +36,23 @@
 
 
 class TestGroupPart(unittest.TestCase):
-    """Run the parts of a group's agents together."""
+    """Run the agents of a group together."""
 
     def setUp(self) -> None:
-        """Keep the logs quiet."""
+        """Silence the logs."""
         for name in ('tamarackthread', 'transitions'):
             log = logging.getLogger(name)
             log.setLevel(logging.CRITICAL)
             self.addCleanup(log.setLevel, logging.NOTSET)
 
-    def _run(self, scene: typing.Callable) -> None:
+    def _run(self, scenario: typing.Callable) -> None:
         async def whole() -> None:
             world = switch_world.World(switch_world.WorldSettings(1, RANKS))
             world.switching = False
             world.start()
             await asyncio.sleep(5)
-            owners = [one for one in world.hosts if one.part.owner.is_owner]
-            await scene(world, owners[0])
+            owners = [one for one in world.hosts if one.runtime.owner.is_owner]
+            await scenario(world, owners[0])
 
         experiment.run_paused(whole)
 
@@ -62,19 +62,19 @@
         tokens[0, 1] = 8
         world.group.retune(tokens * 1000)
         return balancer.Balancer(
-            host.part.owner,
-            host.part.driver,
+            host.runtime.owner,
+            host.runtime.coordinator,
             placement.IncrementalPlanner(placement.EVEN),
             _Source(tokens * 1000),
-            host.part.book,
+            host.runtime.maps,
             SETTINGS,
             timed_work.TimedWork(timed_work.PLAN_SECONDS),
         )
 
-    def test_evens_out(self) -> None:
-        """Two hot experts on one rank are parted, and steps get shorter."""
+    def test_rebalances(self) -> None:
+        """Two hot experts of one rank are separated, which shortens steps."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             planning = self._balancer(world, host)
             await asyncio.sleep(1)
             before = world.group.step_ms
@@ -85,57 +85,51 @@
             self.assertLess(world.group.step_ms, before * 0.7)
             self.assertGreater(len(world.control.records), 1)
 
-        self._run(scene)
+        self._run(scenario)
 
-    def test_held(self) -> None:
-        """An operator's hold stops planning until it is lifted."""
+    def test_paused(self) -> None:
+        """A paused balancer makes no plan."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             planning = self._balancer(world, host)
-            planning.hold(held=True)
+            planning.set_paused(paused=True)
             running = asyncio.create_task(planning.run())
             await asyncio.sleep(60)
             running.cancel()
             self.assertIsNone(planning.last_plan)
             self.assertEqual(world.control.records, [])
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_agent_restart_loads_nothing(self) -> None:
-        """An agent that restarts does not load its engine's weights again.
+        """A restarted agent doesn't reload the weights of its running engine."""
 
-        The engine goes on; the new agent asks it what it has.  Loading all
-        of it through the shared store would hold up the other groups.
-        """
-
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             other = next(one for one in world.hosts if one != host)
             before = other.engine.pieces_loaded
             await other.restart_agent(0.1)
             await asyncio.sleep(5)
-            self.assertEqual(other.part.switch.state, lifecycle.STEADY)
+            self.assertEqual(other.runtime.participant.state, lifecycle.STEADY)
             self.assertEqual(other.engine.pieces_loaded, before)
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_version(self) -> None:
-        """A roll-out loads its version on every rank of a group, once.
-
-        The owner is lost while the ranks load; the next one is found and
-        takes the same order up.
+        """A roll-out loads a version at each rank once, even if the group's
+        owner is lost meanwhile.
         """
 
-        async def scene(world: object, host: object) -> None:
-            reached = ordered_group.OrderedGroup(
-                ordered_group.GroupReach(switch_world.GROUP, 'v1'),
+        async def scenario(world: object, host: object) -> None:
+            remote = remote_group.RemoteGroup(
+                remote_group.RemoteGroupSettings(switch_world.GROUP, 'v1'),
                 switch_world.NodeRanks('operator', world),
                 float,
             )
             rolling = rollout.Rollout(
                 'r1',
                 'v2',
-                [reached],
-                rollout.RolloutLimits(watch_seconds=3),
+                [remote],
+                rollout.RolloutLimits(observe_seconds=3),
             )
             running = asyncio.create_task(rolling.run())
             await asyncio.sleep(3.005)
@@ -151,12 +145,12 @@
             self.assertEqual(len(others), len(set(others)))
             self.assertEqual(rolling.progress.left, ())
 
-        self._run(scene)
+        self._run(scenario)
 
     def test_operator_order(self) -> None:
-        """An operator's order reaches every rank once, through the owner."""
+        """An operator's order runs once at every rank, through the owner."""
 
-        async def scene(world: object, host: object) -> None:
+        async def scenario(world: object, host: object) -> None:
             world.group.history.orders.clear()
             order = messages.GroupOrder(
                 group=switch_world.GROUP,
@@ -168,7 +162,7 @@
             )
             states = []
             for _ in range(3):
-                reply = await host.part.handle_order(order)
+                reply = await host.runtime.handle_order(order)
                 states.append(order_state.from_json(reply.body).state)
                 await asyncio.sleep(0.2)
             self.assertEqual(states[0], order_state.RUNNING)
@@ -180,8 +174,8 @@
             ]
             self.assertEqual(sorted(run), list(range(RANKS)))
             other = next(one for one in world.hosts if one != host)
-            reply = await other.part.handle_order(order)
+            reply = await other.runtime.handle_order(order)
             state = order_state.from_json(reply.body)
             self.assertEqual(state.code, order_errors.NotOwner.code)
 
-        self._run(scene)
+        self._run(scenario)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Prove that groups of one service do not wait for each other."""
+"""Test that groups of one service are balanced independently."""
 
 import asyncio
 import itertools
@@ -11,14 +11,14 @@
 from bench.engines import several
 from bench.experiments import groups
 from tamarackthread.control.site.maps import (
-    deciding,
     demand,
-    duty,
-    planning,
+    group_maps,
+    group_state,
+    map_planner,
+    owner_loop,
     ranks,
-    watched,
 )
-from tamarackthread.policy import evening, staging
+from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared.site import configuration
 from tests import policy_case, test_site_maps
 
@@ -31,7 +31,7 @@
 SPARE = 2
 COPY_SECONDS = 0.09
 SWITCH_SECONDS = 0.3
-# Between two shifts of demand.
+# Interval between shifts of demand.
 SHIFT_SECONDS = 2.3
 SHARED = configuration.Experts(
     sets=SETS,
@@ -43,7 +43,7 @@
 
 
 def groups_of_ranks():
-    """Build several groups whose ranks one owner asks and orders."""
+    """Build several groups with the same owner."""
     return several.Several(
         [
             test_site_maps.FakeGroup(random.Random(number))
@@ -52,10 +52,10 @@
     )
 
 
-class Told(test_site_maps.NoNews):
-    """Hold the groups that an owner has told of."""
+class GroupRecorder(test_site_maps.EmptyRegistry):
+    """Record the groups reported by an owner."""
 
-    def note_groups(self, term, rows):
+    def record_groups(self, term, rows):
         self.rows = rows
 
 
@@ -65,72 +65,64 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def test_silent_group(self):
-        """Callers of two groups wait while a third one's orders get lost.
-
-        All orders to a rank of the first group get no answer, so its switch
-        takes seconds.  Demand of the others shifts meanwhile, and each must
-        have a map for it soon.
-        """
+        """A group with a silent rank does not delay the maps of the others."""
         self.run_paused(self._silent())
 
     def test_held_groups(self):
-        """An owner is lost with all three groups held.
-
-        The next one lets them go side by side: each takes half a second.
-        """
+        """A new owner releases all held groups concurrently."""
         self.run_paused(self._held())
 
     async def _silent(self):
-        asked = groups_of_ranks()
-        tasks = self._begin(asked)
+        rank_groups = groups_of_ranks()
+        tasks = self._begin(rank_groups)
         await asyncio.sleep(3)
-        broken, *others = asked.groups
+        silent_group, *others = rank_groups.groups
         before = [group.rows[0].version for group in others]
-        broken.lost = 1
-        for group in asked.groups:
-            group.favour(5)
+        silent_group.loss_rate = 1
+        for group in rank_groups.groups:
+            group.set_favourite(5)
         await asyncio.sleep(2)
         for group, version in zip(others, before, strict=True):
             self.assertGreater(group.rows[0].version, version)
-        await self._end(asked, tasks)
+        await self._end(rank_groups, tasks)
 
     async def _held(self):
-        asked = groups_of_ranks()
-        steps = [asyncio.create_task(one.run()) for one in asked.groups]
+        rank_groups = groups_of_ranks()
+        steps = [asyncio.create_task(one.run()) for one in rank_groups.groups]
         await asyncio.sleep(1)
-        before = [one.step for one in asked.groups]
-        for held in asked.groups:
+        before = [one.step for one in rank_groups.groups]
+        for held in rank_groups.groups:
             held.rows[0].held = held.step + 1
-        owning = asyncio.create_task(self._duty(asked).run())
+        owner_task = asyncio.create_task(self._owner_loop(rank_groups).run())
         await asyncio.sleep(1.2)
-        for group, step in zip(asked.groups, before, strict=True):
+        for group, step in zip(rank_groups.groups, before, strict=True):
             self.assertGreater(group.step, step)
-        await self._end(asked, [*steps, owning])
+        await self._end(rank_groups, [*steps, owner_task])
 
-    def _begin(self, asked):
-        work = [group.run() for group in asked.groups]
-        work.append(self._duty(asked).run())
+    def _begin(self, rank_groups):
+        work = [group.run() for group in rank_groups.groups]
+        work.append(self._owner_loop(rank_groups).run())
         return [asyncio.create_task(one) for one in work]
 
-    def _duty(self, asked):
-        return duty.Duty(
-            test_site_maps.Leading(),
-            Told(),
-            test_site_maps.OneService(),
-            test_site_maps.owner_of(asked),
-            goes_on=True,
+    def _owner_loop(self, rank_groups):
+        return owner_loop.OwnerLoop(
+            test_site_maps.FormerLeader(),
+            GroupRecorder(),
+            test_site_maps.OneServiceDirectory(),
+            test_site_maps.owner_of(rank_groups),
+            outlives_lease=True,
         )
 
-    async def _end(self, asked, tasks):
+    async def _end(self, rank_groups, tasks):
         for task in tasks:
             task.cancel()
-        await asked.close()
-        for group in asked.groups:
-            self.assertEqual([], group.mixed)
+        await rank_groups.close()
+        for group in rank_groups.groups:
+            self.assertEqual([], group.mixed_steps)
 
 
-def uneven():
-    """Build map 0 and a demand in which some experts take most tokens."""
+def uneven_demand():
+    """Build the initial map and an uneven demand."""
     generator = random.Random(SEED)
     held = tuple(tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS))
     tokens = []
@@ -141,116 +133,122 @@
     return tuple(held for _ in range(SETS)), tokens
 
 
-class StageCase(unittest.TestCase):
-    """Answer the load in which demand changes before its map is copied."""
+class CopyTimeCase(unittest.TestCase):
+    """Plan maps for demand that may change before the copies are done."""
 
     def setUp(self):
-        held, tokens = uneven()
+        held, tokens = uneven_demand()
         self.current = held
         self.tokens = tokens
-        self.bounds = evening.Bounds(PLACES, SPARE)
+        self.bounds = rebalancing.Bounds(PLACES, SPARE)
 
-    def test_short_while(self):
-        """Callers lose less by few copies at once than by the evenest map."""
-        cost = staging.Cost(
+    def test_short_lived_demand(self):
+        """For short-lived demand a few copies cost callers less time."""
+        cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=SHIFT_SECONDS / 2,
+            stable_seconds=SHIFT_SECONDS / 2,
         )
-        before = planning.skew(self.current, self.tokens, ())
-        evenest = planning.plan(self.current, self.tokens, self.bounds, ())
+        before = group_maps.skew(self.current, self.tokens, ())
+        balanced = group_maps.plan(self.current, self.tokens, self.bounds, ())
         staged = self.plan(cost)
         self.assertLess(
-            self.lost(cost, before, staged), self.lost(cost, before, evenest)
+            self.lost(cost, before, staged), self.lost(cost, before, balanced)
         )
         self.assertLess(
-            self.lost(cost, before, staged), cost.lost(before, before, 0)
+            self.lost(cost, before, staged),
+            cost.relative_step_time(before, before, 0),
         )
 
-    def test_time_enough(self):
-        """Demand that stays is worth the evenest map."""
-        cost = staging.Cost(
-            copy_seconds=COPY_SECONDS, switch_seconds=0, lasts_seconds=1000
+    def test_lasting_demand(self):
+        """For lasting demand the map is as even as possible."""
+        cost = group_planning.MapCost(
+            copy_seconds=COPY_SECONDS, switch_seconds=0, stable_seconds=1000
         )
-        evenest = planning.plan(self.current, self.tokens, self.bounds, ())
+        balanced = group_maps.plan(self.current, self.tokens, self.bounds, ())
         self.assertAlmostEqual(
-            planning.skew(evenest, self.tokens, ()),
-            planning.skew(self.plan(cost), self.tokens, ()),
+            group_maps.skew(balanced, self.tokens, ()),
+            group_maps.skew(self.plan(cost), self.tokens, ()),
             delta=0.05,
         )
 
-    def test_no_time(self):
-        """No copy is made for demand that is over before it is there."""
-        cost = staging.Cost(
+    def test_demand_too_short(self):
+        """No copies are planned for demand that ends before they are done."""
+        cost = group_planning.MapCost(
             copy_seconds=COPY_SECONDS,
             switch_seconds=SWITCH_SECONDS,
-            lasts_seconds=SWITCH_SECONDS,
+            stable_seconds=SWITCH_SECONDS,
         )
         self.assertEqual(self.current, self.plan(cost))
 
-    def test_bound_of_a_rank(self):
-        """No rank copies more than the bound, however many sets there are."""
-        stages = staging.Stages(self.current, self.tokens, self.bounds)
+    def test_copies_per_rank(self):
+        """No rank copies more than the bound over all sets."""
+        stages = group_planning.StagedRebalancer(
+            self.current, self.tokens, self.bounds
+        )
         for most in (1, 2):
             stages.improve(most)
             self.assertEqual(
-                most, planning.most_copies(self.current, stages.result)
+                most, group_maps.max_copies(self.current, stages.result)
             )
-            self.assertEqual(most, stages.most_copies)
+            self.assertEqual(most, stages.max_copies)
 
     def plan(self, cost):
-        return staging.plan(self.current, self.tokens, self.bounds, (), cost)
+        return group_planning.plan(
+            self.current, self.tokens, self.bounds, (), cost
+        )
 
-    def lost(self, cost, before, wanted):
-        return cost.lost(
+    def lost(self, cost, before, new_map):
+        return cost.relative_step_time(
             before,
-            planning.skew(wanted, self.tokens, ()),
-            planning.most_copies(self.current, wanted),
+            group_maps.skew(new_map, self.tokens, ()),
+            group_maps.max_copies(self.current, new_map),
         )
 
 
-class SpanCase(unittest.TestCase):
+class DurationCase(unittest.TestCase):
     def test_how_long_demand_lasts(self):
-        """What is left of a demand follows from how long earlier ones stayed."""
-        known = demand.Demand()
+        """The expected remainder follows from the duration of earlier demands."""
+        state = demand.Demand()
         counts = [0, 0, 0, 0]
         for reading in range(60):
             now = reading / 10
             counts[int(now / SHIFT_SECONDS) % 4] += 50
-            known.take({'t': ranks.Counts(1, (tuple(counts),))}, now)
+            state.add_counts({'t': ranks.Counts(1, (tuple(counts),))}, now)
         shifted_at = 2 * SHIFT_SECONDS
         self.assertAlmostEqual(
-            SHIFT_SECONDS - 1, known.lasts(shifted_at + 1), delta=0.2
+            SHIFT_SECONDS - 1,
+            state.remaining_seconds(shifted_at + 1),
+            delta=0.2,
         )
-        self.assertGreater(known.lasts(shifted_at + 10), 0)
+        self.assertGreater(state.remaining_seconds(shifted_at + 10), 0)
 
 
-class MixedCase(policy_case.PausedCase):
+class MixedReadingCase(policy_case.PausedCase):
     def test_reading_of_two_demands(self):
-        """No map whose copies take long is made from two demands at once.
+        """No map with long copies is planned from a mix of two demands.
 
-        The first reading after a shift holds choices from before it.  Ranks
-        that copy for it can't take the map that is needed for a second.
+        The first reading after a shift includes choices from before it.
         """
         self.run_paused(self._mixed())
 
     async def _mixed(self):
-        decider = deciding.Decider(test_site_maps.timed_work.TimedWork(0))
+        planner = map_planner.MapPlanner(test_site_maps.timed_work.TimedWork(0))
         group = _group()
         for shape in (SHARED, attrs.evolve(SHARED, copy_seconds=0.001)):
-            known = watched.Watched(shape, version=1)
-            held, tokens = uneven()
-            known.placement = held
-            known.step_seconds = 0.2
+            state = group_state.GroupState(shape, version=1)
+            held, tokens = uneven_demand()
+            state.placement = held
+            state.step_seconds = 0.2
             counts = tokens
             for now, more in enumerate(
                 (tokens, tokens, tuple(reversed(tokens)))
             ):
                 counts = _added(counts, more)
-                known.demand.take({'t0': ranks.Counts(1, counts)}, now)
-            self.assertTrue(known.demand.is_mixed)
-            wanted = await decider.plan(known, group)
-            self.assertEqual(shape is SHARED, wanted is None)
+                state.demand.add_counts({'t0': ranks.Counts(1, counts)}, now)
+            self.assertTrue(state.demand.is_mixed)
+            new_map = await planner.plan(state, group)
+            self.assertEqual(shape is SHARED, new_map is None)
 
 
 def _added(counts, more):
@@ -282,13 +280,9 @@
     )
 
 
-class ShiftsCase(unittest.TestCase):
+class ShiftCase(unittest.TestCase):
     def test_slow_copies(self):
-        """Demand shifts for three groups before the evenest maps are copied.
-
-        Mended one after another, groups are even for a small part of the time;
-        side by side and by few copies first, for the larger part.
-        """
+        """Planning by copy time keeps groups even for longer after shifts."""
         pattern = groups.PATTERNS[0]
         standing, _, ours = (
             groups.play(pattern, variant, SEED, groups.QUICK_SHIFTS)
@@ -297,40 +291,39 @@
         self.assertGreater(ours['even_share'], 2 * standing['even_share'])
 
 
-class PaceCase(policy_case.PausedCase):
+class ReadIntervalCase(policy_case.PausedCase):
     def test_pause_between_readings(self):
-        """A group is read anew no sooner than a reading's pace after its switch.
+        """Counts are not read again too soon after a switch.
 
-        Begun by a clock that goes on while a group is switched, the next reading
-        came right after it and brought switches that nobody needed.
+        They would include choices from before it and cause needless switches.
         """
         self.run_paused(self._paused())
 
     async def _paused(self):
-        maps = Slow()
-        working = duty.Duty(
-            test_site_maps.Leading(),
-            Told(),
-            test_site_maps.OneService(),
-            maps,
-            goes_on=True,
+        slow_owner = SlowOwner()
+        working = owner_loop.OwnerLoop(
+            test_site_maps.FormerLeader(),
+            GroupRecorder(),
+            test_site_maps.OneServiceDirectory(),
+            slow_owner,
+            outlives_lease=True,
         )
-        owning = asyncio.create_task(working.run())
+        owner_task = asyncio.create_task(working.run())
         await asyncio.sleep(5)
-        owning.cancel()
-        self.assertGreater(len(maps.worked), 3)
+        owner_task.cancel()
+        self.assertGreater(len(slow_owner.worked), 3)
         pauses = [
             later[0] - earlier[1]
-            for earlier, later in itertools.pairwise(maps.worked)
+            for earlier, later in itertools.pairwise(slow_owner.worked)
         ]
-        self.assertGreaterEqual(min(pauses), maps.read_seconds)
+        self.assertGreaterEqual(min(pauses), slow_owner.read_interval)
 
 
-class Slow:
-    """An owner whose work takes longer than the pace of its readings."""
+class SlowOwner:
+    """Fake owner whose reconciliation takes longer than its read interval."""
 
-    read_seconds = 0.2
-    look_seconds = 1.0
+    read_interval = 0.2
+    discovery_interval = 1.0
     is_outdated = False
     groups = ()
     idle = ('g',)
@@ -338,13 +331,13 @@
     def __init__(self):
         self.worked = []
 
-    def begin(self):
-        """Forget nothing."""
+    def reset(self):
+        """Do nothing."""
 
-    async def find(self, services):
-        """Find nothing new."""
+    async def discover(self, services):
+        """Do nothing."""
 
-    async def work(self, name, term):
+    async def reconcile(self, name, term):
         began = asyncio.get_running_loop().time()
         await asyncio.sleep(0.55)
         self.worked.append((began, asyncio.get_running_loop().time()))
--- a/tests/test_profiles_in_use.py
+++ b/tests/test_profiles_in_use.py
@@ -1,4 +1,4 @@
-"""Prove that an entry behaves by the profile that is in force."""
+"""Test that an entry applies the profile in force."""
 
 import asyncio
 import unittest
@@ -17,15 +17,15 @@
         async with stage.running(agents) as (entry, caller):
             pool = entry.fleet.pool('draft')
             before = pool.admission
-            view = pool.contacts['a'].view
+            view = pool.connections['a'].view
             changed = {'routing': {'policy': 'round_robin'}}
             entry.directory.apply([stage.document('profile', 'p', changed)])
             entry.fleet.update()
             answer = await caller.chat(entry.address, test_call_path.CHAT)
             self.assertIsNot(pool.admission, before)
-            self.assertIs(pool.contacts['a'].view, view)
+            self.assertIs(pool.connections['a'].view, view)
             self.assertIsInstance(
-                pool._place._policy,
+                pool._room._policy,
                 routing.RoundRobin,
             )
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
@@ -40,19 +40,17 @@
 
 class UrgentCase(unittest.IsolatedAsyncioTestCase):
     async def test_urgent_notice_does_not_queue_behind_a_draft(self):
-        """An urgent notice is answered while a long draft holds the slot.
-
-        The draft gives its place up, the notice runs, and the draft goes on
-        at its position: its caller gets every token once.
+        """An urgent call preempts a draft that holds the only slot, and the
+        draft resumes at its position.
         """
         draft = load.Chat(prompt='a long narrative', tokens=1500)
         notice = load.Chat(prompt='aurora now', tokens=5)
         agents = [test_call_path.engine('a', ONE_SLOT)]
         async with stage.running(agents) as (entry, caller):
-            drafting = asyncio.ensure_future(
+            draft_task = asyncio.ensure_future(
                 caller.chat(entry.address, draft, X_Priority='background'),
             )
-            view = entry.fleet.contact('draft', 'a').view
+            view = entry.fleet.connection('draft', 'a').view
             while view.load.own_calls < 1:
                 await asyncio.sleep(0)
             urgent = []
@@ -67,9 +65,9 @@
                     ),
                 )
             answers = await asyncio.gather(*urgent)
-            self.assertFalse(drafting.done())
-            answer = await drafting
-        outcomes = {told.outcome for told in answers}
+            self.assertFalse(draft_task.done())
+            answer = await draft_task
+        outcomes = {urgent_answer.outcome for urgent_answer in answers}
         self.assertEqual(outcomes, {load.Outcome.COMPLETE})
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
         self.assertEqual(answer.text, load.expected_text(draft))
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -9,10 +9,15 @@
 from hypothesis import strategies
 
 from tamarackthread.control.site import loads
-from tamarackthread.policy import backpressure, fleets, rate_limit, sent_calls
+from tamarackthread.policy import (
+    backpressure,
+    known_entries,
+    rate_limit,
+    sent_calls,
+)
 from tamarackthread.shared.site import configuration
 from tests import direct_case as direct
-from tests import policy_case, test_backpressure, test_shared_calls
+from tests import policy_case, test_backpressure, test_load_exchange
 
 TARGET = 't'
 TICK_SECONDS = 0.05
@@ -60,12 +65,14 @@
             for weight, where in zip(weights, sides, strict=True)
             if where == sides[number]
         ]
-        fleet = fleets.Fleet(name, functools.partial(tuple, names))
+        fleet = known_entries.KnownEntries(
+            name, functools.partial(tuple, names)
+        )
         share = weights[number] / sum(side)
         part = rate_limit.EntryShare(
             rate_limit.Demand(share=share, entries=len(side)),
             fleet.count(),
-            fleet.place(TARGET),
+            fleet.position(TARGET),
         )
         wanted = OVERLOAD_FACTOR * rate * weights[number] / sum(weights)
         sender = Sender(part, wanted)
@@ -146,17 +153,17 @@
 
     async def _exchanged(self):
         hosts = {'h1': loads.Loads(1)}
-        first, _, one = test_shared_calls.entry_of('e1', hosts)
-        second, _, two = test_shared_calls.entry_of('e2', hosts)
+        first, _, one = test_load_exchange.entry_of('e1', hosts)
+        second, _, two = test_load_exchange.entry_of('e2', hosts)
         first.get('t0').limit.update(4, 0)
-        first.get('t0').own = 3
-        second.get('t1').own = 1
+        first.get('t0').own_calls = 3
+        second.get('t1').own_calls = 1
         for shared in (one, two, one):
             await shared.exchange()
         wanted = rate_limit.Demand(share=0.75, entries=2)
-        self.assertEqual(wanted, first._standing._demands['s'])
+        self.assertEqual(wanted, first._eligibility._demands['s'])
         first.forget_others()
-        self.assertEqual(1, first._standing._demands['s'].entries)
+        self.assertEqual(1, first._eligibility._demands['s'].entries)
 
 
 class LimitExpiryCase(unittest.TestCase):
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,11 +1,11 @@
-"""Prove what a second try gets when the first one died at any point."""
+"""Test takeovers of a key's claim after its holder has died."""
 
 import asyncio
 import unittest
 
 from tamarackthread.agent import claims as gates
 from tamarackthread.control import failures
-from tamarackthread.entry import claims, shard_claims, takeover
+from tamarackthread.entry import claim_client, shard_claim_client, takeover
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, errors
 from tests import shards
@@ -15,20 +15,20 @@
 
 
 class Agents(takeover.Prober):
-    """Be the agents of a service, as probes reach them."""
+    """The claim gates of a service's agents, without a network."""
 
     def __init__(self):
         self.gates = {name: gates.ClaimGate(name, 1) for name in 'ab'}
         self.unreachable = False
 
-    async def probe(self, handover, ask):
+    async def probe(self, handover, request):
         if self.unreachable:
             raise errors.AddressUnreachable(handover.address)
-        return self.gates[handover.target].probe(ask)
+        return self.gates[handover.target].probe(request)
 
 
 class Scene:
-    """Put two entries before the same shards and agents."""
+    """Two entries with the same shards and agents."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
@@ -37,221 +37,199 @@
         self.links = shards.LocalLinks(self.shards)
         self.first = shards.connect(self.links, 'entry-1')
         self.second = shards.connect(self.links, 'entry-2')
-        self.settler = takeover.Takeover(self.second, self.agents)
+        self.resolver = takeover.Takeover(self.second, self.agents)
 
-    def ask(self, seconds=30, digest=b'd'):
+    def claimant(self, seconds=30, digest=b'd'):
         deadline = self.loop.time() + seconds
-        return claims.Ask('o', 'order-7', digest, deadline)
+        return claim_client.Claimant('o', 'order-7', digest, deadline)
 
     def handover(self, target='a'):
         until_ms = int(self.loop.time() * 1000) + 5000
         return messages.Handover(target, 'a:1', 1, until_ms)
 
-    async def hold(self):
-        """Claim the key as the first try does."""
-        ask = self.ask()
-        reply = await self.first.claim(ask, self.handover())
+    async def claim_key(self):
+        """Claim the key through the first entry."""
+        claimant = self.claimant()
+        reply = await self.first.claim(claimant, self.handover())
         assert reply.granted
-        return ask, reply
+        return claimant, reply
 
-    def opening(self, ask, held):
+    def opening(self, claimant, grant):
         return messages.OpenCall(
-            claim=ask.name, fence=held.fence, handover=held.handover
+            claim=claimant.name, fence=grant.fence, handover=grant.handover
         )
 
-    async def settle(self, seconds=10):
-        """Come as the second try of the same key."""
-        ask = self.ask()
-        reply = await self.second.claim(ask, self.handover('b'))
+    async def resolve(self, seconds=10):
+        """Send the key again through the second entry."""
+        claimant = self.claimant()
+        reply = await self.second.claim(claimant, self.handover('b'))
         until = self.loop.time() + seconds
-        return await self.settler.settle(ask, reply, until)
+        return await self.resolver.resolve(claimant, reply, until)
 
     def state(self):
         return shards.find(self.shards, 'o', 'order-7').state
 
 
 class DeathCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_died_before_hand_over(self):
-        """The second try runs the order.
-
-        The holder dies after its claim and before the hand-over.  The agent
-        that the claim names has not seen the call and seals it, so it can't
-        start later either.
-        """
+        """Guards against a late start of a call that was taken over."""
         scene = Scene()
-        ask, held = await scene.hold()
-        settled = await scene.settle()
-        self.assertTrue(settled.granted)
-        self.assertGreater(settled.fence, held.fence)
+        claimant, grant = await scene.claim_key()
+        resolved = await scene.resolve()
+        self.assertTrue(resolved.granted)
+        self.assertGreater(resolved.fence, grant.fence)
         with self.assertRaises(claim_errors.ClaimFenced):
-            scene.agents.gates['a'].admit(scene.opening(ask, held))
-        moved = await scene.first.move(ask, held, scene.handover('b'))
+            scene.agents.gates['a'].admit(scene.opening(claimant, grant))
+        moved = await scene.first.move(claimant, grant, scene.handover('b'))
         self.assertFalse(moved.granted)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_while_it_runs(self):
-        """The second try waits and gets the first one's answer.
-
-        The holder dies after the hand-over.  The agent runs the call to its
-        end and keeps the answer, which the second try records and gives.
-        """
+        """Guards against a second run of a call that its agent still runs."""
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
+        gate.admit(scene.opening(claimant, grant))
 
-        async def end():
+        async def finish():
             await asyncio.sleep(3)
-            gate.finish(scene.opening(ask, held), ANSWER)
-
-        ending = asyncio.ensure_future(end())
-        settled = await scene.settle()
-        await ending
-        self.assertFalse(settled.granted)
-        self.assertEqual((settled.status, settled.body), (201, b'booked'))
-        self.assertEqual(settled.headers, list(ANSWER.headers))
+            gate.finish(scene.opening(claimant, grant), ANSWER)
+
+        finishing = asyncio.ensure_future(finish())
+        resolved = await scene.resolve()
+        await finishing
+        self.assertFalse(resolved.granted)
+        self.assertEqual((resolved.status, resolved.body), (201, b'booked'))
+        self.assertEqual(resolved.headers, list(ANSWER.headers))
         self.assertEqual(scene.state(), State.COMPLETE)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_before_it_recorded_the_answer(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
-        gate.finish(scene.opening(ask, held), ANSWER)
-        settled = await scene.settle()
-        self.assertEqual((settled.granted, settled.body), (False, b'booked'))
+        gate.admit(scene.opening(claimant, grant))
+        gate.finish(scene.opening(claimant, grant), ANSWER)
+        resolved = await scene.resolve()
+        self.assertEqual((resolved.granted, resolved.body), (False, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_and_the_answer_was_not_kept(self):
-        """The second try is told 'may have run' and nothing runs again.
-
-        The target broke in its answer, or the answer was too large to keep.
-        """
+        """Guards against a second run if the agent kept no response."""
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
-        gate.finish(scene.opening(ask, held), None)
+        gate.admit(scene.opening(claimant, grant))
+        gate.finish(scene.opening(claimant, grant), None)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
         self.assertIn(scene.state(), {State.GRANTED, State.UNKNOWN})
 
-    @shards.paused
-    async def test_died_and_the_agent_too(self):
-        """The second try is told 'may have run'.
-
-        Entry and agent die together.  The agent's next start knows nothing
-        of the time before, so there is no proof.
-        """
+    @shards.virtual_time
+    async def test_died_together_with_the_agent(self):
+        """Guards against a proof from an agent that has restarted."""
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         scene.agents.gates['a'] = gates.ClaimGate('a', 2)
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_and_the_agent_is_cut_off(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         scene.agents.unreachable = True
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
+            await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_between_two_targets(self):
-        """The second try asks the agent of the last recorded hand-over.
-
-        The holder was refused by ``a``, recorded its move to ``b``, handed
-        over and died.  ``a`` would prove truthfully that nothing ran there.
-        """
+        """Guards against a probe of any agent but the last handover's."""
         scene = Scene()
-        ask, held = await scene.hold()
-        moved = await scene.first.move(ask, held, scene.handover('b'))
+        claimant, grant = await scene.claim_key()
+        moved = await scene.first.move(claimant, grant, scene.handover('b'))
         self.assertTrue(moved.granted)
         gate = scene.agents.gates['b']
-        gate.admit(scene.opening(ask, moved))
-        gate.finish(scene.opening(ask, moved), ANSWER)
-        settled = await scene.settle()
-        self.assertEqual((settled.granted, settled.body), (False, b'booked'))
+        gate.admit(scene.opening(claimant, moved))
+        gate.finish(scene.opening(claimant, moved), ANSWER)
+        resolved = await scene.resolve()
+        self.assertEqual((resolved.granted, resolved.body), (False, b'booked'))
 
-    @shards.paused
+    @shards.virtual_time
     async def test_died_after_a_grant_without_a_hand_over(self):
-        """A third try runs the order after the second one died too.
-
-        A claim that was taken over names no agent until its holder records
-        one, so nothing can have been handed over.
-        """
+        """Guards against an unresolvable grant that has no handover yet."""
         scene = Scene()
-        await scene.hold()
-        self.assertTrue((await scene.settle()).granted)
-        third = await scene.settle()
+        await scene.claim_key()
+        self.assertTrue((await scene.resolve()).granted)
+        third = await scene.resolve()
         self.assertTrue(third.granted)
         self.assertIsNone(third.handover)
 
 
 class SecondTryCase(unittest.TestCase):
-    @shards.paused
+    @shards.virtual_time
     async def test_waits_for_a_live_holder(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(ask, held))
+        claimant, grant = await scene.claim_key()
+        scene.agents.gates['a'].admit(scene.opening(claimant, grant))
 
-        async def end():
+        async def finish():
             await asyncio.sleep(0.5)
-            finish = claims.Finish(State.COMPLETE, 200, (), b'ok')
-            await scene.first.finish(ask, held, finish)
+            outcome = claim_client.Outcome(State.COMPLETE, 200, (), b'ok')
+            await scene.first.finish(claimant, grant, outcome)
 
-        ending = asyncio.ensure_future(end())
-        settled = await scene.settle()
-        await ending
-        self.assertEqual((settled.status, settled.body), (200, b'ok'))
+        finishing = asyncio.ensure_future(finish())
+        resolved = await scene.resolve()
+        await finishing
+        self.assertEqual((resolved.status, resolved.body), (200, b'ok'))
 
-    @shards.paused
-    async def test_is_told_that_it_still_runs(self):
+    @shards.virtual_time
+    async def test_still_running_call_is_reported(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        scene.agents.gates['a'].admit(scene.opening(ask, held))
+        claimant, grant = await scene.claim_key()
+        scene.agents.gates['a'].admit(scene.opening(claimant, grant))
         with self.assertRaises(claim_errors.ClaimStillRunning):
-            await scene.settle(seconds=5)
+            await scene.resolve(seconds=5)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_answer_too_large_to_keep(self):
         scene = Scene()
-        ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claims.Finish(State.COMPLETE))
+        claimant, grant = await scene.claim_key()
+        await scene.first.finish(
+            claimant, grant, claim_client.Outcome(State.COMPLETE)
+        )
         with self.assertRaises(claim_errors.ClaimAnswerNotKept):
-            await scene.settle()
+            await scene.resolve()
 
-    @shards.paused
+    @shards.virtual_time
     async def test_unknown_outcome_is_not_run_again(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         scene.agents.unreachable = True
-        await scene.first.finish(ask, held, claims.Finish(State.UNKNOWN))
+        await scene.first.finish(
+            claimant, grant, claim_client.Outcome(State.UNKNOWN)
+        )
         with self.assertRaises(claim_errors.ClaimMayHaveRun):
-            await scene.settle()
-
-    @shards.paused
-    async def test_unknown_outcome_is_asked_once_more(self):
-        """The second try runs the order after its agent came back.
+            await scene.resolve()
 
-        The holder could not reach the agent and recorded 'unknown'.  The
-        agent was only cut off: it never saw the call and seals it.
-        """
+    @shards.virtual_time
+    async def test_unknown_outcome_is_probed_again(self):
+        """Guards against a final 'unknown' while the agent can still seal."""
         scene = Scene()
-        ask, held = await scene.hold()
-        await scene.first.finish(ask, held, claims.Finish(State.UNKNOWN))
-        self.assertTrue((await scene.settle()).granted)
+        claimant, grant = await scene.claim_key()
+        await scene.first.finish(
+            claimant, grant, claim_client.Outcome(State.UNKNOWN)
+        )
+        self.assertTrue((await scene.resolve()).granted)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_two_second_tries_get_one_grant(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         tries = await asyncio.gather(
-            scene.settle(seconds=3),
-            scene.settle(seconds=3),
+            scene.resolve(seconds=3),
+            scene.resolve(seconds=3),
             return_exceptions=True,
         )
         granted = [reply for reply in tries if getattr(reply, 'granted', False)]
@@ -260,49 +238,47 @@
         last = shards.find(scene.shards, 'o', 'order-7')
         self.assertIn(last.fence, fences)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_key_of_another_request(self):
         scene = Scene()
-        await scene.hold()
+        await scene.claim_key()
         with self.assertRaises(claim_errors.ClaimKeyReused):
-            await scene.second.claim(scene.ask(digest=b'other'), None)
+            await scene.second.claim(scene.claimant(digest=b'other'), None)
 
 
 class ClientCase(unittest.TestCase):
-    @shards.paused
-    async def test_lost_answers_are_asked_for_again(self):
+    @shards.virtual_time
+    async def test_lost_replies_are_retried(self):
         scene = Scene()
-        scene.links.lose_answers = 3
-        _, held = await scene.hold()
-        self.assertEqual(held.fence, 1)
-        self.assertEqual(set(scene.links.asked), {'claim'})
-        self.assertEqual(len(scene.links.asked), 4)
+        scene.links.lost_replies = 3
+        _, grant = await scene.claim_key()
+        self.assertEqual(grant.fence, 1)
+        self.assertEqual(set(scene.links.requests), {'claim'})
+        self.assertEqual(len(scene.links.requests), 4)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_no_quorum_is_may_have_run(self):
-        """The caller isn't told 'not run' while nobody knows the key.
-
-        This may be its second try: the first one may have run through
-        another entry, and a caller told 'not run' would order anew.
-        """
+        """Guards against 'not run' without a quorum for the key's shard."""
         scene = Scene()
         for shard in scene.shards.values():
             shard.group.failure = failures.NotLeader()
         with self.assertRaises(claim_errors.ClaimsUnavailable):
-            await scene.hold()
+            await scene.claim_key()
         ran = claim_errors.ClaimsUnavailable.ran
         self.assertEqual(ran, messages.Ran.MAY_HAVE_RUN)
-        self.assertLessEqual(scene.loop.time(), shard_claims.CLAIM_SECONDS)
+        self.assertLessEqual(
+            scene.loop.time(), shard_claim_client.CLAIM_SECONDS
+        )
 
-    @shards.paused
+    @shards.virtual_time
     async def test_claims_share_proposals(self):
         scene = Scene()
-        asks = [
-            claims.Ask('o', f'order-{number}', b'd', 30)
+        claimants = [
+            claim_client.Claimant('o', f'order-{number}', b'd', 30)
             for number in range(400)
         ]
         replies = await asyncio.gather(
-            *(scene.first.claim(ask, None) for ask in asks)
+            *(scene.first.claim(claimant, None) for claimant in claimants)
         )
         self.assertTrue(all(reply.granted for reply in replies))
         proposals = sum(
@@ -310,7 +286,7 @@
         )
         self.assertLess(proposals, 100)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_busy_shard_refuses(self):
         shard = shards.Shard()
         gathered = await asyncio.gather(
@@ -327,27 +303,29 @@
         self.assertEqual({reply.code for reply in refused}, {'TT4508'})
 
 
-class CollectCase(unittest.TestCase):
-    @shards.paused
-    async def test_answer_is_recorded_for_a_caller_that_left(self):
+class RecordOutcomeCase(unittest.TestCase):
+    @shards.virtual_time
+    async def test_response_is_recorded_after_a_disconnect(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         gate = scene.agents.gates['a']
-        gate.admit(scene.opening(ask, held))
+        gate.admit(scene.opening(claimant, grant))
         until = scene.loop.time() + 60
-        collecting = asyncio.ensure_future(
-            scene.settler.collect(ask, held, until)
+        recording = asyncio.ensure_future(
+            scene.resolver.record_outcome(claimant, grant, until)
         )
         await asyncio.sleep(5)
         self.assertEqual(scene.state(), State.GRANTED)
-        gate.finish(scene.opening(ask, held), ANSWER)
-        await collecting
+        gate.finish(scene.opening(claimant, grant), ANSWER)
+        await recording
         self.assertEqual(scene.state(), State.COMPLETE)
 
-    @shards.paused
+    @shards.virtual_time
     async def test_unknown_is_recorded_without_any_proof(self):
         scene = Scene()
-        ask, held = await scene.hold()
+        claimant, grant = await scene.claim_key()
         scene.agents.unreachable = True
-        await scene.settler.collect(ask, held, scene.loop.time() + 60)
+        await scene.resolver.record_outcome(
+            claimant, grant, scene.loop.time() + 60
+        )
         self.assertEqual(scene.state(), State.UNKNOWN)
