--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -1,8 +1,4 @@
-"""Queue calls to a service and admit or refuse them.
-
-Calls wait in fair bounded queues until a target has capacity.  A call that
-can't start before its deadline is refused at once, with a retry time.
-"""
+"""Queue the calls to a service and admit them or refuse them early."""
 
 from __future__ import annotations
 
@@ -82,10 +78,7 @@
         return len(self._running)
 
     async def submit(self, call: calls.CallFacts) -> Ticket:
-        """Wait for admission; raise a coded refusal if it can't be in time.
-
-        Every refusal reports the call as not run.  Cancelling dequeues it.
-        """
+        """Wait for admission; raise a coded refusal if it can't be in time."""
         now = _now()
         self._estimator.record_request(call, now)
         budget = self._limits.wait_budget(call, now)
@@ -122,12 +115,9 @@
             raise
 
     def _handle_cancelled(self, entry: call_queue.QueueEntry) -> None:
-        """Clean up after a cancelled call.
-
-        Releases a ticket granted in the same loop iteration, which would
-        otherwise leak its slot.
-        """
+        """Clean up after a cancelled call."""
         granted = entry.item.granted
+        # A ticket granted in the same loop iteration would leak its slot.
         if granted.done() and not granted.cancelled():
             if granted.exception() is None:
                 granted.result().release()
@@ -159,11 +149,7 @@
                 return
 
     def _next_entry(self, now: float) -> call_queue.QueueEntry | None:
-        """Pick the next call, or one close behind it with a cached prefix.
-
-        With one free target at a time, routing can't choose by cache;
-        reordering the queue within a short lookahead can.
-        """
+        """Pick the next call, or one close behind it with a cached prefix."""
         head = self._queue.head()
         if head is None or self._must_be_next(head, now):
             return head
@@ -203,11 +189,8 @@
         return True
 
     def _shed(self, now: float) -> None:
-        """Refuse queued calls that can no longer start in time.
-
-        Needed when a lost target slows the drain rate.  Dividing by
-        ``caution`` keeps noise in the estimate from shedding calls.
-        """
+        """Refuse queued calls that can no longer start in time."""
+        # Dividing by the caution keeps noise in the rate from shedding calls.
         rate = self._estimator.drain_rate(now) / self._settings.caution
         ahead: float = 0
         for entry in self._queue.entries():
--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -1,8 +1,4 @@
-"""Allocate slots at the targets of a service to calls.
-
-Targets get enough calls to fill their batch.  The others wait in the entry,
-whose queue knows fairness, priority and deadlines, unlike the engine's.
-"""
+"""Allocate slots at the targets of a service to calls."""
 
 from __future__ import annotations
 
@@ -74,13 +70,12 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class AllocatorSettings:
-    """Configure the slots of each target that are for urgent calls.
+    """Configure the slots of each target that are for urgent calls."""
 
-    ``reserved_share`` of the slots, rounded up, is closed to other calls;
-    ``urgent_extra`` urgent calls may exceed the slots.
-    """
+    # Fraction of the slots, rounded up, that other calls can't use.
 
     reserved_share: float = 0
+    # Urgent calls allowed beyond the slots.
     urgent_extra: int = 2
 
 
@@ -194,10 +189,7 @@
         self,
         views: list[routing.TargetView],
     ) -> list[routing.TargetView]:
-        """Prefer targets that are neither slow nor ramping up, if any.
-
-        A stalling target slows down further before its reports show it.
-        """
+        """Prefer targets that are neither slow nor ramping up, if any."""
         limit = _SLOW_STEP_FACTOR * self._median_step()
         healthy = []
         for view in views:
@@ -229,10 +221,8 @@
 
 
 def _is_over_ramp_limit(view: routing.TargetView) -> bool:
-    """Tell whether a target that ramps up after ejection has its full share.
-
-    Weighted sampling doesn't limit it while it is the only free target.
-    """
+    """Tell whether a target that ramps up after ejection has its full share."""
+    # Weighted sampling doesn't limit the only target with free slots.
     if view.share >= 1:
         return False
     return view.load.own_calls >= max(
@@ -241,11 +231,9 @@
 
 
 def _is_probe(call: calls.CallFacts, view: routing.TargetView) -> bool:
-    """Tell whether a call probes an idle target that ramps up.
-
-    An idle target still reports its last, slow step time; without a probe it
-    would never show that it has recovered.
-    """
+    """Tell whether a call probes an idle target that ramps up."""
+    # An idle target reports its last, slow step time until a call shows that
+    # it has recovered.
     if view.share >= 1 or call.priority == calls.Priority.URGENT:
         return False
     return not view.load.own_calls and not view.load.last_report.running
--- a/tamarackthread/policy/backpressure.py
+++ b/tamarackthread/policy/backpressure.py
@@ -14,14 +14,13 @@
 
 @attrs.frozen(kw_only=True)
 class Backpressure:
-    """The backpressure signals of one answer.
-
-    ``is_leaving``: send no new calls.  ``rest``: cooldown in seconds, 0 for
-    none.  ``rate``: calls a second of all entries, ``None`` if unlimited.
-    """
+    """The backpressure signals of one answer."""
 
+    # No new calls may be sent.
     is_leaving: bool = False
+    # Cooldown in seconds, 0 for none.
     rest: float = 0
+    # Calls a second of all entries together, ``None`` if unlimited.
     rate: float | None = None
 
 
@@ -29,11 +28,7 @@
 
 
 class Cooldown:
-    """A cooldown requested by a target, ended by a single probe call.
-
-    As with a half-open circuit breaker, other calls follow only once the probe
-    is accepted; all at once would overload the target again.
-    """
+    """A cooldown requested by a target, ended by a single probe call."""
 
     def __init__(self) -> None:
         """Start without a cooldown."""
@@ -64,10 +59,7 @@
 
 
 def parse_retry_after(text: str) -> float:
-    """Parse ``Retry-After`` into bounded seconds, 0 if invalid.
-
-    Dates count as invalid, since clocks differ between hosts.
-    """
+    """Parse ``Retry-After`` into bounded seconds, 0 if invalid or a date."""
     return min(MAX_RETRY_AFTER_SECONDS, max(0, _number(text) or 0))
 
 
--- a/tamarackthread/policy/buckets.py
+++ b/tamarackthread/policy/buckets.py
@@ -1,8 +1,4 @@
-"""Limit the rate of organisations by leased portions of their caps.
-
-Control leases each entry a portion.  After expiry an entry falls back to a
-safe rate, so that entries cut off from control together keep to the cap.
-"""
+"""Limit the rate of organisations by leased portions of their caps."""
 
 from __future__ import annotations
 
@@ -34,12 +30,9 @@
         self._level = min(self._level, burst)
 
     def take(self, cost: float, now: float) -> float:
-        """Take ``cost`` units; return 0, or the seconds until available.
-
-        A full bucket allows a cost above the burst and goes negative;
-        otherwise the call could never pass.
-        """
+        """Take ``cost`` units; return 0, or the seconds until available."""
         self._fill(now)
+        # A full bucket allows a cost above the burst and goes negative.
         needed = min(cost, self._burst)
         if self._level >= needed:
             self._level -= cost
@@ -60,14 +53,13 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class PortionSettings:
-    """Hold the burst and the smoothing of portions, in seconds and units.
+    """Hold the burst and the smoothing of portions."""
 
-    ``burst_seconds`` bounds the burst to that many seconds of the rate;
-    ``demand_seconds`` is the smoothing window of the reported demand.
-    """
+    # Burst in seconds of the rate, and at least so many units.
 
     burst_seconds: float = 1.0
     least_burst: float = 1.0
+    # Smoothing window of the reported demand.
     demand_seconds: float = 2.0
 
 
@@ -98,7 +90,7 @@
 
     @property
     def safe_rate(self) -> float:
-        """Return the rate after the lease has expired."""
+        """Return the rate after expiry, which all entries can use at once."""
         return self._safe_rate
 
     @safe_rate.setter
@@ -106,10 +98,8 @@
         self._safe_rate = rate
 
     def grant(self, rate: float, asked_at: float, lease: float) -> None:
-        """Apply a lease of ``lease`` seconds, counted from the request.
-
-        Counted from the reply, it would outlast the lease held by control.
-        """
+        """Apply a lease of ``lease`` seconds, counted from the request."""
+        # Counted from the reply, it would outlast the lease held by control.
         self._lease_ends_at = asked_at + lease
         self._bucket.set_rate(rate, self._burst(rate), asked_at)
 
--- a/tamarackthread/policy/call_queue.py
+++ b/tamarackthread/policy/call_queue.py
@@ -11,14 +11,12 @@
 
 @attrs.define(slots=True, eq=False)
 class QueuedCall:
-    """A queued call; times are the loop's seconds.
-
-    ``granted`` gets the ticket or the refusal.  The call's wait budget ends
-    at ``latest_start``.
-    """
+    """A queued call; times are the loop's seconds."""
 
     call: calls.CallFacts
+    # Gets the ticket or the refusal.
     granted: asyncio.Future
+    # End of the wait budget.
     latest_start: float
     enqueued_at: float
     has_preempted: bool = False
@@ -29,11 +27,10 @@
 
 
 class CallQueue:
-    """A fair queue of urgent calls and, served after it, one of all others.
+    """A fair queue of urgent calls and, served after it, one of all others."""
 
-    Normal and background calls of an organisation share one flow, normal
-    ones first, so that marking calls as background gains no extra share.
-    """
+    # Normal and background calls share a flow, so that marking calls as
+    # background gains no extra share.
 
     def __init__(self, shares: fairness.Shares, credit: float) -> None:
         """Start empty; ``credit`` is the cost each flow may catch up."""
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -1,8 +1,4 @@
-"""Limit the rate of calls to cold targets, shared by all entries.
-
-Targets that restart together are the least loaded ones; without a limit they
-would get every call and crash before they are warm.
-"""
+"""Limit the rate of calls to cold targets, split among all entries."""
 
 from __future__ import annotations
 
@@ -19,11 +15,7 @@
 
 
 class ColdStartLimits:
-    """Compute how many calls this entry may send to a cold target.
-
-    Its share doesn't grow when other entries disappear, as they may still
-    reach the target across a network partition.
-    """
+    """Compute how many calls this entry may send to a cold target."""
 
     def __init__(
         self,
@@ -31,11 +23,7 @@
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
-        """Share the limits with all entries of ``fleet``.
-
-        A limit is ``allowance`` times the service's rate plus ``slack``, in
-        calls a second.
-        """
+        """Share limits of ``allowance`` times the rate plus ``slack``."""
         self._fleet = fleet
         self._allowance = allowance
         self._slack = slack
--- a/tamarackthread/policy/concurrency.py
+++ b/tamarackthread/policy/concurrency.py
@@ -1,8 +1,4 @@
-"""Limit the concurrency of a group of ranks that run in lock-step.
-
-Each forward pass of the group yields one piece of every stream, so a pass
-longer than the allowed gap between pieces makes all its streams late.
-"""
+"""Limit the concurrency of ranks in lock-step by the time of a forward pass."""
 
 from __future__ import annotations
 
@@ -22,7 +18,7 @@
 # Fraction of the allowed gap for a median pass; the rest is headroom for the
 # slowest passes and the network.
 GAP_SHARE = 0.8
-# Smallest difference from an empty pass that can be measured.
+# Lower bound for the time that calls add to a pass.
 MIN_ADDED_SECONDS = 0.001
 # Calls per slot that keep ranks busy until entries learn of freed slots.
 OVERCOMMIT = 1.1
@@ -56,15 +52,13 @@
 
 @attrs.frozen(kw_only=True)
 class GroupLoad:
-    """The load of a group; ``own`` of the ``calls`` are this entry's.
-
-    ``slots`` is how many calls all ranks together run at once.  ``pace`` is
-    the slowest rank's; 2 means twice its usual time.
-    """
+    """The load of a group; ``own`` of the ``calls`` are this entry's."""
 
     calls: float
     ranks: int
+    # Calls that all ranks together run at once.
     slots: int
+    # Slowdown of the slowest rank; 2 means twice its usual time.
     pace: float = 1
     own: int = 0
 
@@ -100,11 +94,7 @@
 
 
 class LatencyLimit(SlotLimit):
-    """Limit calls by the measured time that each adds to a pass.
-
-    The added time is divided by the load at the start of the pass; with the
-    current load, each admitted call would raise the limit.
-    """
+    """Limit calls by the measured time that each adds to a pass."""
 
     def __init__(self, gap: float, empty: float) -> None:
         """Start without measurements; see ``ConcurrencyLimit``."""
@@ -117,6 +107,7 @@
     def record_pass(self, seconds: float, now: float) -> None:
         """Record the seconds between two pieces of one stream."""
         super().record_pass(seconds, now)
+        # With the current load, each admitted call would raise the limit.
         load = self._load_at(now - seconds)
         if load is None:
             return
@@ -125,17 +116,14 @@
         self._added_per_call.add(added / running, now)
 
     def max_calls(self, load: GroupLoad, now: float) -> float:
-        """Return how many calls keep passes within the gap.
-
-        If not even one call a rank does, calls aren't the cause of long
-        passes, and only the slots limit them.
-        """
+        """Return how many calls keep passes within the gap."""
         self._remember(load, now)
         slots = super().max_calls(load, now)
         added_per_call = self._added_per_call.median(now)
         headroom = self._limit - self._empty * load.pace
         if not added_per_call or headroom <= 0:
             return slots
+        # If not even one call a rank fits, calls aren't what slows passes.
         fitting = headroom / added_per_call
         return slots if fitting < load.ranks else min(fitting, slots)
 
--- a/tamarackthread/policy/fairness.py
+++ b/tamarackthread/policy/fairness.py
@@ -1,8 +1,4 @@
-"""Share a queue among organisations by start-time fair queueing.
-
-Each organisation is a flow with a start tag in virtual time; the flow with
-the lowest tag is served next, and within it the item with the lowest rank.
-"""
+"""Share a queue among organisations by start-time fair queueing."""
 
 from __future__ import annotations
 
@@ -64,17 +60,10 @@
 
 
 class FairQueue(typing.Generic[_Item]):
-    """Queue the items of many flows and serve the flows by weight.
-
-    Choosing the next flow is linear in the number of waiting flows.
-    """
+    """Queue the items of many flows and serve the lowest start tag first."""
 
     def __init__(self, credit: float = 0) -> None:
-        """Start empty at virtual time 0.
-
-        A flow below its share may catch up by ``credit``, the cost at weight
-        1, so that a small burst of it isn't spread over several rounds.
-        """
+        """Start empty; ``credit`` is the cost at weight 1 to catch up by."""
         self._credit = credit
         self._sequence = itertools.count()
         self._flows: dict[str, _Flow[_Item]] = {}
--- a/tamarackthread/policy/outages.py
+++ b/tamarackthread/policy/outages.py
@@ -1,8 +1,4 @@
-"""Detect that a whole group has stopped, which one lost rank can cause.
-
-Its ranks then refuse every call, so callers need a longer retry time than
-from a full target.
-"""
+"""Detect that a whole group is down, which one lost rank can cause."""
 
 from __future__ import annotations
 
--- a/tamarackthread/policy/overload.py
+++ b/tamarackthread/policy/overload.py
@@ -1,8 +1,4 @@
-"""Shed load while the event loop of this process lags.
-
-The lag covers every cause of overload and delays heartbeats, refusals and
-streams alike.
-"""
+"""Shed load while the event loop of this process lags."""
 
 from __future__ import annotations
 
@@ -15,17 +11,14 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class OverloadSettings:
-    """Hold the limits; times are in seconds.
-
-    Calls are refused above ``most_lag`` or at ``most_calls`` open calls,
-    urgent ones above ``most_urgent_lag`` or ``urgent_calls`` more.
-    """
+    """Hold the limits of lag and open calls; times are in seconds."""
 
     period: float = 0.05
     smoothing: float = 0.3
     most_lag: float = 0.05
     most_urgent_lag: float = 0.25
     most_calls: int = 4000
+    # Open calls that urgent ones may use beyond ``most_calls``.
     urgent_calls: int = 400
     retry_after: float = 1.0
 
@@ -57,10 +50,7 @@
         self._due_at = due_at
 
     def observe(self, now: float) -> None:
-        """Take a measurement; a rise counts at once, a fall is smoothed.
-
-        Shedding a little too long costs less than an overloaded loop.
-        """
+        """Take a measurement; a rise counts at once, a fall is smoothed."""
         if self._due_at is None:
             return
         late = max(0, now - self._due_at)
--- a/tamarackthread/policy/poison_calls.py
+++ b/tamarackthread/policy/poison_calls.py
@@ -1,8 +1,4 @@
-"""Detect poison calls, which crash every target that runs them.
-
-A call is refused after it has crashed several targets; entries share their
-observations, since retries may reach any of them.
-"""
+"""Detect poison calls, which crash every target that runs them."""
 
 from __future__ import annotations
 
@@ -40,14 +36,12 @@
 
 @attrs.frozen(kw_only=True)
 class CrashHistory:
-    """The crashes caused by one call; ``mark`` is its fingerprint.
-
-    ``starts`` are the starts of targets lost while running it; ``lost`` and
-    ``answered`` are the seconds since the last loss and answer, or infinity.
-    """
+    """The crashes caused by one call; ``mark`` is its fingerprint."""
 
     mark: bytes
+    # Starts of targets that were lost while running the call.
     starts: frozenset[str] = frozenset()
+    # Seconds since the last loss and the last answer, or infinity.
     lost: float = math.inf
     answered: float = math.inf
 
@@ -101,11 +95,7 @@
 
 
 class PoisonCalls:
-    """The crash histories seen by this entry and received from others.
-
-    Every entry keeps all of them, so that they survive the loss of an entry,
-    and expires them by age.
-    """
+    """The crash histories seen by this entry and received from others."""
 
     def __init__(self) -> None:
         """Start without histories."""
--- a/tamarackthread/policy/portions.py
+++ b/tamarackthread/policy/portions.py
@@ -1,8 +1,4 @@
-"""Lease portions of an organisation's rate cap to entries.
-
-Leased portions never sum to more than the cap: a portion shrinks at once, and
-grows only after others have been renewed or have expired.
-"""
+"""Lease entries portions of a rate cap that never sum to more than it."""
 
 from __future__ import annotations
 
@@ -54,11 +50,9 @@
 
 
 class _Organisation:
-    """Hold one organisation's leases and their running sums.
+    """Hold one organisation's leases and their running sums."""
 
-    All leases have the same length, so insertion order is expiry order.
-    Running sums keep a round of renewals linear in the number of entries.
-    """
+    # All leases have the same length, so insertion order is expiry order.
 
     def __init__(self) -> None:
         self._leases: dict[str, _Lease] = {}
@@ -124,16 +118,13 @@
         used: float,
         now: float,
     ) -> float:
-        """Lease a node its portion; return the rate in units a second.
-
-        Until leases of an earlier leader have expired, a node gets at most
-        the rate it has been using.
-        """
+        """Lease a node its portion; return the rate in units a second."""
         held = self._organisations.setdefault(organisation, _Organisation())
         held.expire(now)
         held.drop(node)
         unleased = max(cap * (1 - RESERVE_SHARE) - held.rate, 0)
         rate = min(held.portion_for(cap, demand), unleased)
+        # Leases of an earlier leader may still be in use.
         if now < self._began_at + self._lease_seconds:
             rate = min(rate, used)
         held.add(node, _Lease(demand, rate, now + self._lease_seconds))
--- a/tamarackthread/policy/queue_limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -56,10 +56,7 @@
         self._estimator = estimator
 
     def wait_budget(self, call: calls.CallFacts, now: float) -> float:
-        """Return the seconds that a call may wait.
-
-        Raises ``DeadlineTooClose`` if it can't end before its deadline.
-        """
+        """Return the seconds a call may wait, or raise ``DeadlineTooClose``."""
         until_end = (
             call.deadline - now - self._allocator.answer_seconds(call, now)
         )
--- a/tamarackthread/policy/queue_rates.py
+++ b/tamarackthread/policy/queue_rates.py
@@ -10,23 +10,17 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class RateSettings:
-    """Hold the smoothing of rates and the bounds of retries, in seconds.
-
-    ``prior_seconds`` weighs the capacity estimated from load reports against
-    the rate measured over ``window_seconds``.
-    """
+    """Hold the smoothing of rates and the bounds of retries, in seconds."""
 
     window_seconds: float = 1.0
+    # Weight of the rate estimated from load reports.
     prior_seconds: float = 0.2
     least_retry: float = 0.25
     most_retry: float = 60.0
 
 
 class DrainMeter:
-    """Measure the cost served a second while a queue isn't empty.
-
-    Idle time is left out, as it doesn't show how fast the queue drains.
-    """
+    """Measure the cost served a second while a queue isn't empty."""
 
     def __init__(self, settings: RateSettings | None = None) -> None:
         """Start without measurements."""
@@ -89,11 +83,7 @@
 
 
 class RetrySchedule:
-    """Spread the retries of refused calls over time.
-
-    Each refusal reserves a time slot at the organisation's share of the drain
-    rate; equal retry times would cause a retry storm.
-    """
+    """Spread the retries of refused calls to avoid a retry storm."""
 
     def __init__(
         self,
@@ -113,11 +103,7 @@
         wait: float,
         now: float,
     ) -> float:
-        """Return the seconds after which a refused call should retry.
-
-        ``rate`` is the organisation's share of the drain rate, in cost a
-        second, ``wait`` the queue's expected wait in seconds.
-        """
+        """Reserve a retry at cost ``rate`` a second; return seconds to it."""
         settings = self._settings
         earliest = now + max(settings.least_retry, wait)
         retry_at = max(earliest, self._next_free_at.get(organisation, 0))
--- a/tamarackthread/policy/rate_limit.py
+++ b/tamarackthread/policy/rate_limit.py
@@ -1,8 +1,4 @@
-"""Enforce the rate limits that targets set, shared by all entries.
-
-A target names a rate for all entries together.  Each entry computes its share
-locally; the shares sum to the limit also during a network partition.
-"""
+"""Enforce the rate limit of a target, split locally among all entries."""
 
 from __future__ import annotations
 
@@ -29,13 +25,11 @@
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """This entry's share of a service's demand.
-
-    ``share`` is its fraction of the calls of all connected entries, from 0 to
-    1, and ``entries`` the number of these.
-    """
+    """This entry's share of a service's demand."""
 
+    # Fraction of the calls of all connected entries, from 0 to 1.
     share: float = 1
+    # Number of connected entries, this one included.
     entries: int = 1
 
 
@@ -83,25 +77,21 @@
 
 @attrs.frozen
 class EntryShare:
-    """This entry's share of one target's limit.
-
-    ``fleet`` counts all entries that may send to it; ``place`` is this entry's
-    rank among them, ``None`` while unknown.
-    """
+    """This entry's share of one target's limit."""
 
     demand: Demand
+    # Number of entries that may send to the target.
     fleet: int
+    # Rank of this entry among them, ``None`` while unknown.
     place: int | None
 
     def max_calls(self, rate: float) -> int:
-        """Return how many calls this entry may send in a window.
-
-        Sides of a partition share by their numbers of entries.  Fractions of
-        a call are rounded by rank, so that the sum is kept.
-        """
+        """Return how many calls this entry may send in a window."""
+        # Sides of a network partition share by their numbers of entries.
         connected = min(1, self.demand.entries / self.fleet)
         even = EVEN_SHARE / self.demand.entries
         own = even + (1 - EVEN_SHARE) * self.demand.share
+        # Rounding by rank keeps the sum of all entries.
         rounding = (self.place or 0) + 0.5
         if self.place is None:
             rounding = 0
--- a/tamarackthread/policy/tickets.py
+++ b/tamarackthread/policy/tickets.py
@@ -55,20 +55,13 @@
 
     @property
     def preempted(self) -> asyncio.Event:
-        """Return the event that is set when the call must give up its slot.
-
-        The holder then cancels the call at its target, releases the ticket
-        and submits ``resumed``, or fails the call if it can't resume.
-        """
+        """Return the event that is set when the call must give up its slot."""
         return self._preempted
 
     @property
     def resumed(self) -> calls.CallFacts:
-        """Return the call to submit to resume at the current position.
-
-        A call that has begun to answer bypasses the queue, since a refusal
-        would break its stream.
-        """
+        """Return the call to submit to resume at the current position."""
+        # A refusal would break the stream of a call that has begun to answer.
         events = self._progress.events
         return attrs.evolve(
             self._call,
--- a/tamarackthread/policy/wait_estimator.py
+++ b/tamarackthread/policy/wait_estimator.py
@@ -50,11 +50,8 @@
     def record_dequeued(
         self, call: calls.CallFacts, is_served: bool, now: float
     ) -> None:
-        """Count a call that left the queue.
-
-        Pass ``is_served`` only for calls that waited: a burst into free slots
-        doesn't show how fast the queue drains.
-        """
+        """Count a call that left the queue, served after a wait or not."""
+        # A burst into free slots doesn't show how fast the queue drains.
         flow = self._flow_meters.get(_flow_key(call))
         if flow is not None:
             flow.record_served(call.cost if is_served else 0)
@@ -68,11 +65,8 @@
         return max(_MIN_RATE, self._total_meter.rate(prior, now))
 
     def expected_wait(self, call: calls.CallFacts, now: float) -> float:
-        """Return the seconds until this call would be served if queued now.
-
-        The larger of two estimates: from the calls queued ahead, and from the
-        flow's measured drain rate, which shows later arrivals that overtake.
-        """
+        """Return the seconds until this call would be served if queued now."""
+        # The flow's own rate accounts for later calls that overtake it.
         rate = self.drain_rate(now)
         wait = self._queue.cost_ahead(call) / rate
         flow = self._flow_meters.get(_flow_key(call))
@@ -85,11 +79,8 @@
         return max(wait, own / max(_MIN_RATE, flow.rate(prior, now)))
 
     def retry_after(self, call: calls.CallFacts, now: float) -> float:
-        """Return the seconds after which to retry a refused call.
-
-        Retries get the part of the organisation's share that its new calls
-        leave, and at least ``_MIN_SPARE_SHARE``.
-        """
+        """Return the seconds after which to retry a refused call."""
+        # Retries get what new calls of the organisation leave of its share.
         share = self.drain_rate(now) * self._queue.share(call)
         arrivals = self._arrival_meters.get(call.organisation)
         used = arrivals.rate(now) if arrivals else 0
