--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -123,10 +123,7 @@
         self.run_paused(scenario())
 
     def test_preempts_newest_draft(self):
-        """Guards against urgent calls that wait for background ones.
-
-        The newest one is pre-empted and resumes ahead of the queue.
-        """
+        """Guards against urgent calls that wait for running background ones."""
 
         async def scenario():
             admission = policy_case.build_admission(
@@ -169,10 +166,7 @@
         self.run_paused(scenario())
 
     def test_late_stream_asks_to_move(self):
-        """Guards against late streams that stay on a stalled target.
-
-        Calls that aren't idempotent stay.
-        """
+        """Guards against streams left to end late on a stalled target."""
 
         async def scenario():
             budget = retries.RetryBudget(retries.RetrySettings(), 0)
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -67,10 +67,7 @@
         self.assertEqual(ALLOWED, self.known.verdict(POISON, 21))
 
     def test_failing_target(self):
-        """Guards against blaming a call for one target that drops connections.
-
-        The target hasn't crashed, so all losses have the same start.
-        """
+        """Guards against blaming a call for a target that drops connections."""
         for number in range(9):
             self.known.record_crash(POISON, 't0', 10.0 * number)
         self.assertEqual(ALLOWED, self.known.verdict(POISON, 90))
@@ -275,10 +272,7 @@
 
 class CallerCase(direct_case.DirectCase):
     async def test_refused_unrun(self):
-        """Guards against sending a poison call to one more target.
-
-        Its caller learns that it did not run; other calls are answered.
-        """
+        """Guards against sending a known poison call to one more target."""
         self.serve(configuration.Kind.ONCE)
         fake = await self.add(direct_case.dropping)
         status, _, _ = await self.ask(body=b'bad')
