--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -97,8 +97,8 @@
         self._overload = overload.OverloadGuard(
             self._meter,
             overload.OverloadSettings(
-                most_lag=self._limits.loop_lag_limit_seconds,
-                most_calls=self._limits.call_limit,
+                max_lag=self._limits.loop_lag_limit_seconds,
+                max_calls=self._limits.call_limit,
             ),
         )
         self._rate_leases = rate_leases.RateLeaser(
--- a/tamarackthread/policy/admission.py
+++ b/tamarackthread/policy/admission.py
@@ -167,7 +167,7 @@
         item = head.item
         if item.call.bypasses_queue:
             return True
-        if item.times_skipped >= self._settings.most_passes:
+        if item.times_skipped >= self._settings.max_skips:
             return True
         return item.latest_start - now < _LAST_CHANCE_SECONDS
 
--- a/tamarackthread/policy/buckets.py
+++ b/tamarackthread/policy/buckets.py
@@ -55,10 +55,10 @@
 class PortionSettings:
     """Hold the burst and the smoothing of portions."""
 
-    # Burst in seconds of the rate, and at least so many units.
-
+    # Burst as seconds of the rate.
     burst_seconds: float = 1.0
-    least_burst: float = 1.0
+    # Lower bound of the burst, in units.
+    min_burst: float = 1.0
     # Smoothing window of the reported demand.
     demand_seconds: float = 2.0
 
@@ -90,7 +90,7 @@
 
     @property
     def safe_rate(self) -> float:
-        """Return the rate after expiry, which all entries can use at once."""
+        """Return the rate that applies after the lease has expired."""
         return self._safe_rate
 
     @safe_rate.setter
@@ -137,7 +137,7 @@
 
     def _burst(self, rate: float) -> float:
         settings = self._settings
-        return max(settings.least_burst, rate * settings.burst_seconds)
+        return max(settings.min_burst, rate * settings.burst_seconds)
 
 
 class Portions:
--- a/tamarackthread/policy/overload.py
+++ b/tamarackthread/policy/overload.py
@@ -15,11 +15,11 @@
 
     period: float = 0.05
     smoothing: float = 0.3
-    most_lag: float = 0.05
-    most_urgent_lag: float = 0.25
-    most_calls: int = 4000
-    # Open calls that urgent ones may use beyond ``most_calls``.
-    urgent_calls: int = 400
+    max_lag: float = 0.05
+    max_urgent_lag: float = 0.25
+    max_calls: int = 4000
+    # Open calls allowed beyond ``max_calls`` while a new one is urgent.
+    extra_urgent_calls: int = 400
     retry_after: float = 1.0
 
 
@@ -81,13 +81,13 @@
     def check(self, call: calls.CallFacts, open_calls: int, now: float) -> None:
         """Raise ``EntryOverloaded`` if the call is to be shed."""
         settings = self._settings
-        most_lag = settings.most_lag
-        most_calls = settings.most_calls
+        max_lag = settings.max_lag
+        max_calls = settings.max_calls
         if call.priority == calls.Priority.URGENT:
-            most_lag = settings.most_urgent_lag
-            most_calls += settings.urgent_calls
+            max_lag = settings.max_urgent_lag
+            max_calls += settings.extra_urgent_calls
         lag = self._meter.current(now)
-        if lag > most_lag or open_calls >= most_calls:
+        if lag > max_lag or open_calls >= max_calls:
             raise refusals.EntryOverloaded(
                 f'loop lag {lag:.3f} s, {open_calls} calls open',
                 retry_after=settings.retry_after,
--- a/tamarackthread/policy/queue_limits.py
+++ b/tamarackthread/policy/queue_limits.py
@@ -27,7 +27,7 @@
     credit: float = 8.0
     # Largest wait as a fraction of the time to the deadline; the rest is
     # left to the caller after a refusal.
-    most_wait_share: float = 0.6
+    max_wait_share: float = 0.6
     # A call is queued if its expected wait is at most this fraction of its
     # wait budget.
     caution: float = 0.65
@@ -36,7 +36,7 @@
     # How many of the next calls compete for a free slot by cached prefix.
     lookahead: int = 12
     # How often a call may be skipped in favour of a cached prefix.
-    most_passes: int = 4
+    max_skips: int = 4
 
 
 class QueueLimits:
@@ -66,7 +66,7 @@
             return until_end
         settings = self._settings
         first = self._allocator.first_token_seconds(call, now)
-        longest = settings.most_wait_share * (call.deadline - now)
+        longest = settings.max_wait_share * (call.deadline - now)
         # A prefill longer than the goal must not refuse the call on an idle
         # service: no retry would succeed.
         goal = max(_MIN_WAIT_SECONDS, settings.first_token_seconds - first)
--- a/tamarackthread/policy/queue_rates.py
+++ b/tamarackthread/policy/queue_rates.py
@@ -15,8 +15,8 @@
     window_seconds: float = 1.0
     # Weight of the rate estimated from load reports.
     prior_seconds: float = 0.2
-    least_retry: float = 0.25
-    most_retry: float = 60.0
+    min_retry: float = 0.25
+    max_retry: float = 60.0
 
 
 class DrainMeter:
@@ -105,10 +105,10 @@
     ) -> float:
         """Reserve a retry at cost ``rate`` a second; return seconds to it."""
         settings = self._settings
-        earliest = now + max(settings.least_retry, wait)
+        earliest = now + max(settings.min_retry, wait)
         retry_at = max(earliest, self._next_free_at.get(organisation, 0))
-        if retry_at - now > settings.most_retry:
-            half_limit = settings.most_retry / 2
+        if retry_at - now > settings.max_retry:
+            half_limit = settings.max_retry / 2
             return half_limit + half_limit * self._random.random()
         self._next_free_at[organisation] = retry_at + cost / max(rate, 0.01)
         self._evict_expired(now)
