--- a/tamarackthread/policy/overload.py
+++ b/tamarackthread/policy/overload.py
@@ -1,8 +1,4 @@
-"""Shed load while the event loop of this process lags.
-
-The lag covers every cause of overload and delays heartbeats, refusals and
-streams alike.
-"""
+"""Shed load while the event loop of this process lags."""
 
 from __future__ import annotations
 
@@ -15,18 +11,15 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class OverloadSettings:
-    """Hold the limits; times are in seconds.
-
-    Calls are refused above ``most_lag`` or at ``most_calls`` open calls,
-    urgent ones above ``most_urgent_lag`` or ``urgent_calls`` more.
-    """
+    """Hold the limits of lag and open calls; times are in seconds."""
 
     period: float = 0.05
     smoothing: float = 0.3
-    most_lag: float = 0.05
-    most_urgent_lag: float = 0.25
-    most_calls: int = 4000
-    urgent_calls: int = 400
+    max_lag: float = 0.05
+    max_urgent_lag: float = 0.25
+    max_calls: int = 4000
+    # Open calls allowed beyond ``max_calls`` while a new one is urgent.
+    extra_urgent_calls: int = 400
     retry_after: float = 1.0
 
 
@@ -57,10 +50,7 @@
         self._due_at = due_at
 
     def observe(self, now: float) -> None:
-        """Take a measurement; a rise counts at once, a fall is smoothed.
-
-        Shedding a little too long costs less than an overloaded loop.
-        """
+        """Take a measurement; a rise counts at once, a fall is smoothed."""
         if self._due_at is None:
             return
         late = max(0, now - self._due_at)
@@ -91,13 +81,13 @@
     def check(self, call: calls.CallFacts, open_calls: int, now: float) -> None:
         """Raise ``EntryOverloaded`` if the call is to be shed."""
         settings = self._settings
-        most_lag = settings.most_lag
-        most_calls = settings.most_calls
+        max_lag = settings.max_lag
+        max_calls = settings.max_calls
         if call.priority == calls.Priority.URGENT:
-            most_lag = settings.most_urgent_lag
-            most_calls += settings.urgent_calls
+            max_lag = settings.max_urgent_lag
+            max_calls += settings.extra_urgent_calls
         lag = self._meter.current(now)
-        if lag > most_lag or open_calls >= most_calls:
+        if lag > max_lag or open_calls >= max_calls:
             raise refusals.EntryOverloaded(
                 f'loop lag {lag:.3f} s, {open_calls} calls open',
                 retry_after=settings.retry_after,
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -32,7 +32,7 @@
 def group_load(call_count, ranks=10, places=50, pace=1.0):
     """Build the load of a group of ranks."""
     return concurrency.GroupLoad(
-        calls=call_count, ranks=ranks, places=places, pace=pace
+        calls=call_count, ranks=ranks, slots=places, pace=pace
     )
 
 
--- a/tests/test_group_calls.py
+++ b/tests/test_group_calls.py
@@ -69,7 +69,7 @@
         self.assertEqual({'g1', 'g2'}, found)
         load = known.group_load(SERVICE, 1)
         self.assertEqual(2 * RANKS, load.ranks)
-        self.assertEqual(2 * RANKS * SLOTS, load.places)
+        self.assertEqual(2 * RANKS * SLOTS, load.slots)
         known.learn_groups(1, rows(closed=NAMES))
         self.assertIsNotNone(known.choose(SERVICE, ()))
 
