--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -41,7 +41,7 @@
 class Configuration(state_machine.StateMachine):
     """Hold documents, audit trail, cached replies, leases and decisions."""
 
-    def __init__(self, audit_records: int = audit_trail.RECORDS_LIMIT) -> None:
+    def __init__(self, audit_records: int = audit_trail.MAX_RECORDS) -> None:
         """Start empty; ``audit_records`` bounds the audit trail."""
         self._audit_records = audit_records
         self._watchers: list[Watcher] = []
--- a/tamarackthread/control/dependencies.py
+++ b/tamarackthread/control/dependencies.py
@@ -1,4 +1,4 @@
-"""Name what one member of a group is built on."""
+"""Components and settings that one member of a group is built from."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @attrs.frozen(eq=False)
 class Dependencies:
-    """What a member is built on.
+    """Components and settings of a member.
 
-    ``bootstrap`` maps the nodes of the group's first formation to addresses.
+    ``bootstrap`` maps the nodes that form a new group to their addresses.
     """
 
     group: str
--- a/tamarackthread/control/member_role.py
+++ b/tamarackthread/control/member_role.py
@@ -1,4 +1,4 @@
-"""Track the role of a member in its group."""
+"""State machine of a member's role: follower, candidate or leader."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import transitions
 
-# The library notes each move at INFO, which says nothing of group or term.
+# The library logs each transition at INFO, without group or term.
 logging.getLogger('transitions').setLevel(logging.WARNING)
 
 FOLLOWER = 'follower'
@@ -21,15 +21,12 @@
 
 
 class MemberRole:
-    """Follower, candidate or leader; a wrong move raises.
-
-    A learner is a follower that doesn't stand.
-    """
+    """Role of a member; a learner is a follower that is never a candidate."""
 
     state: str
 
     def __init__(self) -> None:
-        """Begin as a follower."""
+        """Start as a follower."""
         self._machine = transitions.Machine(
             model=self,
             states=[FOLLOWER, CANDIDATE, LEADER],
@@ -39,10 +36,13 @@
         )
 
     def move(self, trigger: str) -> None:
-        """Take one step: ``stand``, ``win`` or ``follow``."""
+        """Trigger ``stand``, ``win`` or ``follow``.
+
+        Raises ``transitions.MachineError`` for an invalid transition.
+        """
         self._machine.events[trigger].trigger(self)
 
     @property
     def leads(self) -> bool:
-        """Say whether this member was elected and has not stepped down."""
+        """Return whether this member is the leader."""
         return self.state == LEADER
--- a/tamarackthread/control/references.py
+++ b/tamarackthread/control/references.py
@@ -1,8 +1,6 @@
-"""Check that documents name only documents that exist.
+"""Check referential integrity between documents.
 
-This runs as part of applying a change, on every control host alike, because
-only there it is certain what exists: two changes that were each right when
-they were checked may not be right together.
+The check runs while a change is applied, where concurrent changes are ordered.
 """
 
 from __future__ import annotations
@@ -21,12 +19,12 @@
     documents: catalogue.Catalogue,
     change: messages.ChangeRequest,
 ) -> list[messages.Finding]:
-    """List what a change would leave pointing nowhere."""
+    """Return a finding for each reference that a change would break."""
     if not change.body:
         return _check_deletion(documents, change)
     if change.kind != 'service':
         return []
-    profile = _profile_of(change.body)
+    profile = _referenced_profile(change.body)
     if not profile or documents.get('profile', profile) is not None:
         return []
     text = f'profile {profile} does not exist'
@@ -44,7 +42,7 @@
         return []
     findings = []
     for service in documents.each('service'):
-        if _profile_of(service.body) != change.name:
+        if _referenced_profile(service.body) != change.name:
             continue
         text = f'service {service.name} runs under this profile'
         findings.append(
@@ -53,9 +51,9 @@
     return findings
 
 
-def _profile_of(body: str) -> str:
+def _referenced_profile(body: str) -> str:
     try:
-        found = json.loads(body)
+        parsed = json.loads(body)
     except ValueError:
         return ''
-    return found.get('profile', '') if isinstance(found, dict) else ''
+    return parsed.get('profile', '') if isinstance(parsed, dict) else ''
--- a/tamarackthread/control/shards.py
+++ b/tamarackthread/control/shards.py
@@ -1,4 +1,4 @@
-"""Name the groups of claims in the configuration, once."""
+"""Create the documents of the claims shards on first start."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents
 
-OWN_ACTOR = 'control'
+ACTOR = 'control'
 
 
 def group_names(count: int) -> list[str]:
-    """List the names of the groups of claims."""
+    """Return the names of the groups that hold claims."""
     return [f'claims-{number}' for number in range(count)]
 
 
@@ -21,18 +21,17 @@
     propose: config_proposer.ConfigProposer,
     count: int,
 ) -> None:
-    """Write a document for each group unless there are any already.
+    """Create a document for each shard unless any exists.
 
-    Entries pick the shard of a key among these documents, so that adding one
-    later moves keys and is an operator's change, never a host's.
+    Adding a shard later remaps keys, so only an operator may do so.
     """
     if any(machine.documents.each(documents.SHARD)):
         return
     for name in group_names(count):
         change = messages.ChangeRequest(
             change_id='',
-            actor=OWN_ACTOR,
-            origin=OWN_ACTOR,
+            actor=ACTOR,
+            origin=ACTOR,
             kind=documents.SHARD,
             name=name,
             based_on=0,
