--- a/tamarackthread/control/portion_allocator.py
+++ b/tamarackthread/control/portion_allocator.py
@@ -1,4 +1,4 @@
-"""Lease portions of organisations' caps to entries, as the leader."""
+"""Lease portions of organisations' rate limits to entries, as the leader."""
 
 from __future__ import annotations
 
@@ -14,68 +14,68 @@
 
 
 class PortionAllocator:
-    """Split ``requests_per_second`` of each organisation that is asked for.
+    """Split each organisation's ``requests_per_second`` between entries.
 
-    Nothing here is replicated: a portion lapses by itself, and a new leader
-    leases nobody more than it uses until all of the old ones have.
+    State is not replicated: a new leader leases no more than the used rate
+    until all earlier portions have expired.
     """
 
     def __init__(self, machine: configuration.Configuration) -> None:
-        """Take caps from the documents of ``machine``."""
+        """Read rate limits from the documents of ``machine``."""
         self._machine = machine
-        self._caps: dict[str, tuple[int, float]] = {}
+        self._limits: dict[str, tuple[int, float]] = {}
         self.restart()
 
     def restart(self) -> None:
-        """Forget all portions at the start of a term."""
+        """Drop all portions at the start of a term."""
         now = asyncio.get_running_loop().time()
         self._table = portions.PortionTable(LEASE_SECONDS, now)
-        self._asked: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     def answer(
         self,
         request: messages.PortionsRequest,
     ) -> messages.PortionsReply:
-        """Lease what an entry asks for; no cap means no portion."""
+        """Lease portions to an entry; an organisation without a limit gets none."""
         now = asyncio.get_running_loop().time()
-        self._asked[request.node] = now
+        self._requested_at[request.node] = now
         leased = []
-        for asked in request.portions or ():
-            cap = self._cap(asked.organisation)
-            if not cap:
+        for requested in request.portions or ():
+            limit = self._limit(requested.organisation)
+            if not limit:
                 continue
             rate = self._table.lease(
-                asked.organisation,
+                requested.organisation,
                 request.node,
-                cap,
-                max(asked.demand or 0, 0),
-                max(asked.used or 0, 0),
+                limit,
+                max(requested.demand or 0, 0),
+                max(requested.used or 0, 0),
                 now,
             )
-            leased.append(messages.Portion(asked.organisation, rate))
+            leased.append(messages.Portion(requested.organisation, rate))
         return messages.PortionsReply(
             portions=leased,
             lease_ms=int(LEASE_SECONDS * MILLISECONDS),
-            entries=self._count(now),
+            entries=self._count_entries(now),
         )
 
-    def _count(self, now: float) -> int:
-        for node, asked_at in tuple(self._asked.items()):
-            if now - asked_at > LEASE_SECONDS:
-                self._asked.pop(node)
-        return len(self._asked)
+    def _count_entries(self, now: float) -> int:
+        for node, requested_at in tuple(self._requested_at.items()):
+            if now - requested_at > LEASE_SECONDS:
+                self._requested_at.pop(node)
+        return len(self._requested_at)
 
-    def _cap(self, organisation: str) -> float:
-        found = self._machine.documents.get(
+    def _limit(self, organisation: str) -> float:
+        document = self._machine.documents.get(
             documents.ORGANISATION,
             organisation,
         )
-        if found is None:
+        if document is None:
             return 0
-        known = self._caps.get(organisation)
-        if known is not None and known[0] == found.revision:
-            return known[1]
-        parsed = documents.parse(documents.ORGANISATION, found.body)
-        cap = parsed.requests_per_second
-        self._caps[organisation] = (found.revision, cap)
-        return cap
+        cached = self._limits.get(organisation)
+        if cached is not None and cached[0] == document.revision:
+            return cached[1]
+        parsed = documents.parse(documents.ORGANISATION, document.body)
+        limit = parsed.requests_per_second
+        self._limits[organisation] = (document.revision, limit)
+        return limit
--- a/tamarackthread/control/request_handler.py
+++ b/tamarackthread/control/request_handler.py
@@ -1,4 +1,4 @@
-"""Direct what peers ask of a control host to the part that answers it."""
+"""Dispatch peers' requests to the components of a control host."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
 
 
 class RequestHandler(link.Handler):
-    """Answer consensus, the feed, reads and claims here, the rest as leader.
+    """Serve consensus, feed, reads and claims locally, the rest as leader.
 
-    A request that needs the leader is passed on once: a control host passes
-    nothing on for another, so that two hosts with old views of who leads
-    cannot send a request in circles.
+    Requests for the leader are forwarded at most once, which prevents loops
+    between hosts with stale views of the leader.
     """
 
     def __init__(
@@ -38,10 +37,10 @@
         claims: collections.abc.Mapping[str, claim_service.ClaimService],
         feeds: relay.FeedServer,
     ) -> None:
-        """Serve the groups by name and the claims by shard."""
+        """Serve groups by name and claims by shard."""
         self._groups = groups
         self._claims = claims
-        self._feeds = feeds
+        self._feed_server = feeds
 
     def attach(
         self,
@@ -50,10 +49,10 @@
         leader: operations.Operations,
         forwarder: forwarding.Forwarder,
     ) -> None:
-        """Take the parts that need links, which in turn need this handler."""
+        """Attach the components that need links, which need this handler."""
         self._machine = machine
-        self._leading = leading
-        self._leader = leader
+        self._leadership = leading
+        self._operations = leader
         self._forwarder = forwarder
 
     async def on_request(
@@ -61,96 +60,98 @@
         link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        """Answer a request by what it asks."""
+        """Dispatch a request by its kind."""
         if request.feed is not None:
-            return await self._feeds.answer(link, request.feed)
+            return await self._feed_server.answer(link, request.feed)
         group = group_of(request)
         if group is not None:
-            _check_sender(link, request)
-            return await self._of_group(group).handle(request)
+            _authorise(link, request)
+            return await self._find_group(group).handle(request)
         if request.documents is not None:
-            await self._of_group(CONFIG).read_barrier()
+            await self._find_group(CONFIG).read_barrier()
             read = reads.read(self._machine, request.documents)
             return messages.Reply(documents=read)
         if request.audit is not None:
-            await self._of_group(CONFIG).read_barrier()
+            await self._find_group(CONFIG).read_barrier()
             found = reads.audit(self._machine, request.audit)
             return messages.Reply(audit=found)
-        claim = await self._answer_claim(request)
+        claim = await self._handle_claim(request)
         if claim is not None:
             return claim
-        return await self._answer_as_leader(link, request)
+        return await self._handle_as_leader(link, request)
 
-    async def _answer_claim(
+    async def _handle_claim(
         self,
         request: messages.Request,
     ) -> messages.Reply | None:
         if request.claim is not None:
-            return await self._shard(request.claim.shard).claim(request.claim)
+            return await self._find_shard(request.claim.shard).claim(
+                request.claim
+            )
         if request.claim_finish is not None:
             finish = request.claim_finish
-            return await self._shard(finish.shard).finish(finish)
+            return await self._find_shard(finish.shard).finish(finish)
         if request.claim_lookup is not None:
             lookup = request.claim_lookup
-            return await self._shard(lookup.shard).lookup(lookup)
+            return await self._find_shard(lookup.shard).lookup(lookup)
         return None
 
-    async def _answer_as_leader(
+    async def _handle_as_leader(
         self,
         peer_link: link.Link,
         request: messages.Request,
     ) -> messages.Reply:
-        if not is_for_leader(request):
+        if not needs_leader(request):
             raise errors.RequestUnsupported
         node = peer_link.peer.node
         if peer_link.peer.role == messages.Role.CONTROL:
-            if not self._leading.leads():
+            if not self._leadership.leads():
                 raise failures.NotLeader
-            return await self._leader.answer(request, node)
-        name_sender(request, node)
-        if self._leading.leads():
+            return await self._operations.answer(request, node)
+        add_sender(request, node)
+        if self._leadership.leads():
             try:
-                return await self._leader.answer(request, node)
+                return await self._operations.answer(request, node)
             except (failures.NotLeader, failures.OutcomeUnknown):
-                _log.info('control: lost the lead, asks the next leader')
-        reply = await self._forwarder.forward(request, self._leading.leads)
+                _log.info(
+                    'control: lost leadership, forwarding to the next leader'
+                )
+        reply = await self._forwarder.forward(request, self._leadership.leads)
         if reply is None:
-            return await self._leader.answer(request, node)
+            return await self._operations.answer(request, node)
         return reply
 
-    def _of_group(self, name: str) -> consensus.Consensus:
+    def _find_group(self, name: str) -> consensus.Consensus:
         found = self._groups.get(name)
         if found is None:
             raise failures.GroupUnknown(name)
         return found
 
-    def _shard(self, name: str) -> claim_service.ClaimService:
+    def _find_shard(self, name: str) -> claim_service.ClaimService:
         found = self._claims.get(name)
         if found is None:
             raise failures.GroupUnknown(name)
         return found
 
 
-def _check_sender(
+def _authorise(
     peer_link: link.Link,
     request: messages.Request,
 ) -> None:
-    """Let only control hosts take part in a group.
+    """Authorise control hosts, and operators for membership changes only.
 
-    Any process that holds the shared secret can dial a control host.  One
-    that is confused or taken over could else vote, or put commands into the
-    log that no check has seen.
+    Other holders of the shared key must not vote or append unchecked commands.
     """
     role = peer_link.peer.role
     is_operator = role == messages.Role.OPERATOR
     if request.member is not None and is_operator:
         return
     if role != messages.Role.CONTROL:
-        raise errors.RequestUnsupported(f'not for role {role}')
+        raise errors.RequestUnsupported(f'not allowed for role {role}')
 
 
 def group_of(request: messages.Request) -> str | None:
-    """Give the group that a request of consensus is for, else ``None``."""
+    """Return the group of a consensus request, ``None`` for any other."""
     for asked in (
         request.append,
         request.vote,
@@ -163,8 +164,8 @@
     return None
 
 
-def is_for_leader(request: messages.Request) -> bool:
-    """Tell whether only the leader can answer a request."""
+def needs_leader(request: messages.Request) -> bool:
+    """Return whether only the leader can handle a request."""
     return any(
         asked is not None
         for asked in (
@@ -179,11 +180,10 @@
     )
 
 
-def name_sender(request: messages.Request, node: str) -> None:
-    """Note who asked, which the leader cannot see on a forwarded request.
+def add_sender(request: messages.Request, node: str) -> None:
+    """Record the sender, which the leader cannot see once forwarded.
 
-    A change without an id gets one here, because it may be sent on twice,
-    and the second time must find the answer to the first.
+    A change without an id gets one, since forwarding may be retried.
     """
     change = request.change
     if change is not None:
