--- a/tamarackthread/control/feed_source.py
+++ b/tamarackthread/control/feed_source.py
@@ -1,8 +1,6 @@
-"""Serve the configuration from the machine as leader, else from the leader.
+"""Serve the configuration feed: from the machine as leader, else relayed.
 
-A control host that does not lead is a relay like any other node: its log may
-hold what is not known to be committed, or lag behind, and only the leader can
-say that a revision is the newest.
+Only the leader knows the latest revision; a follower's machine may lag.
 """
 
 from __future__ import annotations
@@ -14,13 +12,13 @@
 from tamarackthread.control import configuration, group, leadership
 from tamarackthread.shared import catalogue, feed, parents, relay, signal
 
-KEPT_APPLIED = 4096
-# Nodes count their lease by clocks that may run slower than ours.
+MAX_APPLIED_REVISIONS = 4096
+# Allows for nodes whose clocks run slower.
 DRIFT_RATIO = 1.05
 
 
 class LeaderParent(parents.Parents):
-    """Name the leader as the only parent, and nobody while this host leads."""
+    """Choose the leader as feed parent, or none while this host leads."""
 
     def __init__(
         self,
@@ -28,13 +26,13 @@
         address_of: collections.abc.Callable[[str], str],
         own_node: str,
     ) -> None:
-        """Find the leader's address by its node with ``address_of``."""
+        """Look up the leader's address with ``address_of``."""
         self._config = config
         self._address_of = address_of
         self._own_node = own_node
 
     def choose(self) -> str | None:
-        """Give the leader's address if it is known and another host."""
+        """Return the leader's address if another host is known to lead."""
         leader = self._config.leader
         if not leader or leader == self._own_node:
             return None
@@ -42,7 +40,7 @@
 
 
 class ControlSource(relay.Source):
-    """Choose between the machine and the feed by who leads."""
+    """Serve the local machine as leader, else the feed of the leader."""
 
     def __init__(
         self,
@@ -52,43 +50,43 @@
         lease_seconds: float,
     ) -> None:
         """Grant leases of ``lease_seconds`` while this host leads."""
-        self._leading = leading
+        self._leadership = leading
         self._machine = machine
         self._upstream = upstream
         self._lease_seconds = lease_seconds
-        self._applied: collections.deque[tuple[int, float]] = collections.deque(
-            maxlen=KEPT_APPLIED
+        self._applied_revisions: collections.deque[tuple[int, float]] = (
+            collections.deque(maxlen=MAX_APPLIED_REVISIONS)
         )
         machine.watch(self._on_revision)
         leading.on_lead(upstream.changed.notify)
 
     @property
     def max_lease_seconds(self) -> float:
-        """Give the time after which no lease granted before still runs."""
+        """Return the longest duration of a lease, clock drift included."""
         return self._lease_seconds * DRIFT_RATIO
 
     @property
     def documents(self) -> catalogue.Catalogue:
-        """Give the machine's documents as leader, else the feed's."""
-        if self._leading.leads():
+        """Return the machine's documents as leader, else the feed's."""
+        if self._leadership.leads():
             return self._machine.documents
         return self._upstream.documents
 
     @property
     def changed(self) -> signal.Signal:
-        """Give the signal that the feed shares with this source."""
+        """Return the signal shared with the feed."""
         return self._upstream.changed
 
     @property
     def renewals(self) -> int:
-        """Count the renewals by the leader; 0 while this host leads."""
-        if self._leading.leads():
+        """Return the number of renewals by the leader; 0 as leader."""
+        if self._leadership.leads():
             return 0
         return self._upstream.renewals
 
     def grant(self) -> relay.Grant:
-        """Grant a full lease as leader, else what the leader's leaves."""
-        if not self._leading.leads():
+        """Grant a full lease as leader, else the rest of the leader's lease."""
+        if not self._leadership.leads():
             return self._upstream.grant()
         return relay.Grant(
             remaining=self._lease_seconds,
@@ -97,21 +95,20 @@
         )
 
     def take_report(self) -> None:
-        """Have the feed report further; as leader it has no parent."""
+        """Make the feed report to its parent; the leader has none."""
         self._upstream.take_report()
 
     def old_leases_end(self, revision: int) -> float:
-        """Tell when no node without a revision can take work any more.
+        """Return when the leases granted before a revision have expired.
 
-        Leases that were granted after the revision was applied hold only for
-        nodes that have it; all others have ended by then.
+        Later leases are granted only to nodes that have the revision.
         """
-        for applied, at in self._applied:
+        for applied, applied_at in self._applied_revisions:
             if applied >= revision:
-                return at + self.max_lease_seconds
+                return applied_at + self.max_lease_seconds
         return 0
 
     def _on_revision(self, revision: int) -> None:
         now = asyncio.get_running_loop().time()
-        self._applied.append((revision, now))
+        self._applied_revisions.append((revision, now))
         self._upstream.changed.notify()
--- a/tamarackthread/control/rollout_status.py
+++ b/tamarackthread/control/rollout_status.py
@@ -1,4 +1,4 @@
-"""Tell how far a revision has come."""
+"""Report the rollout of a revision to the nodes."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 from tamarackthread.shared import subtree
 
 MILLISECONDS = 1000
-LAGGARDS_LIMIT = 100
-_TAKING_WORK = frozenset((messages.Role.ENTRY, messages.Role.AGENT))
+MAX_LAGGARDS = 100
+_SERVING_ROLES = frozenset((messages.Role.ENTRY, messages.Role.AGENT))
 
 
 def build(
     revision: int,
-    newest: int,
+    latest: int,
     below: subtree.Subtree,
     origin: feed_source.ControlSource,
     led_since: float,
 ) -> messages.StatusReply:
-    """Count the nodes that confirmed a revision and name those that lag.
+    """Count the nodes that confirmed a revision and list the laggards.
 
-    The revision is in force everywhere once each known node confirmed it, or
-    once every lease from before it must have ended.  Right after an election
-    the known nodes are not all, so only the second rule holds then.
+    It is in force everywhere once all nodes confirmed it or all older leases
+    expired; only the latter counts until a new leader knows all nodes.
     """
     now = asyncio.get_running_loop().time()
     below.expire(now)
     nodes = [
-        state for state in below.nodes().values() if state.role in _TAKING_WORK
+        state
+        for state in below.nodes().values()
+        if state.role in _SERVING_ROLES
     ]
     laggards = [state for state in nodes if state.revision < revision]
-    knows_all = now >= led_since + origin.max_lease_seconds
-    waiting = _waiting(origin.old_leases_end(revision) - now)
-    if knows_all and not laggards:
-        waiting = 0
-    in_force = revision <= newest and not waiting
+    knows_all_nodes = now >= led_since + origin.max_lease_seconds
+    wait_ms = _wait_ms(origin.old_leases_end(revision) - now)
+    if knows_all_nodes and not laggards:
+        wait_ms = 0
+    in_force = revision <= latest and not wait_ms
     return messages.StatusReply(
-        revision=newest,
+        revision=latest,
         nodes=len(nodes),
         in_force=len(nodes) - len(laggards),
-        laggards=_slowest(laggards),
+        laggards=_most_behind(laggards),
         in_force_everywhere=in_force,
-        waiting_ms=waiting,
+        waiting_ms=wait_ms,
     )
 
 
-def _waiting(seconds: float) -> int:
+def _wait_ms(seconds: float) -> int:
     return max(math.ceil(seconds * MILLISECONDS), 0)
 
 
-def _slowest(
+def _most_behind(
     laggards: collections.abc.Iterable[messages.NodeState],
 ) -> list[messages.NodeState]:
     ordered = sorted(laggards, key=lambda state: state.revision)
-    return ordered[:LAGGARDS_LIMIT]
+    return ordered[:MAX_LAGGARDS]
--- a/tamarackthread/control/target_documents.py
+++ b/tamarackthread/control/target_documents.py
@@ -1,8 +1,6 @@
-"""Keep the target documents true to what agents announce.
+"""Maintain the replicated documents that list the targets.
 
-A document is written when a target joins, changes, drains or leaves.  That a
-target lives is known from the feed, where its agent is a node like any other,
-so that thousands of targets at rest cost no write.
+Writes occur only on changes: liveness comes from the feed, not from documents.
 """
 
 from __future__ import annotations
@@ -18,32 +16,32 @@
 from tamarackthread.shared import documents, errors, subtree
 
 MAX_ATTEMPTS = 4
-OWN_ACTOR = 'control'
+ACTOR = 'control'
 
 
 class TargetUnknown(errors.CodedError):
-    """Target is not known to the control hosts."""
+    """Target is unknown to the control hosts."""
 
     code = 'TT3501'
     status = 404
 
 
 class TargetBusy(errors.CodedError):
-    """Target document kept changing; nothing was done."""
+    """Target document has too many concurrent changes; nothing was done."""
 
     code = 'TT3502'
     status = 409
 
 
 class AnnouncementInvalid(errors.CodedError):
-    """Announcement does not make a valid target."""
+    """Announcement is not a valid target."""
 
     code = 'TT3503'
     status = 400
 
 
 class DocumentWriter:
-    """Write the documents of one kind that processes announce."""
+    """Write the documents of one kind of announced processes."""
 
     def __init__(
         self, kind: str, propose: config_proposer.ConfigProposer
@@ -60,7 +58,10 @@
         actor: str,
         origin: str = '',
     ) -> bool:
-        """Change a document; tell whether ``version`` was still the newest."""
+        """Write a document; return whether ``version`` was the latest.
+
+        Raises ``AnnouncementInvalid`` for a body that has findings.
+        """
         change = messages.ChangeRequest(
             change_id='',
             actor=actor,
@@ -72,55 +73,63 @@
         )
         reply = await self._propose.change(change)
         if reply.status == messages.ChangeStatus.INVALID:
-            text = '; '.join(found.text for found in reply.findings)
+            text = '; '.join(finding.text for finding in reply.findings)
             raise AnnouncementInvalid(text)
         return reply.status == messages.ChangeStatus.ACCEPTED
 
     async def delete(self, name: str, version: int) -> None:
-        """Delete a document whose process has gone, unless it changed."""
-        await self.write(name, '', version, OWN_ACTOR)
+        """Delete a document unless it was changed after ``version``."""
+        await self.write(name, '', version, ACTOR)
 
 
 class TargetDocuments:
-    """Announce and drain targets as the leader."""
+    """Record announced and draining targets as the leader."""
 
     def __init__(
         self,
         machine: configuration.Configuration,
-        written: DocumentWriter,
+        writer: DocumentWriter,
     ) -> None:
-        """Write through ``written``; ``machine`` shows what is committed."""
+        """Write through ``writer``; read committed documents of ``machine``."""
         self._machine = machine
-        self._written = written
+        self._writer = writer
 
     async def announce(
         self,
-        announced: messages.Announcement,
+        announcement: messages.Announcement,
         node: str,
     ) -> int:
-        """Record a target as announced; give the revision that holds it."""
+        """Record a target and return the revision that contains it.
+
+        Raises ``TargetBusy`` after repeated version conflicts.
+        """
         for _ in range(MAX_ATTEMPTS):
-            held, version = self._held(announced.target)
-            wanted = _merge(announced, held)
-            if wanted is None or wanted == held:
+            current, version = self._current(announcement.target)
+            updated = _merge(announcement, current)
+            if updated is None or updated == current:
                 return self._machine.documents.revision
-            body = _body(wanted)
-            if await self._written.write(announced.target, body, version, node):
+            body = _encode(updated)
+            if await self._writer.write(
+                announcement.target, body, version, node
+            ):
                 return self._machine.documents.revision
-        raise TargetBusy(announced.target)
+        raise TargetBusy(announcement.target)
 
     async def drain(self, request: messages.DrainRequest, origin: str) -> int:
-        """Mark a target as leaving, or take the mark back."""
+        """Mark a target as draining, or clear the mark; return the revision.
+
+        Raises ``TargetUnknown``, ``TargetBusy``.
+        """
         leaving = not request.cancel
         for _ in range(MAX_ATTEMPTS):
-            held, version = self._held(request.target)
-            if held is None:
+            current, version = self._current(request.target)
+            if current is None:
                 raise TargetUnknown(request.target)
-            if held.leaving == leaving:
+            if current.leaving == leaving:
                 return self._machine.documents.revision
-            body = _body(attrs.evolve(held, leaving=leaving))
+            body = _encode(attrs.evolve(current, leaving=leaving))
             actor = request.actor or origin
-            if await self._written.write(
+            if await self._writer.write(
                 request.target,
                 body,
                 version,
@@ -131,11 +140,11 @@
         raise TargetBusy(request.target)
 
     def address_of(self, name: str) -> str:
-        """Give where a target's agent listens, empty if it is unknown."""
-        held, _ = self._held(name)
-        return '' if held is None else held.address
+        """Return the address of a target's agent, empty if unknown."""
+        current, _ = self._current(name)
+        return '' if current is None else current.address
 
-    def _held(self, name: str) -> tuple[generated.Target | None, int]:
+    def _current(self, name: str) -> tuple[generated.Target | None, int]:
         latest = self._machine.documents.latest(documents.TARGET, name)
         if latest is None:
             return None, 0
@@ -145,87 +154,87 @@
 
 
 class LivenessSweep:
-    """Forget what was announced by processes not seen for some time."""
+    """Delete documents of processes that have left the feed."""
 
     def __init__(
         self,
         machine: configuration.Configuration,
         below: subtree.Subtree,
-        written: DocumentWriter,
+        writer: DocumentWriter,
         kind: str,
-        gone_seconds: float,
+        absent_seconds: float,
     ) -> None:
-        """Forget a document ``gone_seconds`` after its process was seen."""
+        """Delete a document once its process is absent ``absent_seconds``."""
         self._machine = machine
         self._below = below
-        self._written = written
+        self._writer = writer
         self._kind = kind
-        self._gone_seconds = gone_seconds
-        self._unseen_since: dict[str, float] = {}
-        # Reading each body anew at each sweep would take a fifth of a core
-        # with 2,100 targets.
+        self._absent_seconds = absent_seconds
+        self._absent_since: dict[str, float] = {}
+        # Cached by revision: parsing every body in each sweep is slow.
         self._addresses: dict[str, tuple[int, str]] = {}
 
     def restart(self) -> None:
-        """Count anew, because a new leader has not heard of anybody yet."""
-        self._unseen_since.clear()
+        """Reset absence times: a new leader has no reports from nodes yet."""
+        self._absent_since.clear()
 
     async def sweep(self) -> None:
-        """Look once at all documents of the kind."""
+        """Check all documents of the kind once."""
         now = asyncio.get_running_loop().time()
         self._below.expire(now)
-        seen = self._below.addresses()
-        unseen: dict[str, float] = {}
+        present = self._below.addresses()
+        absent: dict[str, float] = {}
         overdue = []
         for document in self._machine.documents.each(self._kind):
-            if self._address(document) in seen:
+            if self._address(document) in present:
                 continue
-            since = self._unseen_since.get(document.name, now)
-            unseen[document.name] = since
-            if now - since >= self._gone_seconds:
+            absent_since = self._absent_since.get(document.name, now)
+            absent[document.name] = absent_since
+            if now - absent_since >= self._absent_seconds:
                 overdue.append(document)
-        self._unseen_since = unseen
+        self._absent_since = absent
         for document in overdue:
-            await self._written.delete(document.name, document.version)
+            await self._writer.delete(document.name, document.version)
 
     def _address(self, document: messages.Document) -> str:
-        known = self._addresses.get(document.name)
-        if known is not None and known[0] == document.revision:
-            return known[1]
-        announced = documents.parse(self._kind, document.body)
-        found = (document.revision, announced.address)
-        self._addresses[document.name] = found
-        return announced.address
+        cached = self._addresses.get(document.name)
+        if cached is not None and cached[0] == document.revision:
+            return cached[1]
+        parsed = documents.parse(self._kind, document.body)
+        entry = (document.revision, parsed.address)
+        self._addresses[document.name] = entry
+        return parsed.address
 
 
 def _merge(
-    announced: messages.Announcement,
-    held: generated.Target | None,
+    announcement: messages.Announcement,
+    current: generated.Target | None,
 ) -> generated.Target | None:
-    """Build the target, or ``None`` for news from a process that is over.
+    """Return the new target, ``None`` for a stale leave announcement.
 
-    A drain mark outlives announcements of the process that it was set for; a
-    process that starts anew takes work again.
+    A drain mark lasts until the process restarts under a new incarnation.
     """
-    same_start = held is not None and held.incarnation == announced.incarnation
-    leaving = bool(announced.leaving)
-    if leaving and not same_start:
+    same_process = (
+        current is not None and current.incarnation == announcement.incarnation
+    )
+    leaving = bool(announcement.leaving)
+    if leaving and not same_process:
         return None
-    if held is not None and same_start:
-        leaving = leaving or held.leaving
+    if current is not None and same_process:
+        leaving = leaving or current.leaving
     return generated.Target(
-        service=announced.service_name,
-        region=announced.region,
-        zone=announced.zone,
-        address=announced.address,
-        group=announced.group or '',
-        rank=announced.rank or 0,
-        ranks=announced.ranks or 1,
-        incarnation=announced.incarnation or 0,
+        service=announcement.service_name,
+        region=announcement.region,
+        zone=announcement.zone,
+        address=announcement.address,
+        group=announcement.group or '',
+        rank=announcement.rank or 0,
+        ranks=announcement.ranks or 1,
+        incarnation=announcement.incarnation or 0,
         leaving=leaving,
-        checks_fencing=bool(announced.checks_fencing),
+        checks_fencing=bool(announcement.checks_fencing),
     )
 
 
-def _body(target: generated.Target) -> str:
+def _encode(target: generated.Target) -> str:
     return json.dumps(attrs.asdict(target), separators=(',', ':'))
