--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -415,7 +415,7 @@
             address='127.0.0.1:2',
         )
         message = announcer.AnnouncedTarget(own, place).message()
-        stage = test_targets.Stage()
+        stage = test_targets.Fixture()
         await stage.targets.announce(message, 'agent')
         held = stage.log.machine.documents
         addresses = rank_addresses.RankAddresses(GROUP)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Prove that target documents follow what agents announce."""
+"""Test target documents, their expiry and the status of a rollout."""
 
 import asyncio
 import types
@@ -17,7 +17,7 @@
 
 
 class Group:
-    """Commit at once, as a group of one member that leads."""
+    """Commit proposals at once, like a leader of one member."""
 
     term = 1
 
@@ -33,19 +33,19 @@
         return types.SimpleNamespace(result=answer)
 
 
-class Stage:
+class Fixture:
     def __init__(self):
         self.log = test_configuration.Log()
         self.group = Group(self.log)
         propose = config_proposer.ConfigProposer(self.group, float)
-        self.written = target_documents.DocumentWriter('target', propose)
+        self.writer = target_documents.DocumentWriter('target', propose)
         self.targets = target_documents.TargetDocuments(
-            self.log.machine, self.written
+            self.log.machine, self.writer
         )
         self.below = subtree.Subtree()
 
     async def announce(self, incarnation=1, **more):
-        announced = messages.Announcement(
+        announcement = messages.Announcement(
             target='t',
             service_name='s',
             zone='z',
@@ -54,13 +54,13 @@
             incarnation=incarnation,
             **more,
         )
-        await self.targets.announce(announced, 'agent')
+        await self.targets.announce(announcement, 'agent')
 
-    def held(self):
+    def stored_target(self):
         found = self.log.machine.documents.get('target', 't')
         return found and documents.parse('target', found.body)
 
-    def hear(self, node, revision, address='', now=None):
+    def add_report(self, node, revision, address='', now=None):
         state = messages.NodeState(
             node,
             messages.Role.AGENT,
@@ -80,100 +80,99 @@
 
 
 class TargetCase(unittest.TestCase):
-    def test_announcements_at_rest_cost_no_write(self):
+    def test_unchanged_announcements_are_not_written(self):
         async def scenario():
-            stage = Stage()
+            fixture = Fixture()
             for _ in range(5):
-                await stage.announce()
-            self.assertEqual(stage.group.proposals, 1)
-            self.assertFalse(stage.held().leaving)
+                await fixture.announce()
+            self.assertEqual(fixture.group.proposals, 1)
+            self.assertFalse(fixture.stored_target().leaving)
 
         feed_net.run_paused(scenario)
 
-    def test_drain_holds_until_the_agent_starts_anew(self):
-        """A drained target takes no new work while its process runs.
+    def test_drain_lasts_until_the_agent_restarts(self):
+        """Announcements do not undo a drain; a restart of the agent does.
 
-        The agent announces itself again, which must not undo the operator's
-        mark.  A late farewell of the old process must not mark the new one.
+        A late leave announcement of the old process does not drain the new one.
         """
 
         async def scenario():
-            stage = Stage()
-            await stage.announce()
-            await stage.targets.drain(messages.DrainRequest('t', 'anna'), 'op')
-            await stage.announce()
-            self.assertTrue(stage.held().leaving)
-            await stage.announce(incarnation=2)
-            self.assertFalse(stage.held().leaving)
-            await stage.announce(incarnation=1, leaving=True)
-            self.assertFalse(stage.held().leaving)
+            fixture = Fixture()
+            await fixture.announce()
+            await fixture.targets.drain(
+                messages.DrainRequest('t', 'anna'), 'op'
+            )
+            await fixture.announce()
+            self.assertTrue(fixture.stored_target().leaving)
+            await fixture.announce(incarnation=2)
+            self.assertFalse(fixture.stored_target().leaving)
+            await fixture.announce(incarnation=1, leaving=True)
+            self.assertFalse(fixture.stored_target().leaving)
             with self.assertRaises(target_documents.TargetUnknown):
-                await stage.targets.drain(messages.DrainRequest('x'), 'op')
+                await fixture.targets.drain(messages.DrainRequest('x'), 'op')
 
         feed_net.run_paused(scenario)
 
-    def test_target_without_an_agent_is_forgotten(self):
-        """A target whose host was lost disappears after the stated time.
+    def test_target_without_an_agent_is_deleted(self):
+        """A target whose agent left the feed is deleted after a timeout.
 
-        Its agent is a node of the feed and stops asking.  Right after an
-        election nobody has been heard of, so the time counts from then.
+        After an election the timeout restarts.
         """
 
         async def scenario():
-            stage = Stage()
-            await stage.announce()
+            fixture = Fixture()
+            await fixture.announce()
             sweep = target_documents.LivenessSweep(
-                stage.log.machine,
-                stage.below,
-                stage.written,
+                fixture.log.machine,
+                fixture.below,
+                fixture.writer,
                 'target',
                 5,
             )
-            stage.hear('agent', 1, '127.0.0.1:1')
+            fixture.add_report('agent', 1, '127.0.0.1:1')
             for _ in range(7):
-                self.assertIsNotNone(stage.held())
+                self.assertIsNotNone(fixture.stored_target())
                 await sweep.sweep()
                 await asyncio.sleep(1)
             await asyncio.sleep(3)
             await sweep.sweep()
-            self.assertIsNone(stage.held())
+            self.assertIsNone(fixture.stored_target())
 
         feed_net.run_paused(scenario)
 
     def test_invalid_announcement_is_refused(self):
         async def scenario():
             with self.assertRaises(target_documents.AnnouncementInvalid):
-                await Stage().announce(ranks=-1)
+                await Fixture().announce(ranks=-1)
 
         feed_net.run_paused(scenario)
 
 
 class StatusCase(unittest.TestCase):
     def test_in_force_once_confirmed_or_lapsed(self):
-        """A change is called in force only when no node can act otherwise.
+        """A change is not reported in force while an older lease may run.
 
-        One node confirms, the other is silent.  Its lease may run for a whole
-        lease time after the change; only then does the status say so.
+        One node confirms the change, the other stays silent.
         """
 
         async def scenario():
-            stage = Stage()
+            fixture = Fixture()
             upstream = types.SimpleNamespace(changed=signal.Signal())
             origin = feed_source.ControlSource(
-                leadership.Leadership(stage.group),
-                stage.log.machine,
+                leadership.Leadership(fixture.group),
+                fixture.log.machine,
                 upstream,
                 feed_net.LEASE,
             )
 
             def build():
-                return rollout_status.build(1, 1, stage.below, origin, -10)
+                return rollout_status.build(1, 1, fixture.below, origin, -10)
 
-            stage.hear('one', 0)
-            stage.hear('two', 0)
-            stage.log.change('p', 0)
+            fixture.add_report('one', 0)
+            fixture.add_report('two', 0)
+            fixture.log.change('p', 0)
             self.assertFalse(build().in_force_everywhere)
-            stage.hear('one', 1)
+            fixture.add_report('one', 1)
             reply = build()
             self.assertEqual((reply.nodes, reply.in_force), (2, 1))
             self.assertEqual([node.node for node in reply.laggards], ['two'])
@@ -182,25 +181,25 @@
             reply = build()
             self.assertTrue(reply.in_force_everywhere)
             self.assertEqual(len(reply.laggards), 1)
-            stage.hear('two', 1)
+            fixture.add_report('two', 1)
             self.assertEqual(build().in_force, 2)
 
         feed_net.run_paused(scenario)
 
     def test_new_leader_does_not_know_all_nodes(self):
         async def scenario():
-            stage = Stage()
+            fixture = Fixture()
             upstream = types.SimpleNamespace(changed=signal.Signal())
             origin = feed_source.ControlSource(
-                leadership.Leadership(stage.group),
-                stage.log.machine,
+                leadership.Leadership(fixture.group),
+                fixture.log.machine,
                 upstream,
                 feed_net.LEASE,
             )
-            stage.log.change('p', 0)
-            stage.hear('one', 1)
+            fixture.log.change('p', 0)
+            fixture.add_report('one', 1)
             now = feed_net.now()
-            reply = rollout_status.build(1, 1, stage.below, origin, now)
+            reply = rollout_status.build(1, 1, fixture.below, origin, now)
             self.assertFalse(reply.in_force_everywhere)
             self.assertGreater(reply.waiting_ms, 0)
 
