--- a/tests/test_claim_group.py
+++ b/tests/test_claim_group.py
@@ -1,4 +1,4 @@
-"""Prove claims on a real replicated log of one member and a real folder."""
+"""Test claims on a replicated log of one member that is stored on disk."""
 
 import asyncio
 import pathlib
@@ -17,14 +17,13 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, claim_times, errors
 
-QUICK = timing.Timing(
+TIMING = timing.Timing(
     heartbeat=0.01,
     election_min=0.05,
     election_max=0.08,
     snapshot_entries=8,
     handover_timeout=0.05,
-    # These tests write to a real disk, which may take a second for a sync beside
-    # other work; a leader would give up on it and leave a claim in doubt.
+    # A slow disk sync must not make the leader step down during a test.
     stall_timeout=600.0,
 )
 KEY = b'k' * 16
@@ -37,7 +36,7 @@
 
 
 class Member:
-    """Run a group of one on a folder until it is stopped."""
+    """Run a group of one member that stores its log in a folder."""
 
     def __init__(self, folder, proposer):
         self.machine = claims.ClaimsMachine()
@@ -48,7 +47,7 @@
             disk=disk.FolderDisk(pathlib.Path(folder)),
             transport=NoPeers(),
             members={'control-0': 'a:1'},
-            timing=QUICK,
+            timing=TIMING,
             rng=random.Random(3),
         )
         self.service = claim_service.ClaimService(
@@ -94,25 +93,22 @@
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
-    async def test_claims_outlast_a_restart(self):
-        """The second try gets the answer after the control host restarted.
-
-        Some claims come back from the snapshot and the rest from the log.
-        """
+    async def test_claims_survive_a_restart(self):
+        """No claim is lost in a restart, from the snapshot or from the log."""
         async with Member(self.folder, 'control-0/1') as service:
             granted = (await service.claim(ask())).claim
             await service.finish(complete(granted.fence))
             for number in range(20):
                 await service.claim(ask(key=bytes([number]) * 16))
         async with Member(self.folder, 'control-0/2') as service:
-            again = (await service.claim(ask(claim=b'second'))).claim
-            fresh = (await service.claim(ask(key=b'fresh'))).claim
+            retried = (await service.claim(ask(claim=b'second'))).claim
+            new = (await service.claim(ask(key=b'fresh'))).claim
             found = await service.lookup(
                 messages.ClaimLookup(key=bytes([7]) * 16, wait_ms=0)
             )
-        self.assertEqual((again.granted, again.body), (False, b'booked'))
+        self.assertEqual((retried.granted, retried.body), (False, b'booked'))
         self.assertEqual(found.claim.state, State.GRANTED)
-        self.assertEqual(fresh.fence, 22)
+        self.assertEqual(new.fence, 22)
 
     async def test_refusals_have_their_codes(self):
         async with Member(self.folder, 'control-0/1') as service:
--- a/tests/test_claim_history.py
+++ b/tests/test_claim_history.py
@@ -1,4 +1,4 @@
-"""Check histories of keyed calls in a world that fails at random."""
+"""Check histories of keyed calls under random faults."""
 
 import asyncio
 import collections
@@ -16,7 +16,7 @@
 
 
 def history(seed):
-    """Run one seeded world to its end on paused time."""
+    """Run one seeded simulation on a simulated clock."""
 
     async def run():
         simulation = claim_simulation.Simulation(random.Random(seed))
@@ -28,20 +28,16 @@
 
 
 class HistoryCase(unittest.TestCase):
-    def test_no_promise_is_broken(self):
-        """No order runs twice and no refusal is false, whatever fails.
-
-        Each seed is a world of its own; a failing one is named together with
-        the promise that it broke.
-        """
-        told = collections.Counter()
+    def test_histories_are_valid(self):
+        """No call runs twice and no refusal is false under random faults."""
+        counts = collections.Counter()
         for seed in range(SEEDS):
-            found = history(seed)
-            self.assertEqual(calls.check(found), [], f'seed {seed}')
-            told.update(tried.outcome for tried in found.tries)
-            told['started'] += len(found.starts)
-        # The worlds must be neither harmless nor hopeless.
+            recorded = history(seed)
+            self.assertEqual(calls.check(recorded), [], f'seed {seed}')
+            counts.update(attempt.outcome for attempt in recorded.tries)
+            counts['started'] += len(recorded.starts)
+        # Each outcome must be frequent enough to be tested.
         for outcome in load.Outcome:
             if outcome != load.Outcome.UNREACHED:
-                self.assertGreater(told[outcome], SEEDS / 10, told)
-        self.assertGreater(told['started'], SEEDS * KEYS / 2)
+                self.assertGreater(counts[outcome], SEEDS / 10, counts)
+        self.assertGreater(counts['started'], SEEDS * KEYS / 2)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Prove that a shard grants each key once and forgets nothing early."""
+"""Test the claims machine: one grant per key, expiry, limits, snapshots."""
 
 import random
 import unittest
@@ -48,7 +48,7 @@
 
 
 class Driver:
-    """Apply operations with stamps, as leaders would."""
+    """Apply operations with a stamp and a proposer, like a leader."""
 
     def __init__(self, **limits):
         self.machine = claims.ClaimsMachine(claims.Limits(**limits))
@@ -72,17 +72,13 @@
     def setUp(self):
         self.apply = Driver()
 
-    def test_first_wins_and_may_ask_again(self):
-        """A second try learns the state, a resent claim its own grant.
-
-        The answer to the first claim is lost and the claim is sent again
-        under the same identity; another try of the same key comes after it.
-        """
+    def test_only_a_retry_by_the_holder_is_granted(self):
+        """Only a retry with the same claim id gets the grant of a key."""
         first = self.apply(ask(b'first'))
-        again = self.apply(ask(b'first'))
+        retried = self.apply(ask(b'first'))
         other = self.apply(ask(b'other'))
         self.assertTrue(first.granted)
-        self.assertEqual((again.granted, again.fence), (True, first.fence))
+        self.assertEqual((retried.granted, retried.fence), (True, first.fence))
         self.assertFalse(other.granted)
         self.assertEqual(other.state, State.GRANTED)
         self.assertEqual(other.claim, b'first')
@@ -100,19 +96,19 @@
         self.assertTrue(self.apply(end(State.COMPLETE, fence, **done)).granted)
         for late in (State.UNKNOWN, State.RELEASED, State.RUNNING):
             self.assertFalse(self.apply(end(late, fence, move=1)).granted)
-        seen = self.apply(ask(b'other'))
-        self.assertFalse(seen.granted)
+        reply = self.apply(ask(b'other'))
+        self.assertFalse(reply.granted)
         self.assertEqual(
-            (seen.state, seen.status, seen.body, seen.headers),
+            (reply.state, reply.status, reply.body, reply.headers),
             (State.COMPLETE, 201, b'booked', [header]),
         )
 
-    def test_large_answer_leaves_the_outcome(self):
+    def test_outcome_is_stored_without_a_large_response(self):
         fence = self.apply(ask()).fence
         body = b'x' * (claims.MAX_ANSWER_BYTES + 1)
         self.apply(end(State.COMPLETE, fence, status=200, body=body))
-        seen = self.apply(ask(b'other'))
-        self.assertEqual((seen.state, seen.status), (State.COMPLETE, 0))
+        reply = self.apply(ask(b'other'))
+        self.assertEqual((reply.state, reply.status), (State.COMPLETE, 0))
 
     def test_release_grants_again_under_a_higher_fence(self):
         first = self.apply(ask(b'first'))
@@ -131,7 +127,7 @@
         late = self.apply(end(State.COMPLETE, fence, status=200))
         self.assertTrue(late.granted)
 
-    def test_garbage_is_answered(self):
+    def test_malformed_command_gets_a_reply(self):
         answer = self.apply.machine.apply(1, b'\xff\xff')
         results = wire.decode(messages.ClaimResults, answer)
         self.assertEqual(results.replies, [])
@@ -154,12 +150,10 @@
         )
         return self.apply(ended)
 
-    def test_late_move_does_not_point_back(self):
-        """A second try asks the agent that has the call, not one that had it.
+    def test_late_handover_is_ignored(self):
+        """A late retry of a handover does not restore an earlier target.
 
-        The move to ``b`` is resent after a lost answer and is applied a
-        second time after the move to ``c``.  Taken, the claim would name
-        ``b``, which proves truthfully that nothing runs there.
+        Target ``b`` would prove "not run" although the call runs at ``c``.
         """
         self.move(1, 'b')
         self.move(2, 'c')
@@ -167,11 +161,10 @@
         self.assertFalse(late.granted)
         self.assertEqual(late.handover.target, 'c')
 
-    def test_proof_about_an_earlier_target_releases_nothing(self):
-        """The order isn't run again on a proof about the wrong target.
+    def test_proof_of_an_earlier_target_releases_nothing(self):
+        """A "not run" proof of an earlier target does not release a claim.
 
-        A second try reads that the call is at ``a`` and has ``a`` seal it.
-        Meanwhile the holder, refused by ``a``, records its move to ``b``.
+        The holder was refused by ``a`` and has handed over to ``b``.
         """
         self.move(1, 'b')
         stale = self.apply(end(State.RELEASED, self.fence, move=0))
@@ -179,7 +172,7 @@
         self.assertEqual(stale.state, State.RUNNING)
         self.assertFalse(self.apply(ask(b'other')).granted)
 
-    def test_no_move_after_a_release(self):
+    def test_no_handover_after_a_release(self):
         self.apply(end(State.RELEASED, self.fence, move=0))
         self.assertFalse(self.move(1, 'b').granted)
 
@@ -208,12 +201,8 @@
         self.apply.stamp += KEEP - 1
         self.assertFalse(self.apply(ask(b'other')).granted)
 
-    def test_another_leaders_clock_forgets_nothing(self):
-        """A second try after a change of leader doesn't run the order again.
-
-        The clocks of two control hosts started at different times.  Read as
-        one, the new leader's would put every claim past its keep time.
-        """
+    def test_clock_of_a_new_leader_expires_nothing(self):
+        """A new leader's unrelated clock does not expire claims early."""
         self.apply(ask())
         self.apply.proposer = 'two'
         self.apply.stamp += 1000 * KEEP
@@ -235,7 +224,7 @@
 
 
 class BoundCase(unittest.TestCase):
-    def test_full_shard_refuses_and_forgets_nothing(self):
+    def test_full_shard_refuses_and_evicts_nothing(self):
         apply = Driver(claims=2)
         apply(ask(key=b'a'), ask(key=b'b'))
         refused = apply(ask(key=b'c'))
@@ -245,7 +234,7 @@
         self.assertTrue(apply(ask(key=b'c')).granted)
         self.assertEqual(len(apply.machine), 1)
 
-    def test_full_of_bytes_drops_answers_before_outcomes(self):
+    def test_full_shard_drops_responses_before_outcomes(self):
         apply = Driver(record_bytes=1250)
         fences = [apply(ask(key=key)).fence for key in (b'a', b'b')]
         body = b'x' * 500
@@ -261,23 +250,23 @@
 
 class SnapshotCase(unittest.TestCase):
     def test_restored_members_go_on_alike(self):
-        generator = random.Random(5)
-        kept = Driver()
+        rng = random.Random(5)
+        reference = Driver()
         other = Driver()
         fences = {}
         for step in range(600):
-            key = bytes([generator.randrange(40)])
+            key = bytes([rng.randrange(40)])
             fence = fences.get(key, 0)
-            operation = generator.choice(
+            operation = rng.choice(
                 [
-                    ask(bytes([generator.randrange(3)]), key=key),
-                    end(generator.choice(list(State)), fence, key=key, move=0),
+                    ask(bytes([rng.randrange(3)]), key=key),
+                    end(rng.choice(list(State)), fence, key=key, move=0),
                 ],
             )
-            stamp = kept.stamp + generator.randrange(KEEP // 20)
-            proposer = generator.choice(['one', 'one', 'one', 'two'])
+            stamp = reference.stamp + rng.randrange(KEEP // 20)
+            proposer = rng.choice(['one', 'one', 'one', 'two'])
             replies = []
-            for driver in (kept, other):
+            for driver in (reference, other):
                 driver.stamp = stamp
                 driver.proposer = proposer
                 replies.append(driver(operation))
@@ -288,10 +277,10 @@
                 restored.restore(other.machine.snapshot())
                 other.machine = restored
             self.assertEqual(
-                kept.machine.record_bytes, other.machine.record_bytes
+                reference.machine.record_bytes, other.machine.record_bytes
             )
-        self.assertEqual(kept.machine.snapshot(), other.machine.snapshot())
-        self.assertGreater(len(kept.machine), 0)
+        self.assertEqual(reference.machine.snapshot(), other.machine.snapshot())
+        self.assertGreater(len(reference.machine), 0)
 
     def test_empty_restore_starts_anew(self):
         driver = Driver()
@@ -302,7 +291,7 @@
 
 
 class KeyCase(unittest.TestCase):
-    def test_organisations_never_meet(self):
+    def test_keys_of_organisations_differ(self):
         one = claim_keys.claim_key('dealer', 'order-1')
         two = claim_keys.claim_key('dealero', 'rder-1')
         self.assertNotEqual(one, two)
