--- a/tests/fake_control.py
+++ b/tests/fake_control.py
@@ -1,4 +1,4 @@
-"""Answer operators as a control host would, without a replicated log."""
+"""Fake control host for operator tests, without a replicated log."""
 
 import itertools
 
@@ -8,10 +8,10 @@
 
 
 class FakeControl(link.Handler):
-    """Apply changes to the real state machine, one at a time.
+    """Apply changes to the real state machine.
 
-    ``leader`` names another host to be told of; ``answers_to_lose`` changes
-    are applied and their link is then cut.
+    With ``leader`` set every request fails with ``NotLeader``; the link is cut
+    after each of the first ``answers_to_lose`` changes is applied.
     """
 
     def __init__(self, leader=''):
@@ -22,12 +22,12 @@
         self.asked = []
         self._indices = itertools.count(1)
 
-    async def on_request(self, held, request):
+    async def on_request(self, peer_link, request):
         self.asked.append(request)
         if self.leader:
             raise failures.NotLeader(leader=self.leader)
         if request.change is not None:
-            return self._change(held, request.change)
+            return self._change(peer_link, request.change)
         if request.documents is not None:
             read = reads.read(self.machine, request.documents)
             return messages.Reply(documents=read)
@@ -43,7 +43,7 @@
             raise failures.MemberChangeRefused('one change at a time')
         raise errors.RequestUnsupported
 
-    def _change(self, held, change):
+    def _change(self, peer_link, change):
         command = messages.ConfigCommand(
             change=change,
             findings=documents.check(change.kind, change.name, change.body),
@@ -51,7 +51,7 @@
         encoded = self.machine.apply(next(self._indices), wire.encode(command))
         if self.answers_to_lose:
             self.answers_to_lose -= 1
-            held.close('cut by the test')
+            peer_link.close('cut by the test')
         return wire.decode(messages.Reply, encoded)
 
     def _status(self):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Prove that changes have one winner and that answers outlive leaders."""
+"""Test conflicts, idempotent retries, leases and portions of control."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class Log:
-    """Apply commands to a machine as a log of one member would."""
+    """Apply commands to a machine like a log of one member."""
 
     def __init__(self):
         self.machine = configuration.Configuration()
@@ -44,7 +44,7 @@
         return self.apply(change=change, elapsed_ms=elapsed_ms).change
 
     def restart(self):
-        """Go on in another process from a snapshot."""
+        """Restore a new machine from a snapshot."""
         state = self.machine.snapshot()
         self.machine = configuration.Configuration()
         self.machine.restore(state)
@@ -56,17 +56,16 @@
         self.log = Log()
 
     def test_operators_race_with_equal_versions(self):
-        """One of two operators with the same version is told of a conflict.
+        """Two changes based on one version are not both accepted.
 
-        Both read version 1 and send their change.  The log puts one first;
-        the other is shown what is in force now and can compare.
+        The second gets a conflict and the current document.
         """
         self.log.change('p', 0, '{"a":1}')
-        won = self.log.change('p', 1, '{"a":2}', actor='anna')
-        lost = self.log.change('p', 1, '{"a":3}', actor='berta')
-        self.assertEqual((won.status, won.version), (ACCEPTED, 2))
-        self.assertEqual(lost.status, CONFLICT)
-        self.assertEqual(lost.current.body, '{"a":2}')
+        accepted = self.log.change('p', 1, '{"a":2}', actor='anna')
+        conflicting = self.log.change('p', 1, '{"a":3}', actor='berta')
+        self.assertEqual((accepted.status, accepted.version), (ACCEPTED, 2))
+        self.assertEqual(conflicting.status, CONFLICT)
+        self.assertEqual(conflicting.current.body, '{"a":2}')
         outcomes = [
             (record.actor, record.outcome, record.before, record.after)
             for record in self.log.machine.audit_trail.after(1, 10)
@@ -80,23 +79,21 @@
         )
 
     def test_resend_gets_its_first_answer_after_a_snapshot(self):
-        """A change whose answer was lost is not made twice.
+        """A retried change is not applied twice or answered 'conflict'.
 
-        The operator resends it to a new leader that started from a snapshot.
-        Others have changed the document since, so that judging it anew would
-        say 'conflict' of a change that was accepted.
+        The reply was lost and the new leader started from a snapshot.
         """
         first = self.log.change('p', 0, change_id='one')
         refused = self.log.change('p', 7, change_id='two')
         self.log.change('p', 1)
         self.log.restart()
-        again = self.log.change('p', 0, change_id='one')
-        self.assertTrue(again.repeated)
-        self.assertEqual(again.revision, first.revision)
-        self.assertEqual(again.version, 1)
-        again = self.log.change('p', 7, change_id='two')
-        self.assertEqual((again.status, again.repeated), (CONFLICT, True))
-        self.assertEqual(again.current, refused.current)
+        retried = self.log.change('p', 0, change_id='one')
+        self.assertTrue(retried.repeated)
+        self.assertEqual(retried.revision, first.revision)
+        self.assertEqual(retried.version, 1)
+        retried = self.log.change('p', 7, change_id='two')
+        self.assertEqual((retried.status, retried.repeated), (CONFLICT, True))
+        self.assertEqual(retried.current, refused.current)
         self.assertEqual(
             self.log.machine.documents.get('profile', 'p').version, 2
         )
@@ -151,7 +148,7 @@
         history = self.log.machine.history.versions_of('profile', 'p')
         self.assertEqual([held.body for held in history], ['{"a":1}'])
 
-    def test_nonsense_is_answered(self):
+    def test_malformed_command_gets_a_failure(self):
         reply = wire.decode(messages.Reply, self.log.machine.apply(1, b'\xff'))
         self.assertEqual(reply.failure.code, 'TT1004')
 
@@ -160,36 +157,34 @@
     def setUp(self):
         self.log = Log()
 
-    def keeper(self):
+    def manager(self):
         async def propose(request):
             await asyncio.sleep(0.01)
             return self.log.apply(lease=request).lease
 
         loop = asyncio.get_running_loop()
-        made = leases.LeaseManager(
+        lease_manager = leases.LeaseManager(
             lambda: self.log.machine.lease_table, propose, loop.time
         )
-        made.begin_term()
-        return made
+        lease_manager.begin_term()
+        return lease_manager
 
     def ask(self, holder, fence=0, release=False):
         return messages.LeaseRequest('g', holder, 1000, fence, release)
 
-    def test_new_leader_waits_out_the_lease(self):
-        """No second holder while the first may still act.
+    def test_new_leader_waits_a_full_lease(self):
+        """No second holder after a failover while the first lease may run.
 
-        The first holder renews without a log write and the leader is lost.
-        The new leader cannot know of the renewal, so it gives the holder a
-        whole lease before it grants the next, greater fencing number.
+        Renewals are not replicated, so the new leader waits a full lease.
         """
 
         async def scenario():
-            old = self.keeper()
+            old = self.manager()
             first = await old.request(self.ask('a'))
             await asyncio.sleep(0.9)
             self.assertTrue((await old.request(self.ask('a', 1))).granted)
             self.log.restart()
-            new = self.keeper()
+            new = self.manager()
             refused = await new.request(self.ask('b'))
             self.assertFalse(refused.granted)
             self.assertGreater(refused.wait_ms, 990)
@@ -201,36 +196,32 @@
         feed_net.run_paused(scenario)
 
     def test_renewal_is_refused_while_the_lease_is_handed_over(self):
-        """The old holder is not renewed once a hand-over is on its way.
-
-        Its lease ran out and another asked for it.  Until the log has
-        answered, both requests stand side by side on the leader.
-        """
+        """No renewal of an expired lease whose handover is uncommitted."""
 
         async def scenario():
-            keeper = self.keeper()
-            await keeper.request(self.ask('a'))
+            manager = self.manager()
+            await manager.request(self.ask('a'))
             await asyncio.sleep(1.01)
-            taking = asyncio.ensure_future(keeper.request(self.ask('b')))
+            taking = asyncio.ensure_future(manager.request(self.ask('b')))
             await asyncio.sleep(0)
-            renewal = await keeper.request(self.ask('a', 1))
+            renewal = await manager.request(self.ask('a', 1))
             self.assertFalse(renewal.granted)
             self.assertTrue((await taking).granted)
 
         feed_net.run_paused(scenario)
 
-    def test_two_takers_and_a_release(self):
+    def test_concurrent_requests_and_a_release(self):
         async def scenario():
-            keeper = self.keeper()
+            manager = self.manager()
             replies = await asyncio.gather(
-                keeper.request(self.ask('a')),
-                keeper.request(self.ask('b')),
+                manager.request(self.ask('a')),
+                manager.request(self.ask('b')),
             )
             self.assertEqual(
                 [reply.granted for reply in replies], [True, False]
             )
-            await keeper.request(self.ask('a', 1, release=True))
-            taken = await keeper.request(self.ask('b'))
+            await manager.request(self.ask('a', 1, release=True))
+            taken = await manager.request(self.ask('b'))
             self.assertEqual((taken.granted, taken.fence), (True, 2))
 
         feed_net.run_paused(scenario)
--- a/tests/test_control_host.py
+++ b/tests/test_control_host.py
@@ -1,4 +1,4 @@
-"""Prove that a control host does not outlive its groups."""
+"""Test that a control host exits when one of its groups fails."""
 
 import asyncio
 import json
@@ -12,11 +12,7 @@
 
 class HaltedGroupCase(unittest.IsolatedAsyncioTestCase):
     async def test_halted_group_ends_the_process(self):
-        """Operators see a control host end whose log can't go on.
-
-        A fault halts one group.  The process would else answer heartbeats
-        and vote for nothing; it ends with the group's reason instead.
-        """
+        """No host keeps running while one of its groups has halted."""
         with tempfile.TemporaryDirectory() as folder:
             running = host.Host(settings.load(_settings(folder)))
             started = asyncio.Event()
@@ -34,22 +30,22 @@
 
 
 def _settings(folder):
-    place = pathlib.Path(folder)
-    (place / 'key').write_text('k' * 32)
-    bound = listener.bind('127.0.0.1', 0)
-    address = listener.address_of(bound)
-    bound.close()
-    body = {
+    base = pathlib.Path(folder)
+    (base / 'key').write_text('k' * 32)
+    listening = listener.bind('127.0.0.1', 0)
+    address = listener.address_of(listening)
+    listening.close()
+    content = {
         'role': 'control',
         'node': {'id': 'c', 'region': 'r', 'zone': 'z'},
         'listen': {'port': int(address.rpartition(':')[2])},
-        'security': {'key_files': [str(place / 'key')]},
+        'security': {'key_files': [str(base / 'key')]},
         'control': {
-            'data_folder': str(place / 'data'),
+            'data_folder': str(base / 'data'),
             'members': [{'node': 'c', 'address': address}],
             'claim_shards': 1,
         },
     }
-    path = place / 'settings.json'
-    path.write_text(json.dumps(body))
+    path = base / 'settings.json'
+    path.write_text(json.dumps(content))
     return path
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Prove what control keeps of the switches of a group."""
+"""Test which switch decisions of a group control records and returns."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 GROUP = 'group-1'
 
 
-def asked(switch, decision='', fence=1):
+def request_for(switch, decision='', fence=1):
     return messages.DecisionRequest(
         group=GROUP,
         fence=fence,
@@ -32,19 +32,18 @@
         self.decisions = decisions.Decisions(table)
 
     def latest(self):
-        return self.decisions.decide(asked(decisions.LATEST))
+        return self.decisions.decide(request_for(decisions.LATEST))
 
     def test_nothing_decided(self):
         self.assertFalse(self.latest().decision)
 
-    def test_rank_without_memory_learns_the_latest(self):
-        """A rank restarts and asks control without knowing any id.
+    def test_id_zero_reads_the_latest(self):
+        """A restarted rank that knows no switch id gets the latest decision.
 
-        Were it told that nothing is recorded, it would serve the group's
-        first map while the others serve the one last switched to.
+        Without it the rank would serve an older map than its group.
         """
         for switch, decision in ((1, 'prepare'), (2, 'commit'), (3, 'prepare')):
-            self.decisions.decide(asked(switch, decision, self.fence))
+            self.decisions.decide(request_for(switch, decision, self.fence))
             found = self.latest()
             self.assertEqual(found.switch_id, switch)
             self.assertEqual(found.decision, decision)
@@ -53,12 +52,12 @@
 
     def test_latest_survives_a_snapshot(self):
         for switch in range(1, 2 * decisions.MAX_PER_GROUP):
-            self.decisions.decide(asked(switch, 'commit', self.fence))
+            self.decisions.decide(request_for(switch, 'commit', self.fence))
         newest = self.latest()
         self.decisions.replace(self.decisions.everything())
         self.assertEqual(self.latest(), newest)
 
     def test_nothing_is_recorded_without_an_id(self):
-        found = self.decisions.decide(asked(0, 'commit', self.fence))
+        found = self.decisions.decide(request_for(0, 'commit', self.fence))
         self.assertFalse(found.decision)
         self.assertFalse(self.latest().decision)
