--- a/tamarackthread/control/audit_trail.py
+++ b/tamarackthread/control/audit_trail.py
@@ -1,7 +1,4 @@
-"""Audit trail of attempted changes, accepted or not, in replicated state.
-
-The oldest records are evicted beyond a limit; operators export them before.
-"""
+"""Replicated audit trail of attempted changes, accepted or not."""
 
 from __future__ import annotations
 
--- a/tamarackthread/control/claim_service.py
+++ b/tamarackthread/control/claim_service.py
@@ -1,8 +1,4 @@
-"""Serve entries' claim requests for one shard.
-
-Operations that arrive during a proposal are batched into the next one, which
-shares quorum writes under load and adds no delay otherwise.
-"""
+"""Serve claim requests for one shard, batched into proposals under load."""
 
 from __future__ import annotations
 
--- a/tamarackthread/control/claims.py
+++ b/tamarackthread/control/claims.py
@@ -1,9 +1,4 @@
-"""Replicated state machine of claims for calls that must run at most once.
-
-A key is granted once, with a growing fencing token; only a released claim,
-proven not run, is granted again.  Records stay packed, so that snapshots of
-many records don't block heartbeats.
-"""
+"""Replicated state machine of claims for calls that must run at most once."""
 
 from __future__ import annotations
 
@@ -37,10 +32,9 @@
 
 
 class ClaimsMachine(state_machine.StateMachine):
-    """Hold one shard's claims.
+    """Hold one shard's claims, packed for fast snapshots.
 
-    The clock advances by differences between consecutive stamps of the same
-    proposer: it may lag after a leader change but never expires claims early.
+    Only a released claim, proven not run, is granted again.
     """
 
     def __init__(self, limits: Limits | None = None) -> None:
@@ -132,6 +126,8 @@
         heapq.heapify(self._expiries)
 
     def _advance(self, proposer: str, stamp_ms: int) -> None:
+        # Stamps of two proposers are unrelated: the clock may lag after a change
+        # of leader but never expires claims early.
         if proposer == self._proposer:
             elapsed = max(0, stamp_ms - self._stamp_ms)
             self._clock_ms += min(elapsed, MAX_CLOCK_STEP_MS)
--- a/tamarackthread/control/configuration.py
+++ b/tamarackthread/control/configuration.py
@@ -1,7 +1,4 @@
-"""Replicated state machine of the configuration group.
-
-A revision is the log index of the change that made it, so revisions grow.
-"""
+"""Replicated state machine of the configuration group."""
 
 from __future__ import annotations
 
@@ -39,7 +36,10 @@
 
 
 class Configuration(state_machine.StateMachine):
-    """Hold documents, audit trail, cached replies, leases and decisions."""
+    """Hold documents, audit trail, cached replies, leases and decisions.
+
+    A revision is the log index of the change that made it.
+    """
 
     def __init__(self, audit_records: int = audit_trail.MAX_RECORDS) -> None:
         """Start empty; ``audit_records`` bounds the audit trail."""
@@ -164,7 +164,7 @@
         if reply.status == messages.ChangeStatus.ACCEPTED:
             self._accept(index, change, reply)
         reply.revision = self._documents.revision
-        self._replies.keep(change, reply, self._clock_ms)
+        self._replies.store(change, reply, self._clock_ms)
         if reply.status == messages.ChangeStatus.ACCEPTED:
             self._notify()
         return reply
--- a/tamarackthread/control/decisions.py
+++ b/tamarackthread/control/decisions.py
@@ -1,8 +1,4 @@
-"""Record the decision on each switch of a group's expert map.
-
-The first decision is final: ranks that pause at the switch step read it, and
-a second, different one would split the group.
-"""
+"""Record the first, final decision on each switch of a group's expert map."""
 
 from __future__ import annotations
 
@@ -32,9 +28,8 @@
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Return the decision on a switch, empty if there is none.
+        """Return the decision on a switch, empty if none; id 0 reads the latest.
 
-        Id 0 reads the latest, for a rank restarted without state.
         ``recorded`` is set if the decision is the sender's own.
         """
         recorded_switches = self._groups.get(request.group, {})
--- a/tamarackthread/control/dependencies.py
+++ b/tamarackthread/control/dependencies.py
@@ -1,4 +1,4 @@
-"""Components and settings that one member of a group is built from."""
+"""Bundle the components and settings of one member of a group."""
 
 from __future__ import annotations
 
--- a/tamarackthread/control/feed_source.py
+++ b/tamarackthread/control/feed_source.py
@@ -1,7 +1,4 @@
-"""Serve the configuration feed: from the machine as leader, else relayed.
-
-Only the leader knows the latest revision; a follower's machine may lag.
-"""
+"""Serve the configuration feed from the machine as leader, else relay it."""
 
 from __future__ import annotations
 
@@ -40,7 +37,7 @@
 
 
 class ControlSource(relay.Source):
-    """Serve the local machine as leader, else the feed of the leader."""
+    """Serve the machine as leader, else the feed, as the machine may lag."""
 
     def __init__(
         self,
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -83,10 +83,7 @@
         self._listener = listener.Listener(self._place.options, self._handler)
 
     async def run(self, announce: process.Announce | None) -> None:
-        """Run until SIGTERM or the failure of a group, then drain and stop.
-
-        Raises the failure of the group.
-        """
+        """Run until SIGTERM or a group's failure, which is raised after a drain."""
         address = await self._listener.start_on(self._place.bound)
         for group in self._groups.values():
             await group.start()
@@ -217,10 +214,9 @@
         return ''
 
     async def _wait_for_failure(self) -> Exception:
-        """Wait for a group to halt and return its failure.
+        """Wait until a group halts and return its failure.
 
-        The process exits with it, since it would look alive without serving
-        the group; a restart reloads the disk.
+        The process must exit, or it looks alive without serving the group.
         """
         while True:
             await asyncio.sleep(POLL_SECONDS)
--- a/tamarackthread/control/leases.py
+++ b/tamarackthread/control/leases.py
@@ -1,8 +1,4 @@
-"""Grant leases with fencing tokens.
-
-Holders and tokens are replicated, renewals are not: the leader keeps expiry
-times on its own clock, and a new leader first extends every lease in full.
-"""
+"""Grant leases with fencing tokens; renewals are not replicated."""
 
 from __future__ import annotations
 
@@ -32,8 +28,7 @@
     def apply(self, request: messages.LeaseRequest) -> messages.LeaseReply:
         """Grant or release a lease if ``request.fence`` is still current.
 
-        This compare-and-set admits only one of two concurrent handovers; each
-        grant increments the token.
+        Of two concurrent handovers one passes, as a grant increments the fence.
         """
         record = self._records.get(request.name)
         fence = 0 if record is None else record.fence
--- a/tamarackthread/control/member_role.py
+++ b/tamarackthread/control/member_role.py
@@ -36,10 +36,7 @@
         )
 
     def move(self, trigger: str) -> None:
-        """Trigger ``stand``, ``win`` or ``follow``.
-
-        Raises ``transitions.MachineError`` for an invalid transition.
-        """
+        """Trigger ``stand``, ``win`` or ``follow``; raises if invalid."""
         self._machine.events[trigger].trigger(self)
 
     @property
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -58,10 +58,7 @@
         request: messages.Request,
         node: str,
     ) -> messages.Reply:
-        """Handle a request sent by ``node``.
-
-        Raises ``RequestUnsupported`` for any other kind.
-        """
+        """Handle a request of ``node``; raises ``RequestUnsupported``."""
         if request.change is not None:
             change = await self._change(request.change, node)
             return messages.Reply(change=change)
--- a/tamarackthread/control/portion_allocator.py
+++ b/tamarackthread/control/portion_allocator.py
@@ -16,8 +16,7 @@
 class PortionAllocator:
     """Split each organisation's ``requests_per_second`` between entries.
 
-    State is not replicated: a new leader leases no more than the used rate
-    until all earlier portions have expired.
+    A new leader leases only the used rate until earlier portions expire.
     """
 
     def __init__(self, machine: configuration.Configuration) -> None:
--- a/tamarackthread/control/references.py
+++ b/tamarackthread/control/references.py
@@ -1,7 +1,4 @@
-"""Check referential integrity between documents.
-
-The check runs while a change is applied, where concurrent changes are ordered.
-"""
+"""Check references between documents while a change is applied."""
 
 from __future__ import annotations
 
--- a/tamarackthread/control/reply_cache.py
+++ b/tamarackthread/control/reply_cache.py
@@ -1,7 +1,4 @@
-"""Cache the reply to each change, which makes retries idempotent.
-
-Retention counts the state machine's clock: wall clock jumps don't shorten it.
-"""
+"""Cache the reply to each change, which makes retries idempotent."""
 
 from __future__ import annotations
 
@@ -18,7 +15,7 @@
 
 
 class ReplyCache:
-    """Hold replies by change id for ``RETENTION_MS``."""
+    """Hold replies by change id for ``RETENTION_MS`` of the machine's clock."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -41,7 +38,7 @@
         reply.repeated = True
         return reply
 
-    def keep(
+    def store(
         self,
         change: messages.ChangeRequest,
         reply: messages.ChangeReply,
--- a/tamarackthread/control/request_handler.py
+++ b/tamarackthread/control/request_handler.py
@@ -27,8 +27,7 @@
 class RequestHandler(link.Handler):
     """Serve consensus, feed, reads and claims locally, the rest as leader.
 
-    Requests for the leader are forwarded at most once, which prevents loops
-    between hosts with stale views of the leader.
+    A request is forwarded at most once, so stale views cause no loops.
     """
 
     def __init__(
--- a/tamarackthread/control/rollout_status.py
+++ b/tamarackthread/control/rollout_status.py
@@ -24,8 +24,7 @@
 ) -> messages.StatusReply:
     """Count the nodes that confirmed a revision and list the laggards.
 
-    It is in force everywhere once all nodes confirmed it or all older leases
-    expired; only the latter counts until a new leader knows all nodes.
+    It is in force everywhere once all confirmed it or older leases expired.
     """
     now = asyncio.get_running_loop().time()
     below.expire(now)
@@ -35,6 +34,7 @@
         if state.role in _SERVING_ROLES
     ]
     laggards = [state for state in nodes if state.revision < revision]
+    # A new leader knows all nodes only after a full lease.
     knows_all_nodes = now >= led_since + origin.max_lease_seconds
     wait_ms = _wait_ms(origin.old_leases_end(revision) - now)
     if knows_all_nodes and not laggards:
--- a/tamarackthread/control/shards.py
+++ b/tamarackthread/control/shards.py
@@ -21,10 +21,7 @@
     propose: config_proposer.ConfigProposer,
     count: int,
 ) -> None:
-    """Create a document for each shard unless any exists.
-
-    Adding a shard later remaps keys, so only an operator may do so.
-    """
+    """Create the shards' documents unless any exists; more would remap keys."""
     if any(machine.documents.each(documents.SHARD)):
         return
     for name in group_names(count):
--- a/tamarackthread/control/target_documents.py
+++ b/tamarackthread/control/target_documents.py
@@ -1,7 +1,4 @@
-"""Maintain the replicated documents that list the targets.
-
-Writes occur only on changes: liveness comes from the feed, not from documents.
-"""
+"""Maintain the target documents; liveness is tracked by the feed instead."""
 
 from __future__ import annotations
 
@@ -99,10 +96,7 @@
         announcement: messages.Announcement,
         node: str,
     ) -> int:
-        """Record a target and return the revision that contains it.
-
-        Raises ``TargetBusy`` after repeated version conflicts.
-        """
+        """Record a target; return its revision or raise ``TargetBusy``."""
         for _ in range(MAX_ATTEMPTS):
             current, version = self._current(announcement.target)
             updated = _merge(announcement, current)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -162,10 +162,7 @@
         self.assertEqual(late.handover.target, 'c')
 
     def test_proof_of_an_earlier_target_releases_nothing(self):
-        """A "not run" proof of an earlier target does not release a claim.
-
-        The holder was refused by ``a`` and has handed over to ``b``.
-        """
+        """A "not run" proof of an earlier target does not release a claim."""
         self.move(1, 'b')
         stale = self.apply(end(State.RELEASED, self.fence, move=0))
         self.assertFalse(stale.granted)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -114,10 +114,7 @@
         feed_net.run_paused(scenario)
 
     def test_target_without_an_agent_is_deleted(self):
-        """A target whose agent left the feed is deleted after a timeout.
-
-        After an election the timeout restarts.
-        """
+        """A target whose agent left the feed is deleted after a timeout."""
 
         async def scenario():
             fixture = Fixture()
