--- a/tamarackthread/shared/connecting.py
+++ b/tamarackthread/shared/connecting.py
@@ -1,4 +1,4 @@
-"""Make links: dial an address or take a connection, and greet."""
+"""Establish links: dial or accept a connection and run the handshake."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
     address: str,
     options: identity.LinkOptions,
     handler: link.Handler,
-    seconds: float | None = None,
+    dial_timeout_seconds: float | None = None,
 ) -> link.Link:
-    """Dial an address and greet; raise ``AddressUnreachable`` if nobody is.
-
-    A connection must come about in ``seconds``, by default the link's timeout.
+    """Dial an address and run the handshake; raise ``AddressUnreachable`` if
+    no connection is made in time, by default the timeout of the options.
     """
     host, _, port = address.rpartition(':')
     try:
-        async with asyncio.timeout(seconds or options.timeout_seconds):
+        async with asyncio.timeout(
+            dial_timeout_seconds or options.timeout_seconds
+        ):
             reader, writer = await asyncio.open_connection(
                 host,
                 int(port),
@@ -27,7 +28,7 @@
             )
     except (OSError, TimeoutError, ValueError) as exc:
         raise errors.AddressUnreachable(f'{address}: {exc}') from exc
-    return await _greeted(reader, writer, options, handler, dialer=True)
+    return await _authenticated(reader, writer, options, handler, dialer=True)
 
 
 async def accept(
@@ -36,11 +37,11 @@
     options: identity.LinkOptions,
     handler: link.Handler,
 ) -> link.Link:
-    """Greet a connection that a peer dialled."""
-    return await _greeted(reader, writer, options, handler, dialer=False)
+    """Run the handshake on an accepted connection."""
+    return await _authenticated(reader, writer, options, handler, dialer=False)
 
 
-async def _greeted(
+async def _authenticated(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     options: identity.LinkOptions,
@@ -52,6 +53,6 @@
     except BaseException:
         writer.close()
         raise
-    greeted = link.Link(reader, writer, options, peer, handler, dialer)
-    greeted.start()
-    return greeted
+    established = link.Link(reader, writer, options, peer, handler, dialer)
+    established.start()
+    return established
--- a/tamarackthread/shared/handshake.py
+++ b/tamarackthread/shared/handshake.py
@@ -1,8 +1,5 @@
-"""Greet a peer and prove to each other that both belong to this system.
-
-Each side sends its greeting with a fresh nonce and then an HMAC over both
-greetings.  A recorded proof is useless later because the nonces differ, and
-the side's label keeps a proof from being mirrored back to its maker.
+"""Authenticate both peers of a connection by an HMAC over their greetings;
+nonces prevent replay, and a label for each side prevents reflection.
 """
 
 from __future__ import annotations
@@ -18,14 +15,14 @@
 
 NONCE_BYTES = 16
 TIMEOUT_SECONDS = 3.0
-DIALER = b'dialer'
-LISTENER = b'listener'
+DIALER_LABEL = b'dialer'
+LISTENER_LABEL = b'listener'
 _ROLES = frozenset(messages.Role)
 
 
 @attrs.frozen
 class Peer:
-    """The other side of a link, as it proved itself."""
+    """The authenticated peer of a link."""
 
     node: str
     role: messages.Role
@@ -41,17 +38,17 @@
     options: identity.LinkOptions,
     dialer: bool,
 ) -> Peer:
-    """Exchange greetings and proofs; raise ``GreetingRefused`` on any doubt."""
+    """Exchange greetings and proofs; raise ``GreetingRefused`` if invalid."""
     try:
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            return await _exchange(reader, writer, options, dialer)
+            return await _exchange_proofs(reader, writer, options, dialer)
     except TimeoutError as exc:
-        raise errors.GreetingRefused('no greeting in time') from exc
+        raise errors.GreetingRefused('handshake timed out') from exc
     except (OSError, EOFError) as exc:
-        raise errors.LinkLost(f'during greeting: {exc}') from exc
+        raise errors.LinkLost(f'during the handshake: {exc}') from exc
 
 
-async def _exchange(
+async def _exchange_proofs(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     options: identity.LinkOptions,
@@ -59,24 +56,26 @@
 ) -> Peer:
     own = wire.encode(_greeting(options.identity))
     writer.write(wire.pack(wire.Kind.GREETING, own))
-    theirs = await _read(reader, wire.Kind.GREETING)
-    greeting = wire.decode(messages.Greeting, theirs)
-    _check_version(greeting)
-    own_label, their_label = (
-        (DIALER, LISTENER) if dialer else (LISTENER, DIALER)
+    peer_payload = await _read_payload(reader, wire.Kind.GREETING)
+    greeting = wire.decode(messages.Greeting, peer_payload)
+    _validate(greeting)
+    own_label, peer_label = (
+        (DIALER_LABEL, LISTENER_LABEL)
+        if dialer
+        else (LISTENER_LABEL, DIALER_LABEL)
     )
-    mac = _sign(options.keys[0], own_label, own, theirs)
+    mac = _sign(options.keys[0], own_label, own, peer_payload)
     proof = messages.Proof(mac=mac)
     writer.write(wire.pack(wire.Kind.PROOF, wire.encode(proof)))
-    answer = wire.decode(
+    peer_proof = wire.decode(
         messages.Proof,
-        await _read(reader, wire.Kind.PROOF),
+        await _read_payload(reader, wire.Kind.PROOF),
     )
     for key in options.keys:
-        expected = _sign(key, their_label, theirs, own)
-        if hmac.compare_digest(expected, answer.mac or b''):
+        expected = _sign(key, peer_label, peer_payload, own)
+        if hmac.compare_digest(expected, peer_proof.mac or b''):
             return _peer(greeting)
-    raise errors.GreetingRefused(f'{greeting.node} holds none of our keys')
+    raise errors.GreetingRefused(f'{greeting.node} shares no key with us')
 
 
 def _greeting(own: identity.Identity) -> messages.Greeting:
@@ -103,7 +102,7 @@
     )
 
 
-def _check_version(greeting: messages.Greeting) -> None:
+def _validate(greeting: messages.Greeting) -> None:
     if greeting.version != wire.PROTOCOL_VERSION:
         raise errors.GreetingRefused(
             f'version {greeting.version} is not {wire.PROTOCOL_VERSION}',
@@ -114,7 +113,7 @@
         raise errors.GreetingRefused('greeting without a nonce')
 
 
-async def _read(reader: asyncio.StreamReader, kind: wire.Kind) -> bytes:
+async def _read_payload(reader: asyncio.StreamReader, kind: wire.Kind) -> bytes:
     header = await reader.readexactly(wire.HEADER_BYTES)
     size, found = wire.unpack_header(header)[:2]
     if found != kind:
