--- a/tamarackthread/shared/feed.py
+++ b/tamarackthread/shared/feed.py
@@ -1,8 +1,5 @@
-"""Keep a node's configuration in step with the control hosts.
-
-A node pulls from one parent with requests that the parent holds while nothing
-is new.  Each answer renews the lease under which the node may take work.  When
-the parent fails, the node asks another before the lease ends.
+"""Replicate the configuration from a parent by long polling; each reply also
+renews the lease without which the node accepts no work.
 """
 
 from __future__ import annotations
@@ -27,47 +24,46 @@
 )
 
 MILLISECONDS = 1000
-# On top of the wait that a relay may stretch, for the way and a busy parent.
-GRACE_SECONDS = 0.4
-# A fresh lease is 2 s.  A parent that leaves less than this has lost its own
-# parent; there is still time to find another one.  With more, an election
-# alone would have all nodes leave their parents, and with those the tree.
-STARVING_SECONDS = 0.35
-LEAST_WAIT_SECONDS = 0.1
+# Added to the longest wait of a relay, for latency and a busy parent.
+REPLY_MARGIN_SECONDS = 0.4
+# A parent that grants less has lost its own parent, so another is selected;
+# a higher limit would break up the tree at each election of a leader.
+MIN_PARENT_LEASE_SECONDS = 0.35
+MIN_WAIT_SECONDS = 0.1
 RETRY_SECONDS = 0.03
 MAX_RETRY_DOUBLINGS = 3
-GATHER_SECONDS = 0.02
-FAREWELL_SECONDS = 0.3
-LEAST_SLEEP_SECONDS = 0.001
+REPORT_DELAY_SECONDS = 0.02
+LEAVE_TIMEOUT_SECONDS = 0.3
+MIN_SLEEP_SECONDS = 0.001
 _log = logging.getLogger('tamarackthread.feed')
 
 Subscriber = collections.abc.Callable[[catalogue.Catalogue], None]
 
 
 class ConfigFeed(feed_server.Source):
-    """Pull documents and leases, and report what is confirmed below."""
+    """Pull documents and leases; report what descendants have confirmed."""
 
     def __init__(
         self,
-        links: link_pool.LinkPool,
+        pool: link_pool.LinkPool,
         own: identity.Identity,
-        choice: parents.ParentSelector,
+        selector: parents.ParentSelector,
         wait_seconds: float,
         rng: random.Random | None = None,
     ) -> None:
-        """Pull nothing before ``start``; ``wait_seconds`` is each hold."""
-        self._links = links
+        """Pull from selected parents, which hold polls for ``wait_seconds``."""
+        self._pool = pool
         self._own = own
-        self._choice = choice
+        self._selector = selector
         self._wait_seconds = wait_seconds
         self._rng = rng or random.Random()
-        self._state = leased_catalogue.LeasedCatalogue()
+        self._replica = leased_catalogue.LeasedCatalogue()
         self._descendants = subtree.Subtree()
         self._changed = signal.Signal()
-        self._reported = signal.Signal()
+        self._report_requested = signal.Signal()
         self._subscribers: list[Subscriber] = []
         self._renewals = 0
-        self._whole = True
+        self._full_report_due = True
         self._parent: str | None = None
         self._last_confirmed = -1
         self._tasks: list[asyncio.Task[None]] = []
@@ -75,75 +71,75 @@
 
     @property
     def documents(self) -> catalogue.Catalogue:
-        """Give the documents that this node holds."""
-        return self._state.documents
+        """Return the replicated documents."""
+        return self._replica.documents
 
     @property
     def revision(self) -> int:
-        """Give the revision of the documents; it never falls."""
-        return self._state.documents.revision
+        """Return the revision of the documents, which never decreases."""
+        return self._replica.documents.revision
 
     @property
     def changed(self) -> signal.Signal:
-        """Give the signal of new revisions and of leases renewed or lost."""
+        """Return the signal of new revisions and lease changes."""
         return self._changed
 
     @property
     def renewals(self) -> int:
-        """Count the renewals of the lease."""
+        """Return the number of lease renewals."""
         return self._renewals
 
     @property
     def descendants(self) -> subtree.Subtree:
-        """Give what the children of this node reported."""
+        """Return the nodes that children of this node have reported."""
         return self._descendants
 
     @property
     def parent(self) -> str | None:
-        """Give the address that this node pulls from now."""
+        """Return the address of the current parent."""
         return self._parent
 
     def lease_remaining(self) -> float:
-        """Give the seconds that the lease still runs."""
-        return self._state.lease_remaining()
+        """Return the remaining seconds of the lease."""
+        return self._replica.lease_remaining()
 
     def is_current(self, lease_seconds: float | None = None) -> bool:
-        """Tell whether this node may take new work, see ``Confirmed``."""
-        return self._state.is_current(lease_seconds)
+        """Return whether this node may accept new work."""
+        return self._replica.is_current(lease_seconds)
 
     def grant(self) -> feed_server.Grant:
-        """Give the lease that a child of this node may have now."""
-        return self._state.grant()
+        """Return the lease to grant to a child."""
+        return self._replica.grant()
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Call back after each new revision, and now if there is one."""
+        """Call back at each new revision and, if there is one, now."""
         self._subscribers.append(subscriber)
         if self.revision:
             subscriber(self.documents)
 
     async def wait_current(self) -> None:
-        """Return once this node may take work."""
+        """Wait until this node may accept work."""
         while not self.is_current():
             await self._changed.wait(self._now() + self._wait_seconds)
 
     def start(self) -> None:
-        """Start to pull, to report and to watch the lease."""
+        """Start the tasks that pull, report and watch the lease."""
         loop = asyncio.get_running_loop()
         for work in (self._report(), self._watch_lease()):
             self._tasks.append(loop.create_task(work))
         self._pulling = loop.create_task(self._pull())
 
     def reselect_parent(self) -> None:
-        """Choose a parent anew and at once, whatever is under way."""
+        """Cancel a pending pull and select a parent again."""
         if self._pulling is None:
             return
         self._pulling.cancel()
         self._parent = None
-        self._state.abandon_snapshot()
+        self._replica.abandon_snapshot()
         self._pulling = asyncio.get_running_loop().create_task(self._pull())
 
     async def stop(self) -> None:
-        """Stop pulling and tell the parent, so that nobody waits for us."""
+        """Stop and report to the parent that this node has left."""
         tasks = list(self._tasks)
         if self._pulling is not None:
             tasks.append(self._pulling)
@@ -155,75 +151,73 @@
         request = messages.FeedRequest(
             after=self.revision,
             epoch=self._own.incarnation,
-            nodes=[self._own_state(gone=True)],
+            nodes=[self._own_node_state(gone=True)],
             whole=False,
             wait_ms=0,
             confirmed=self.revision,
         )
         with contextlib.suppress(errors.CodedError, TimeoutError):
-            async with asyncio.timeout(FAREWELL_SECONDS):
-                await self._ask(self._parent, request, FAREWELL_SECONDS)
+            async with asyncio.timeout(LEAVE_TIMEOUT_SECONDS):
+                await self._ask(self._parent, request, LEAVE_TIMEOUT_SECONDS)
 
     def schedule_report(self) -> None:
-        """Report upward soon, because a child reported something."""
-        self._reported.notify()
+        """Request a report to the parent after one of a child."""
+        self._report_requested.notify()
 
     async def _pull(self) -> None:
         failures = 0
         while True:
             renewals = self._renewals
-            address = self._choice.choose()
+            address = self._selector.choose()
             if address is not None:
-                await self._follow(address)
+                await self._pull_from(address)
             failures = 0 if self._renewals > renewals else failures + 1
-            if self._choice.has_redirects():
+            if self._selector.has_redirects():
                 failures = 0
-            # Jitter keeps the children of a lost parent from asking the
-            # next one all in the same instant, and the pause grows while
-            # nobody can grant a lease, so that an election is not drowned.
+            # Backoff with jitter: the children of a lost parent don't move to
+            # the next one at once, nor load control during an election.
             doublings = min(failures, MAX_RETRY_DOUBLINGS)
             pause = RETRY_SECONDS * 2**doublings * self._rng.uniform(0, 1)
             await asyncio.sleep(pause)
 
-    async def _follow(self, address: str) -> None:
-        self._whole = True
+    async def _pull_from(self, address: str) -> None:
+        self._full_report_due = True
         wait_seconds: float = 0
         try:
             while True:
                 reply = await self._exchange(address, wait_seconds)
-                if not self._is_good_parent(address, reply, wait_seconds):
+                if not self._accept_parent(address, reply, wait_seconds):
                     break
                 ask_at_once = reply.more or reply.ask_whole
-                wait_seconds = 0 if ask_at_once else self._patient_wait()
+                wait_seconds = 0 if ask_at_once else self._long_poll_seconds()
         except (errors.CodedError, TimeoutError) as exc:
-            # Once for each parent that is lost; the attempts that follow
-            # would drown it.
+            # Logged once for each lost parent and not for each retry.
             level = logging.INFO if self._parent else logging.DEBUG
             _log.log(level, 'feed: parent %s failed, %s', address, exc)
         self._parent = None
-        self._state.abandon_snapshot()
+        self._replica.abandon_snapshot()
 
-    def _patient_wait(self) -> float:
-        """Give the wait after which there is still time for other parents."""
-        spare = self.lease_remaining() - STARVING_SECONDS
+    def _long_poll_seconds(self) -> float:
+        """Return a wait that leaves time to try other parents."""
+        spare = self.lease_remaining() - MIN_PARENT_LEASE_SECONDS
         wait_seconds = min(
             spare / feed_server.RELAY_WAIT_FACTOR, self._wait_seconds
         )
-        return max(wait_seconds, LEAST_WAIT_SECONDS)
+        return max(wait_seconds, MIN_WAIT_SECONDS)
 
-    def _is_good_parent(
+    def _accept_parent(
         self,
         address: str,
         reply: messages.FeedReply,
-        waited_seconds: float,
+        wait_seconds: float,
     ) -> bool:
         if reply.redirect:
-            self._choice.redirect(reply.redirect)
+            self._selector.redirect(reply.redirect)
             return False
         self._parent = address
-        self._choice.confirm()
-        if waited_seconds and self.lease_remaining() < STARVING_SECONDS:
-            _log.info('feed: parent %s has no fresh lease', address)
+        self._selector.confirm()
+        if wait_seconds and self.lease_remaining() < MIN_PARENT_LEASE_SECONDS:
+            _log.info('feed: lease of parent %s is expiring', address)
             return False
         return True
 
@@ -232,16 +226,18 @@
         address: str,
         wait_seconds: float,
     ) -> messages.FeedReply:
-        patience = wait_seconds * feed_server.RELAY_WAIT_FACTOR + GRACE_SECONDS
+        timeout_seconds = (
+            wait_seconds * feed_server.RELAY_WAIT_FACTOR + REPLY_MARGIN_SECONDS
+        )
         request = self._request(wait_seconds)
         sent_at = self._now()
         try:
-            async with asyncio.timeout(patience):
-                reply = await self._ask(address, request, patience)
+            async with asyncio.timeout(timeout_seconds):
+                reply = await self._ask(address, request, timeout_seconds)
         except (errors.CodedError, TimeoutError):
-            self._whole = True
+            self._full_report_due = True
             raise
-        self._take(reply, sent_at)
+        self._apply(reply, sent_at)
         return reply
 
     async def _ask(
@@ -250,35 +246,37 @@
         request: messages.FeedRequest,
         timeout_seconds: float,
     ) -> messages.FeedReply:
-        reply = await self._links.request(
+        reply = await self._pool.request(
             address,
             messages.Request(feed=request),
             timeout_seconds,
         )
         if reply.feed is None:
-            raise errors.FrameInvalid('reply without a feed')
+            raise errors.FrameInvalid('reply has no feed')
         return reply.feed
 
     def _request(self, wait_seconds: float) -> messages.FeedRequest:
-        whole = self._whole
-        self._whole = False
-        report = self._descendants.report(self._own_state(), self._now(), whole)
+        whole = self._full_report_due
+        self._full_report_due = False
+        report = self._descendants.report(
+            self._own_node_state(), self._now(), whole
+        )
         self._last_confirmed = report.confirmed
         return messages.FeedRequest(
-            after=self._state.after,
+            after=self._replica.after,
             epoch=self._own.incarnation,
             nodes=report.nodes,
             whole=whole,
             wait_ms=int(wait_seconds * MILLISECONDS),
             confirmed=report.confirmed,
-            floor=self._state.floor,
+            floor=self._replica.floor,
         )
 
-    def _take(self, reply: messages.FeedReply, sent_at: float) -> None:
+    def _apply(self, reply: messages.FeedReply, sent_at: float) -> None:
         before = self.revision
         if reply.ask_whole:
-            self._whole = True
-        renewed = self._state.take(reply, sent_at)
+            self._full_report_due = True
+        renewed = self._replica.take(reply, sent_at)
         self._renewals += renewed
         if self.revision > before:
             for subscriber in self._subscribers:
@@ -288,18 +286,19 @@
 
     async def _report(self) -> None:
         while True:
-            if not await self._reported.wait(self._now() + self._wait_seconds):
+            if not await self._report_requested.wait(
+                self._now() + self._wait_seconds
+            ):
                 continue
-            # Children confirm a revision within a short time of each other;
-            # one report then speaks for all of them.
-            await asyncio.sleep(GATHER_SECONDS)
-            if self._parent is None or not self._is_report_due():
+            # Batches the confirmations of several children into one report.
+            await asyncio.sleep(REPORT_DELAY_SECONDS)
+            if self._parent is None or not self._has_unreported():
                 continue
             with contextlib.suppress(errors.CodedError, TimeoutError):
                 await self._exchange(self._parent, 0)
 
-    def _is_report_due(self) -> bool:
-        preview = self._descendants.preview(self._own_state(), self._now())
+    def _has_unreported(self) -> bool:
+        preview = self._descendants.preview(self._own_node_state(), self._now())
         if preview.nodes:
             return True
         return preview.confirmed > self._last_confirmed
@@ -308,14 +307,14 @@
         while True:
             remaining = self.lease_remaining()
             if remaining:
-                await asyncio.sleep(max(remaining, LEAST_SLEEP_SECONDS))
+                await asyncio.sleep(max(remaining, MIN_SLEEP_SECONDS))
                 continue
-            # Children hold requests here; they look for another parent the
-            # sooner they know that this one has nothing to pass on.
+            # Answers held polls of children, so that they select another
+            # parent soon.
             self._changed.notify()
             await self._changed.wait(self._now() + self._wait_seconds)
 
-    def _own_state(self, gone: bool = False) -> messages.NodeState:
+    def _own_node_state(self, gone: bool = False) -> messages.NodeState:
         return messages.NodeState(
             node=self._own.node,
             role=self._own.role,
--- a/tamarackthread/shared/feed_server.py
+++ b/tamarackthread/shared/feed_server.py
@@ -1,8 +1,5 @@
-"""Serve the configuration to other nodes, from whatever source there is.
-
-Control hosts and relays answer the same request.  A control host with enough
-children of a zone names some of them instead, so that a tree of relays forms
-by itself and the cost of a control host stays flat.
+"""Serve the configuration to children, on control hosts and relays alike; a
+server with enough children redirects others to them, which forms a tree.
 """
 
 from __future__ import annotations
@@ -19,22 +16,19 @@
 from tamarackthread.shared import catalogue, link, signal, subtree
 
 MILLISECONDS = 1000
-REDIRECTS = 3
-# A relay serves so many without being busier than what it relays for.
+MAX_REDIRECTS = 3
+# Bounds the load that relaying adds to an entry or agent.
 RELAY_CHILDREN = 8
-# A relay answers when its own lease is renewed.  Held for exactly the wait
-# that it was asked for, an answer would come just before the renewal, with
-# the oldest lease possible.
+# A relay holds a poll longer than requested, until its own lease is renewed;
+# otherwise it would reply just before that, with its shortest lease.
 RELAY_WAIT_FACTOR = 1.5
-FRESH_SECONDS = 1.5
+ECHO_AGE_LIMIT_SECONDS = 1.5
 
 
 @attrs.frozen
 class Grant:
-    """A lease to pass on, in seconds; nothing remains without one.
-
-    A leader stood behind it at most ``age`` ago.  It holds only for nodes at
-    or above ``revision``.
+    """A lease to pass on, valid for nodes at or above ``revision``; a leader
+    confirmed it at most ``age`` seconds ago.
     """
 
     remaining: float = 0
@@ -43,53 +37,53 @@
 
 
 class Source(abc.ABC):
-    """Where a server of the feed takes documents and leases from."""
+    """Provide the documents and leases that a server grants."""
 
     @property
     @abc.abstractmethod
     def documents(self) -> catalogue.Catalogue:
-        """Give the documents to serve."""
+        """Return the documents to serve."""
 
     @property
     @abc.abstractmethod
     def changed(self) -> signal.Signal:
-        """Give the signal of new revisions and of leases renewed or lost."""
+        """Return the signal of new revisions and lease changes."""
 
     @property
     @abc.abstractmethod
     def renewals(self) -> int:
-        """Count the renewals of the lease; 0 if it is the leader's own."""
+        """Return the number of lease renewals, 0 on the leader."""
 
     @abc.abstractmethod
     def grant(self) -> Grant:
-        """Give the lease that a child may have now."""
+        """Return the lease to grant to a child."""
 
     @abc.abstractmethod
     def schedule_report(self) -> None:
-        """Hear that a child reported something, to report it further."""
+        """Request a report to the parent after one of a child."""
 
 
 @attrs.frozen
 class Limits:
-    """Bound the children of a server: in all, and for each zone."""
+    """Limits on the children of a server, in all and for each zone."""
 
     children: int = RELAY_CHILDREN
     children_in_zone: int = RELAY_CHILDREN
 
 
 class FeedServer:
-    """Answer the requests of children and sum up what they report."""
+    """Answer polls of children and record their reports."""
 
     def __init__(
         self,
         source: Source,
-        below: subtree.Subtree,
+        descendants: subtree.Subtree,
         limits: Limits,
         rng: random.Random | None = None,
     ) -> None:
-        """Serve ``source``; what children report goes into ``below``."""
+        """Serve ``source``; record reports of children in ``descendants``."""
         self._source = source
-        self._below = below
+        self._descendants = descendants
         self._limits = limits
         self._rng = rng or random.Random()
         self._links: dict[str, link.Link] = {}
@@ -99,81 +93,84 @@
         peer_link: link.Link,
         request: messages.FeedRequest,
     ) -> messages.Reply:
-        """Take a child's report, hold the answer while nothing is new."""
+        """Record a child's report; hold the reply until there is news."""
         loop = asyncio.get_running_loop()
-        came_at = loop.time()
-        sender = sender_of(peer_link)
-        redirect = self._redirect(sender)
+        received_at = loop.time()
+        sender = node_state_of(peer_link)
+        redirect = self._redirects(sender)
         if redirect:
-            return messages.Reply(feed=_redirection(redirect))
+            return messages.Reply(feed=_redirect_reply(redirect))
         self._links[sender.node] = peer_link
-        known = self._below.confirmed_of(sender.node)
-        ask_whole = self._below.take(sender, request, came_at)
-        if request.nodes or request.confirmed != known:
+        confirmed_before = self._descendants.confirmed_of(sender.node)
+        ask_whole = self._descendants.take(sender, request, received_at)
+        if request.nodes or request.confirmed != confirmed_before:
             self._source.schedule_report()
         if not ask_whole:
-            await self._hold(request, came_at)
-        held = loop.time() - came_at
-        reply = self._reply(request, held)
+            await self._hold(request, received_at)
+        held_seconds = loop.time() - received_at
+        reply = self._reply(request, held_seconds)
         reply.ask_whole = ask_whole
         return messages.Reply(feed=reply)
 
-    def _redirect(self, sender: messages.NodeState) -> list[str]:
-        if self._below.knows(sender.node):
+    def _redirects(self, sender: messages.NodeState) -> list[str]:
+        if self._descendants.knows(sender.node):
             return []
-        siblings = self._reachable(self._below.children_in(sender.zone))
-        is_full = len(self._reachable(self._links)) >= self._limits.children
-        if len(siblings) < self._limits.children_in_zone and not is_full:
+        siblings = self._reachable(self._descendants.children_in(sender.zone))
+        has_max_children = (
+            len(self._reachable(self._links)) >= self._limits.children
+        )
+        if (
+            len(siblings) < self._limits.children_in_zone
+            and not has_max_children
+        ):
             return []
-        known = {self._below.address_of(name) for name in siblings}
-        candidates = sorted(known - {'', sender.address})
-        return self._rng.sample(candidates, min(REDIRECTS, len(candidates)))
+        relays = {self._descendants.address_of(name) for name in siblings}
+        candidates = sorted(relays - {'', sender.address})
+        return self._rng.sample(candidates, min(MAX_REDIRECTS, len(candidates)))
 
     def _reachable(
         self,
         names: collections.abc.Iterable[str],
     ) -> list[str]:
-        """Leave out children that are silent or gone, and forget the latter.
-
-        When a rack is lost, many relays go at once.  Nodes that are sent on
-        to those would come back in circles until their leases ended.
+        """Return the children with an alive link and drop closed links; a
+        redirect to a lost relay would cost the node some of its lease.
         """
         reachable = []
         for name in tuple(names):
-            held = self._links.get(name)
-            if held is None or held.is_closed:
+            child_link = self._links.get(name)
+            if child_link is None or child_link.is_closed:
                 self._links.pop(name, None)
                 continue
-            if held.is_alive(FRESH_SECONDS):
+            if child_link.is_alive(ECHO_AGE_LIMIT_SECONDS):
                 reachable.append(name)
         return reachable
 
     async def _hold(
         self,
         request: messages.FeedRequest,
-        came_at: float,
+        received_at: float,
     ) -> None:
         wait_seconds = (request.wait_ms or 0) / MILLISECONDS
         renewals = self._source.renewals
         if renewals:
             wait_seconds *= RELAY_WAIT_FACTOR
         loop = asyncio.get_running_loop()
-        woken = loop.time() < came_at + wait_seconds
+        woken = loop.time() < received_at + wait_seconds
         had_lease = self._source.grant().remaining > 0
         while woken:
             if self._source.documents.revision > request.after:
                 return
             if self._source.renewals != renewals:
                 return
-            # A lease that is lost, or that the leader has got just now.
+            # The source has lost its lease or become the leader.
             if (self._source.grant().remaining > 0) != had_lease:
                 return
-            woken = await self._source.changed.wait(came_at + wait_seconds)
+            woken = await self._source.changed.wait(received_at + wait_seconds)
 
     def _reply(
         self,
         request: messages.FeedRequest,
-        held: float,
+        held_seconds: float,
     ) -> messages.FeedReply:
         page = self._source.documents.after(request.after, request.floor)
         reply = messages.FeedReply(
@@ -186,18 +183,18 @@
         )
         grant = self._source.grant()
         if grant.remaining > 0:
-            # The child counts from when it sent the request, so the time
-            # that the request was held here is added to what remains now.
+            # The child's lease starts when it sent the request, so the time
+            # that the request was held is added.
             reply.lease_ms = math.floor(
-                (held + grant.remaining) * MILLISECONDS,
+                (held_seconds + grant.remaining) * MILLISECONDS,
             )
-            reply.age_ms = math.ceil((grant.age - held) * MILLISECONDS)
+            reply.age_ms = math.ceil((grant.age - held_seconds) * MILLISECONDS)
             reply.lease_revision = grant.revision
         return reply
 
 
-def sender_of(peer_link: link.Link) -> messages.NodeState:
-    """Describe the node at the other end of a link."""
+def node_state_of(peer_link: link.Link) -> messages.NodeState:
+    """Return the state of the node at the other end of a link."""
     peer = peer_link.peer
     return messages.NodeState(
         node=peer.node,
@@ -211,7 +208,7 @@
     )
 
 
-def _redirection(addresses: list[str]) -> messages.FeedReply:
+def _redirect_reply(addresses: list[str]) -> messages.FeedReply:
     return messages.FeedReply(
         revision=0,
         documents=[],
--- a/tamarackthread/shared/subtree.py
+++ b/tamarackthread/shared/subtree.py
@@ -1,8 +1,5 @@
-"""Sum up which revision the nodes below this one have confirmed.
-
-A node reports one number for all nodes below that keep up, and names only
-those that joined, left or lag.  So a change costs each node one small report
-however many are below it, and nothing is sent at rest.
+"""Aggregate the revisions that descendants have confirmed: one revision for
+those that are up to date, and deltas for those that joined, left or lag.
 """
 
 from __future__ import annotations
@@ -14,22 +11,22 @@
 
 from tamarackthread.generated.messages import ttypes as messages
 
-GONE_SECONDS = 3.0
+CHILD_TIMEOUT_SECONDS = 3.0
 LAG_SECONDS = 1.0
 
 
 @attrs.define
 class _Child:
-    """What one direct child reported, with the time it was last heard."""
+    """Last report of a direct child and when it was received."""
 
     zone: str
     address: str
     confirmed: int = 0
-    heard_at: float = 0
+    last_report_at: float = 0
     nodes: dict[str, messages.NodeState] = attrs.field(factory=dict)
 
     def revision_of(self, state: messages.NodeState) -> int:
-        """Give the revision that a node is known to have confirmed."""
+        """Return the revision that a node has confirmed."""
         if state.lags:
             return state.revision
         return max(state.revision, self.confirmed)
@@ -37,42 +34,42 @@
 
 @attrs.frozen
 class Report:
-    """What goes up: the common revision and the nodes that changed."""
+    """Report to the parent: the common revision and the changed nodes."""
 
     confirmed: int
     nodes: list[messages.NodeState]
 
 
 class Subtree:
-    """Hold the direct children and the nodes that each of them reported."""
+    """Direct children and the nodes that each of them reported."""
 
     def __init__(self) -> None:
         """Start with no children."""
         self._children: dict[str, _Child] = {}
         self._behind_since: dict[str, float] = {}
-        self._sent: dict[str, messages.NodeState] = {}
+        self._reported: dict[str, messages.NodeState] = {}
 
     def knows(self, child: str) -> bool:
-        """Tell whether a child has reported a short time ago."""
+        """Return whether a node is a child that has not timed out."""
         return child in self._children
 
     def count(self) -> int:
-        """Count the direct children."""
+        """Return the number of direct children."""
         return len(self._children)
 
     def children_in(self, zone: str) -> list[str]:
-        """List the children of a zone."""
+        """Return the children of a zone."""
         return [
             name for name, child in self._children.items() if child.zone == zone
         ]
 
     def confirmed_of(self, name: str) -> int:
-        """Give what a child confirmed last for itself and those below."""
+        """Return the common revision of a child's subtree, -1 if unknown."""
         child = self._children.get(name)
         return -1 if child is None else child.confirmed
 
     def address_of(self, name: str) -> str:
-        """Give where a child listens, empty if nowhere."""
+        """Return the address of a child, empty if it has none."""
         child = self._children.get(name)
         return '' if child is None else child.address
 
@@ -82,36 +79,36 @@
         request: messages.FeedRequest,
         now: float,
     ) -> bool:
-        """Take a child's report; say whether its whole list is wanted."""
+        """Apply a child's report; return whether a full report is needed."""
         child = self._children.get(sender.node)
         is_new = child is None
         if child is None:
             child = _Child(sender.zone, sender.address)
             self._children[sender.node] = child
-        child.heard_at = now
+        child.last_report_at = now
         child.confirmed = request.confirmed or 0
         if request.whole:
             child.nodes.clear()
         for state in request.nodes or ():
-            _take_state(child, state)
+            _apply_state(child, state)
         if sender.node not in child.nodes and not is_new:
             self._children.pop(sender.node)
             return False
         return is_new and not request.whole
 
     def expire(self, now: float) -> bool:
-        """Drop the children that have gone silent; say if there were any."""
+        """Remove children that timed out; return whether there were any."""
         silent = [
             name
             for name, child in self._children.items()
-            if now - child.heard_at > GONE_SECONDS
+            if now - child.last_report_at > CHILD_TIMEOUT_SECONDS
         ]
         for name in silent:
             self._children.pop(name)
         return bool(silent)
 
     def addresses(self) -> set[str]:
-        """Give where the nodes below listen, at any depth."""
+        """Return the addresses of all descendants."""
         return {
             state.address
             for child in self._children.values()
@@ -119,17 +116,15 @@
         }
 
     def nodes(self) -> dict[str, messages.NodeState]:
-        """Give each node below with the revision that it has confirmed.
-
-        A node that moved is listed by two children for a while; the higher
-        revision counts, because the other child no longer hears from it.
+        """Return each descendant with its confirmed revision; of a node that
+        two children report after it changed parent, the higher one.
         """
         merged: dict[str, messages.NodeState] = {}
         for child in self._children.values():
             for name, state in child.nodes.items():
                 revision = child.revision_of(state)
-                held = merged.get(name)
-                if held is not None and held.revision >= revision:
+                known_state = merged.get(name)
+                if known_state is not None and known_state.revision >= revision:
                     continue
                 known = copy.copy(state)
                 known.revision = revision
@@ -137,7 +132,7 @@
         return merged
 
     def preview(self, own: messages.NodeState, now: float) -> Report:
-        """Build what the parent does not know yet."""
+        """Build the report of changes that the parent does not have."""
         return self._build(own, now)[0]
 
     def report(
@@ -146,11 +141,11 @@
         now: float,
         whole: bool,
     ) -> Report:
-        """Build what the parent does not know yet and count it as sent."""
+        """Build the report and record it as sent; all nodes if ``whole``."""
         if whole:
-            self._sent = {}
+            self._reported = {}
         report, states = self._build(own, now)
-        self._sent = states
+        self._reported = states
         return report
 
     def _build(
@@ -161,16 +156,16 @@
         self.expire(now)
         states = self.nodes()
         states[own.node] = copy.copy(own)
-        confirmed = self._mark_laggards(states, own.revision, now)
+        confirmed = self._mark_lagging(states, own.revision, now)
         changed = [
             state
             for name, state in states.items()
-            if _differs(state, self._sent.get(name))
+            if _differs(state, self._reported.get(name))
         ]
-        changed.extend(self._departed(states))
+        changed.extend(self._left_nodes(states))
         return Report(confirmed, changed), states
 
-    def _mark_laggards(
+    def _mark_lagging(
         self,
         states: dict[str, messages.NodeState],
         revision: int,
@@ -183,9 +178,9 @@
             if state.revision >= revision:
                 continue
             behind[name] = self._behind_since.get(name, now)
-            # A node that has just joined is named at once, or the common
-            # revision would fall back to the one that it starts from.
-            is_new = name not in self._sent
+            # A new node lags at once, otherwise the common revision would
+            # fall back to the node's initial one.
+            is_new = name not in self._reported
             if is_new or now - behind[name] >= LAG_SECONDS:
                 state.lags = True
                 continue
@@ -193,11 +188,11 @@
         self._behind_since = behind
         return confirmed
 
-    def _departed(
+    def _left_nodes(
         self,
         states: collections.abc.Container[str],
     ) -> collections.abc.Iterator[messages.NodeState]:
-        for name, state in self._sent.items():
+        for name, state in self._reported.items():
             if name in states:
                 continue
             gone = copy.copy(state)
@@ -205,7 +200,7 @@
             yield gone
 
 
-def _take_state(child: _Child, state: messages.NodeState) -> None:
+def _apply_state(child: _Child, state: messages.NodeState) -> None:
     if state.gone:
         child.nodes.pop(state.node, None)
         return
