--- a/tamarackthread/shared/announcer.py
+++ b/tamarackthread/shared/announcer.py
@@ -1,4 +1,4 @@
-"""Announce this process to the control hosts until they know it as it is."""
+"""Register this process with control until its document is up to date."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Announced(abc.ABC):
-    """What is announced: the target of an agent, or an entry."""
+    """Subject of an announcement: the target of an agent, or an entry."""
 
     @property
     @abc.abstractmethod
     def kind(self) -> str:
-        """Give the kind of the document that control keeps of it."""
+        """Return the kind of its document."""
 
     @property
     @abc.abstractmethod
     def name(self) -> str:
-        """Give the name of that document."""
+        """Return the name of its document."""
 
     @abc.abstractmethod
     def message(self) -> messages.Announcement:
@@ -41,34 +41,34 @@
 
     @abc.abstractmethod
     def matches(self, known: documents.Parsed) -> bool:
-        """Tell whether control knows it as it is."""
+        """Return whether the document is up to date."""
 
 
 class AnnouncedTarget(Announced):
-    """The target that an agent guards."""
+    """The target of an agent."""
 
     def __init__(
         self,
         settings: generated.Agent,
         own: identity.Identity,
     ) -> None:
-        """Take what is announced from the settings."""
+        """Announce the target named in the settings."""
         self._settings = settings
         self._own = own
         self._leaving = False
 
     @property
     def kind(self) -> str:
-        """Give the kind of the document that control keeps of it."""
+        """Return the kind of its document."""
         return documents.TARGET
 
     @property
     def name(self) -> str:
-        """Give the target's name."""
+        """Return the name of the target."""
         return self._settings.target_id
 
     def leave(self) -> None:
-        """Announce from now on that the target is leaving."""
+        """Set later announcements to say that the target is leaving."""
         self._leaving = True
 
     def message(self) -> messages.Announcement:
@@ -88,27 +88,27 @@
         )
 
     def matches(self, known: documents.Parsed) -> bool:
-        """Tell whether control knows this start of the agent."""
+        """Return whether the document describes this start of the agent."""
         found = (known.incarnation, known.address, known.service)
         own = self._own
         return found == (own.incarnation, own.address, self._settings.service)
 
 
 class AnnouncedEntry(Announced):
-    """An entry."""
+    """The entry of this process."""
 
     def __init__(self, own: identity.Identity) -> None:
-        """Take what is announced from the identity."""
+        """Announce the entry with this identity."""
         self._own = own
 
     @property
     def kind(self) -> str:
-        """Give the kind of the document that control keeps of it."""
+        """Return the kind of its document."""
         return documents.ENTRY
 
     @property
     def name(self) -> str:
-        """Give the entry's node."""
+        """Return the node name of the entry."""
         return self._own.node
 
     def message(self) -> messages.Announcement:
@@ -122,7 +122,7 @@
         )
 
     def matches(self, known: documents.Parsed) -> bool:
-        """Tell whether control knows this start of the entry."""
+        """Return whether the document describes this start of the entry."""
         found = (known.incarnation, known.address, known.zone)
         return found == (
             self._own.incarnation,
@@ -132,46 +132,44 @@
 
 
 class Announcer:
-    """Compare the replicated document with the truth and mend it.
-
-    Nothing is sent while they agree, so thousands of processes at rest cost
-    the control hosts nothing.
+    """Announce whenever the replicated document differs from this process, so
+    that idle processes cause no load on control.
     """
 
     def __init__(
         self,
         announced: Announced,
         links: link_pool.LinkPool,
-        known: feed.ConfigFeed,
+        config_feed: feed.ConfigFeed,
         addresses: tuple[str, ...],
-        every_seconds: float,
+        interval_seconds: float,
     ) -> None:
-        """Announce nothing before ``run``."""
+        """Compare with ``config_feed`` every ``interval_seconds``."""
         self._announced = announced
         self._links = links
-        self._feed = known
-        self._turns = itertools.cycle(addresses)
-        self._every_seconds = every_seconds
+        self._feed = config_feed
+        self._addresses = itertools.cycle(addresses)
+        self._interval_seconds = interval_seconds
 
     async def run(self) -> None:
-        """Look in each interval whether the control hosts know us."""
+        """Check at each interval and announce if needed."""
         while True:
-            if self._feed.is_current() and not self._is_known():
+            if self._feed.is_current() and not self._is_registered():
                 await self.announce()
-            await asyncio.sleep(self._every_seconds)
+            await asyncio.sleep(self._interval_seconds)
 
     async def announce(self) -> None:
-        """Announce once, at the next control host in turn."""
-        address = next(self._turns, None)
+        """Announce once, to the next control host in rotation."""
+        address = next(self._addresses, None)
         if address is None:
             return
         request = messages.Request(announce=self._announced.message())
         try:
             await self._links.request(address, request, TIMEOUT_SECONDS)
         except errors.CodedError as exc:
-            _log.info('announcer: not taken, %s %s', exc.code, exc)
+            _log.info('announcer: announcement failed, %s %s', exc.code, exc)
 
-    def _is_known(self) -> bool:
+    def _is_registered(self) -> bool:
         kind = self._announced.kind
         found = self._feed.documents.get(kind, self._announced.name)
         if found is None:
--- a/tamarackthread/shared/leased_catalogue.py
+++ b/tamarackthread/shared/leased_catalogue.py
@@ -1,8 +1,5 @@
-"""Hold the documents of a node and the lease under which it acts on them.
-
-All times are on the loop's clock.  A lease that covers a revision below the
-node's own is as good as any: it was granted before the newer revision was
-accepted, and ends within one lease time of it.
+"""Hold a node's documents and its lease.  A lease for an older revision stays
+valid: it ends at most one lease time after the newer one was accepted.
 """
 
 from __future__ import annotations
@@ -16,73 +13,71 @@
 
 
 class LeasedCatalogue:
-    """Take over replies of the feed without ever going back."""
+    """Documents and lease of a node; the revision never decreases."""
 
     def __init__(self) -> None:
         """Start at revision 0 without a lease."""
         self._started_at = asyncio.get_running_loop().time()
         self._documents = catalogue.Catalogue()
-        self._staged: list[messages.Document] = []
-        self._staged_floor: int | None = None
-        self._staged_revision = 0
+        self._snapshot_documents: list[messages.Document] = []
+        self._snapshot_floor: int | None = None
+        self._snapshot_revision = 0
         self._lease_ends_at = self._started_at
         self._lease_revision = 0
-        self._backed_at: float | None = None
+        self._confirmed_at: float | None = None
 
     @property
     def documents(self) -> catalogue.Catalogue:
-        """Give the documents that this node holds."""
+        """Return the documents."""
         return self._documents
 
     @property
     def after(self) -> int:
-        """Give the revision to ask from, within a snapshot its last page."""
-        if self._staged_floor is not None:
-            return self._staged_revision
+        """Return the revision to poll from, in a snapshot its last page's."""
+        if self._snapshot_floor is not None:
+            return self._snapshot_revision
         return self._documents.revision
 
     @property
     def floor(self) -> int | None:
-        """Give the floor of the snapshot that is half fetched, if any."""
-        return self._staged_floor
+        """Return the floor of a partly fetched snapshot, if any."""
+        return self._snapshot_floor
 
     def lease_remaining(self) -> float:
-        """Give the seconds that the lease still runs, 0 once it has ended."""
+        """Return the remaining seconds of the lease, 0 if expired."""
         now = asyncio.get_running_loop().time()
         return max(self._lease_ends_at - now, 0)
 
     def is_current(self, lease_seconds: float | None = None) -> bool:
-        """Tell whether this node may take new work.
-
-        It must hold a lease that a leader stood behind after this process
-        started.  An older one could have been granted before a change that
-        this node had already acted on in its life before, and it would go
-        back behind it.  ``lease_seconds`` shortens the lease further.
+        """Return whether a leader has confirmed the lease after this start and, if
+        given, within the last ``lease_seconds``.
         """
-        if not self.lease_remaining() or self._backed_at is None:
+        if not self.lease_remaining() or self._confirmed_at is None:
             return False
-        if self._backed_at < self._started_at:
+        # An older lease may predate revisions that this node applied before its
+        # restart.
+        if self._confirmed_at < self._started_at:
             return False
         if lease_seconds is None:
             return True
         now = asyncio.get_running_loop().time()
-        return now - self._backed_at <= lease_seconds
+        return now - self._confirmed_at <= lease_seconds
 
     def grant(self) -> feed_server.Grant:
-        """Give the lease to pass on, never longer than this node's own."""
-        if not self.lease_remaining() or self._backed_at is None:
+        """Return the lease to grant to children, no longer than the own."""
+        if not self.lease_remaining() or self._confirmed_at is None:
             return feed_server.Grant()
         now = asyncio.get_running_loop().time()
         return feed_server.Grant(
             remaining=self._lease_ends_at - now,
-            age=now - self._backed_at,
+            age=now - self._confirmed_at,
             revision=self._lease_revision,
         )
 
     def take(self, reply: messages.FeedReply, sent_at: float) -> bool:
-        """Take documents and lease of a reply; say if the lease grew."""
+        """Apply a reply; return whether it extended the lease."""
         if reply.snapshot:
-            self._stage(reply)
+            self._add_snapshot_page(reply)
         elif reply.revision > self._documents.revision:
             self.abandon_snapshot()
             for document in reply.documents or ():
@@ -91,22 +86,22 @@
         return self._take_lease(reply, sent_at)
 
     def abandon_snapshot(self) -> None:
-        """Forget the pages of a snapshot that was fetched in part."""
-        self._staged.clear()
-        self._staged_floor = None
-        self._staged_revision = 0
+        """Discard the pages of a partly fetched snapshot."""
+        self._snapshot_documents.clear()
+        self._snapshot_floor = None
+        self._snapshot_revision = 0
 
-    def _stage(self, reply: messages.FeedReply) -> None:
-        if reply.floor != self._staged_floor:
+    def _add_snapshot_page(self, reply: messages.FeedReply) -> None:
+        if reply.floor != self._snapshot_floor:
             self.abandon_snapshot()
-            self._staged_floor = reply.floor
-        self._staged.extend(reply.documents or ())
-        self._staged_revision = max(self._staged_revision, reply.revision)
+            self._snapshot_floor = reply.floor
+        self._snapshot_documents.extend(reply.documents or ())
+        self._snapshot_revision = max(self._snapshot_revision, reply.revision)
         if reply.more:
             return
-        if self._staged_revision > self._documents.revision:
-            newest = _newest(self._staged)
-            self._documents.replace(newest, reply.revision, reply.floor)
+        if self._snapshot_revision > self._documents.revision:
+            latest = _latest_versions(self._snapshot_documents)
+            self._documents.replace(latest, reply.revision, reply.floor)
         self.abandon_snapshot()
 
     def _take_lease(self, reply: messages.FeedReply, sent_at: float) -> bool:
@@ -117,15 +112,19 @@
         ends_at = sent_at + reply.lease_ms / MILLISECONDS
         if ends_at <= self._lease_ends_at:
             return False
-        backed_at = sent_at - (reply.age_ms or 0) / MILLISECONDS
+        confirmed_at = sent_at - (reply.age_ms or 0) / MILLISECONDS
         self._lease_ends_at = ends_at
         self._lease_revision = reply.lease_revision or 0
-        self._backed_at = max(self._backed_at or backed_at, backed_at)
+        self._confirmed_at = max(
+            self._confirmed_at or confirmed_at, confirmed_at
+        )
         return True
 
 
-def _newest(documents: list[messages.Document]) -> list[messages.Document]:
-    """Leave out what changed again while the pages were fetched."""
+def _latest_versions(
+    documents: list[messages.Document],
+) -> list[messages.Document]:
+    """Return the last version of each document in the snapshot's pages."""
     ordered: dict[tuple[str, str], messages.Document] = {}
     for document in documents:
         key = (document.kind, document.name)
--- a/tamarackthread/shared/link_pool.py
+++ b/tamarackthread/shared/link_pool.py
@@ -79,8 +79,8 @@
         return pooled
 
     async def link(self, address: str) -> link.Link:
-        """Return a link to the address, dialling if none echoes heartbeats; a link
-        without recent echoes is returned only if dialling fails.
+        """Return a link to the address, dialling if none echoes heartbeats; a
+        link without recent echoes is returned only if dialling fails.
         """
         pooled = self.current(address)
         if pooled is not None and self._accepts_streams(pooled):
--- a/tamarackthread/shared/listener.py
+++ b/tamarackthread/shared/listener.py
@@ -51,8 +51,8 @@
             accepted.announce_closing()
 
     async def drain(self, seconds: float) -> None:
-        """Stop accepting, wait and close.  Calls that peers open before they read
-        the closing notice are thus rejected as not run, and not cut off.
+        """Stop accepting, wait and close.  Calls that peers open before they
+        read the closing notice are thus rejected as not run, and not cut off.
         """
         self.stop_accepting()
         await asyncio.sleep(seconds)
--- a/tamarackthread/shared/parents.py
+++ b/tamarackthread/shared/parents.py
@@ -1,4 +1,4 @@
-"""Choose where a node takes its configuration from."""
+"""Select the parent that a node pulls its configuration from."""
 
 from __future__ import annotations
 
@@ -9,63 +9,57 @@
 
 
 class ParentSelector(abc.ABC):
-    """The rule by which the next parent is chosen."""
+    """Select the next parent to try."""
 
     @abc.abstractmethod
     def choose(self) -> str | None:
-        """Give the address to ask next, ``None`` if there is none now."""
+        """Return the next address to try, ``None`` if there is none."""
 
     def redirect(self, addresses: collections.abc.Sequence[str]) -> None:
-        """Take the addresses that a parent named in its place."""
+        """Handle a redirect of a parent to other addresses."""
 
     def has_redirects(self) -> bool:
-        """Tell whether there are addresses that a parent named."""
+        """Return whether addresses of a redirect are left to try."""
         return False
 
     def confirm(self) -> None:
-        """Hear that the parent chosen last serves this node."""
+        """Handle that the last selected parent serves this node."""
 
 
 class RandomParentSelector(ParentSelector):
-    """Ask control hosts in a random order, and whom they name instead.
-
-    Each failure leads to another address, so a node looks through all ways
-    to a quorum before its lease ends.
-    """
+    """Cycle through control hosts in random order; redirects come first."""
 
     def __init__(
         self,
         addresses: collections.abc.Sequence[str],
         rng: random.Random,
     ) -> None:
-        """Start with the addresses of control hosts from the settings."""
-        self._order = list(addresses)
-        rng.shuffle(self._order)
-        self._named: collections.deque[str] = collections.deque()
-        self._position = 0
+        """Shuffle the addresses of control hosts."""
+        self._addresses = list(addresses)
+        rng.shuffle(self._addresses)
+        self._redirects: collections.deque[str] = collections.deque()
+        self._next_index = 0
 
     def choose(self) -> str | None:
-        """Prefer an address that was named, else the next control host."""
-        if self._named:
-            return self._named.popleft()
-        if not self._order:
+        """Return the next redirect, else the next control host."""
+        if self._redirects:
+            return self._redirects.popleft()
+        if not self._addresses:
             return None
-        chosen = self._order[self._position % len(self._order)]
-        self._position += 1
-        return chosen
+        address = self._addresses[self._next_index % len(self._addresses)]
+        self._next_index += 1
+        return address
 
     def redirect(self, addresses: collections.abc.Sequence[str]) -> None:
-        """Ask these next, in the order in which they were named."""
-        self._named = collections.deque(addresses)
+        """Try these addresses next, in their order."""
+        self._redirects = collections.deque(addresses)
 
     def has_redirects(self) -> bool:
-        """Tell whether there are named addresses that were not asked yet."""
-        return bool(self._named)
+        """Return whether addresses of a redirect are left to try."""
+        return bool(self._redirects)
 
     def confirm(self) -> None:
-        """Forget the others that were named.
-
-        By the time that the parent fails they may be long gone, and each
-        would cost some of what is left of the lease.
+        """Drop the other redirects: when this parent fails they may be stale,
+        and each failed attempt costs some of the remaining lease.
         """
-        self._named.clear()
+        self._redirects.clear()
--- a/tests/feed_net.py
+++ b/tests/feed_net.py
@@ -1,4 +1,4 @@
-"""Hold a small network of feed servers and nodes on paused time."""
+"""Simulate a network of feed servers and nodes on a virtual clock."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 def run_paused(scenario):
-    """Run a coroutine function on a loop whose time is its own."""
+    """Run a coroutine function on a loop with a virtual clock."""
     loop = async_solipsism.EventLoop
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(scenario())
@@ -38,7 +38,7 @@
 
 
 class Leader(feed_server.Source):
-    """Be the root: a leader that grants leases until it is told not to."""
+    """Root of the tree: a leader that grants leases while ``grants``."""
 
     def __init__(self):
         self.catalogue = catalogue.Catalogue()
@@ -63,7 +63,7 @@
         return feed_server.Grant(LEASE, 0, self.catalogue.revision)
 
     def schedule_report(self):
-        """Have nobody to report to."""
+        """Do nothing, since a leader has no parent."""
 
     def commit(self, revision, name='p', body='{}'):
         self.catalogue.put(document(name, revision, body))
@@ -72,7 +72,9 @@
 
 
 class Net:
-    """Carry requests with a delay; ``cut`` loses one direction silently."""
+    """Deliver requests with a delay; ``cut`` holds (from, to) pairs whose
+    messages are lost.
+    """
 
     def __init__(self, delay=0.0015, seed=1):
         self.delay = delay
@@ -94,22 +96,22 @@
         )
 
     def node(self, name, control=('leader',), role=messages.Role.ENTRY, **own):
-        """Make a node; one with an address serves others too."""
-        identified = identity.Identity(name, role, 'r', 'z', **own)
-        made = feed.ConfigFeed(
-            Links(self, identified),
-            identified,
+        """Create a node, which serves others if it has an address."""
+        own_identity = identity.Identity(name, role, 'r', 'z', **own)
+        node_feed = feed.ConfigFeed(
+            Links(self, own_identity),
+            own_identity,
             parents.RandomParentSelector(control, self.rng),
             WAIT,
             self.rng,
         )
-        if identified.address:
-            self.serve(identified.address, made, made.descendants)
-        return made
+        if own_identity.address:
+            self.serve(own_identity.address, node_feed, node_feed.descendants)
+        return node_feed
 
 
 class Links:
-    """Stand in for a node's links."""
+    """Fake of a node's link pool."""
 
     def __init__(self, net, own):
         self.net = net
--- a/tests/test_dialling.py
+++ b/tests/test_dialling.py
@@ -1,4 +1,4 @@
-"""Prove that a host that has been without power is reached soon after it is back."""
+"""Check that a dial is retried soon after its first packet was lost."""
 
 from __future__ import annotations
 
@@ -12,11 +12,8 @@
 
 class DialCase(policy_case.PausedCase):
     def test_lost_first_packet(self):
-        """An entry that starts a little before control waits a second more.
-
-        The host of control has no power yet and drops the first packet; the
-        kernel sends it again a second later, by when control has long run.
-        The dial has to be given up and made anew.
+        """A lost SYN is retransmitted by the kernel only after a second, so the
+        dial must time out and be repeated before that.
         """
         self.run_paused(self._dial())
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Prove that no node acts on a configuration that was replaced long ago."""
+"""Check that no node acts on a stale configuration."""
 
 import asyncio
 import functools
@@ -41,11 +41,8 @@
 
     @paused
     async def test_lost_relays_are_not_named(self):
-        """Nodes find a way when all relays of their zone are lost at once.
-
-        A rack with the relays goes.  Their children ask the control host,
-        which still counts the relays for some seconds; sending the children
-        on to those would keep them in circles until their leases end.
+        """A redirect never leads to a relay that was just lost: nodes would
+        retry it until their leases expire.
         """
         net = feed_net.Net()
         limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
@@ -66,12 +63,9 @@
             self.assertTrue(all(node.is_current() for node in nodes[2:]))
 
     @paused
-    async def test_isolated_node_lapses_within_the_lease(self):
-        """An isolated entry stops taking calls at most one lease later.
-
-        A change is accepted just after the entry's way to control is cut.
-        Its last lease was granted before the change, so it has ended when
-        the leader says that the change is in force.
+    async def test_isolated_node_stops_within_the_lease(self):
+        """An isolated entry stops accepting calls at most one lease time after a
+        change; later it would act on a stale configuration.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -87,12 +81,9 @@
         self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
 
     @paused
-    async def test_relay_cut_off_shortens_its_childrens_leases(self):
-        """A node below a cut-off relay refuses as early as the relay does.
-
-        The relay still answers its child, and the child knows no other way.
-        Were the child's lease counted from the relay's answer alone, each
-        level of the tree would serve a replaced profile for longer.
+    async def test_isolated_relay_shortens_its_childrens_leases(self):
+        """A child's lease ends with that of its isolated relay; otherwise each
+        level of the tree would prolong the stale configuration.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -110,11 +101,9 @@
         self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
 
     @paused
-    async def test_child_leaves_a_cut_off_relay_before_it_lapses(self):
-        """Callers notice nothing when a relay loses its parent.
-
-        The relay is cut off and its lease runs down.  Its child sees that
-        and asks a control host while it still has a lease of its own.
+    async def test_child_leaves_an_isolated_relay_before_expiry(self):
+        """A child of an isolated relay selects another parent before its own
+        lease expires.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -132,10 +121,8 @@
 
     @paused
     async def test_one_way_silence_leads_to_another_parent(self):
-        """A parent whose answers are lost is left before the lease ends.
-
-        The node's requests arrive, so that the parent counts it as alive;
-        nothing comes back, and no connection is ever closed.
+        """A parent whose replies are lost is left before the lease expires,
+        though requests still reach it and no connection is closed.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -150,11 +137,8 @@
 
     @paused
     async def test_restarted_node_never_goes_back(self):
-        """A restarted node takes no work at a revision below its former one.
-
-        It held revision 2 and restarts.  A relay that was cut off before
-        revision 2 still has some of its lease and answers first.  That lease
-        was backed before the start, so the node waits for a newer one.
+        """A restarted node accepts no lease confirmed before its start: it may
+        have applied a newer revision than the relay that grants it.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -173,10 +157,8 @@
 
     @paused
     async def test_old_leader_grants_nothing(self):
-        """Nodes on the side of an isolated old leader lapse.
-
-        It answers, but knows by its own clock that it leads no more; what it
-        still holds as newest is not given out as current.
+        """A leader that has lost its quorum grants no leases, so its nodes
+        stop accepting work.
         """
         net = feed_net.Net()
         net.leader.commit(1)
@@ -210,10 +192,8 @@
 class PagingCase(unittest.TestCase):
     @paused
     async def test_snapshot_comes_whole_or_not_at_all(self):
-        """A node far behind never acts on half a state.
-
-        Documents were deleted and the deletions forgotten, so that the node
-        must replace its state; it does so only after the last page.
+        """A snapshot replaces a node's documents only after its last page;
+        half a snapshot is never acted on.
         """
         held = catalogue.Catalogue()
         body = 'x' * (catalogue.PAGE_BYTES // 2)
--- a/tests/test_feed_history.py
+++ b/tests/test_feed_history.py
@@ -1,8 +1,5 @@
-"""Prove by random histories that no node acts on what was replaced.
-
-A tree of nodes runs on paused time while ways are cut in one or both
-directions, nodes restart and the leader loses and regains its quorum.  The
-checker is checked too: each break of the code on purpose must be found.
+"""Check by random histories of partitions, restarts and leader changes that no
+node acts on a stale revision; injected faults must be found.
 """
 
 import asyncio
@@ -14,16 +11,16 @@
 from tests import feed_net
 
 SEEDS = 12
-BREAK_SEEDS = 60
+FAULT_SEEDS = 60
 SECONDS = 15.0
-STEP = 0.02
+STEP_SECONDS = 0.02
 CONTROL = ('leader', 'a0', 'a1')
 NODES = 6
 EVENTS = ('commit', 'commit', 'cut', 'mend', 'restart', 'flip')
 
 
 class History:
-    """Run one seeded history and note the first violation."""
+    """Run one seeded history and record the first violation."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -44,7 +41,7 @@
             if feed_net.now() >= event_at:
                 getattr(self, self.rng.choice(EVENTS))()
                 event_at = feed_net.now() + self.rng.expovariate(3)
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_SECONDS)
             self.check()
 
     def start(self, name):
@@ -66,8 +63,8 @@
     def cut(self):
         name = self.rng.choice(list(self.nodes))
         to_leader = {(name, 'leader'), ('leader', name)}
-        ways = self.rng.choice(({(name, '*')}, to_leader, {('leader', name)}))
-        self.net.cut |= ways
+        lost = self.rng.choice(({(name, '*')}, to_leader, {('leader', name)}))
+        self.net.cut |= lost
 
     def mend(self):
         self.net.cut.clear()
@@ -84,7 +81,7 @@
         self.net.leader.signal.notify()
 
     def check(self):
-        bound = feed_net.now() - feed_net.LEASE - STEP
+        bound = feed_net.now() - feed_net.LEASE - STEP_SECONDS
         required = sum(at < bound for at in self.commits)
         for name, node in self.nodes.items():
             if not node.is_current():
@@ -98,7 +95,7 @@
             self.highest[name] = max(node.revision, self.highest.get(name, 0))
 
 
-def violation_of(seed):
+def find_violation(seed):
     history = []
 
     async def scenario():
@@ -109,47 +106,47 @@
     return history[0].violation
 
 
-def first_violation():
-    for seed in range(BREAK_SEEDS):
-        found = violation_of(seed)
+def find_first_violation():
+    for seed in range(FAULT_SEEDS):
+        found = find_violation(seed)
         if found:
             return found
     return ''
 
 
-def grant_whole(self):
-    """Grant a whole lease, whatever is left of the relay's own."""
+def grant_full_lease(self):
+    """Grant a full lease regardless of the relay's own remaining time."""
     if not self.lease_remaining():
         return feed_server.Grant()
     return feed_server.Grant(feed_net.LEASE, 0, self._lease_revision)
 
 
 def take_any_lease(self, reply, sent_at):
-    """Take a lease also for a revision that is not held."""
+    """Accept a lease for a newer revision than the node's own."""
     self._lease_ends_at = sent_at + (reply.lease_ms or 0) / 1000
-    self._backed_at = sent_at
+    self._confirmed_at = sent_at
     return True
 
 
-def forget_start(self, lease_seconds=None):
-    """Act on a lease from before the start of the process."""
+def ignore_start_time(self, lease_seconds=None):
+    """Accept a lease confirmed before the start of the process."""
     return self.lease_remaining() > 0
 
 
 class HistoryCase(unittest.TestCase):
-    def test_no_history_violates_the_promises(self):
+    def test_no_history_violates_the_invariants(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                self.assertEqual(violation_of(seed), '')
+                self.assertEqual(find_violation(seed), '')
 
-    def test_each_break_is_found(self):
-        kept = leased_catalogue.LeasedCatalogue
-        breaks = (
-            ('grant', grant_whole),
+    def test_each_injected_fault_is_found(self):
+        patched = leased_catalogue.LeasedCatalogue
+        faults = (
+            ('grant', grant_full_lease),
             ('_take_lease', take_any_lease),
-            ('is_current', forget_start),
+            ('is_current', ignore_start_time),
         )
-        for name, broken in breaks:
-            with self.subTest(broken=name):
-                with unittest.mock.patch.object(kept, name, broken):
-                    self.assertNotEqual(first_violation(), '')
+        for name, fault in faults:
+            with self.subTest(fault=name):
+                with unittest.mock.patch.object(patched, name, fault):
+                    self.assertNotEqual(find_first_violation(), '')
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Prove that links and streams keep calls apart and notice silence."""
+"""Check that links isolate streams from each other and detect faults."""
 
 import asyncio
 import unittest
@@ -27,14 +27,14 @@
 
 
 class Echo(link.Handler):
-    async def on_request(self, held, request):
+    async def on_request(self, peer_link, request):
         if request.status is None:
             raise errors.RequestUnsupported
         return messages.Reply(
             done=messages.Done(value=request.status.revision),
         )
 
-    async def on_stream(self, held, call, opening):
+    async def on_stream(self, peer_link, call, opening):
         call.send_head(messages.CallHead(call_id=call.call_id, status=200))
         received = await call.receive()
         while received is not None:
@@ -47,23 +47,23 @@
     async def asyncSetUp(self):
         self.listener = listener.Listener(options('b'), Echo())
         self.address = await self.listener.start('127.0.0.1', 0)
-        self.peers = link_pool.LinkPool(options('a'))
+        self.pool = link_pool.LinkPool(options('a'))
 
     async def asyncTearDown(self):
-        self.peers.close()
+        self.pool.close()
         self.listener.close()
         await asyncio.sleep(0)
 
     async def test_request_and_coded_failure(self):
         request = messages.Request(status=messages.StatusRequest(revision=7))
-        reply = await self.peers.request(self.address, request, 5)
+        reply = await self.pool.request(self.address, request, 5)
         self.assertEqual(reply.done.value, 7)
         with self.assertRaises(errors.RequestUnsupported):
-            await self.peers.request(self.address, messages.Request(), 5)
+            await self.pool.request(self.address, messages.Request(), 5)
 
     async def test_stream_larger_than_window(self):
-        held = await self.peers.link(self.address)
-        call = held.open(messages.OpenCall(call_id=CALL))
+        peer_link = await self.pool.link(self.address)
+        call = peer_link.open(messages.OpenCall(call_id=CALL))
         sent = bytes(range(256)) * 8000
         sending = asyncio.ensure_future(call.send(sent))
         received = bytearray()
@@ -73,18 +73,16 @@
         call.finish(messages.CallEnd(call_id=CALL))
         self.assertIsNone(await call.receive())
         self.assertEqual(bytes(received), sent)
-        self.assertEqual(held.open_streams, 0)
+        self.assertEqual(peer_link.open_streams, 0)
 
-    async def test_slow_reader_holds_back_only_itself(self):
-        """A caller that does not read sees nothing lost, later.
-
-        Its stream fills its window and its sender waits; another stream on
-        the same link goes on, because credit is counted for each stream.
+    async def test_slow_reader_blocks_only_itself(self):
+        """A slow reader blocks only its own stream; other streams on the link
+        have credit of their own.
         """
-        held = await self.peers.link(self.address)
-        slow = held.open(messages.OpenCall(call_id=CALL))
+        peer_link = await self.pool.link(self.address)
+        slow = peer_link.open(messages.OpenCall(call_id=CALL))
         blocked = asyncio.ensure_future(slow.send(b'x' * 4_000_000))
-        quick = held.open(messages.OpenCall(call_id=b'd' * 16))
+        quick = peer_link.open(messages.OpenCall(call_id=b'd' * 16))
         await quick.send(b'hello')
         self.assertEqual(await quick.receive(), b'hello')
         self.assertFalse(blocked.done())
@@ -96,24 +94,22 @@
             await stranger.link(self.address)
         stranger.close()
 
-    async def test_nonsense_drops_only_its_sender(self):
-        """A peer that speaks nonsense is dropped; others notice nothing.
-
-        The stranger sends bytes that are no greeting and is closed, while
-        an open link goes on answering.
+    async def test_malformed_greeting_drops_only_its_sender(self):
+        """A peer that sends a malformed greeting is disconnected; an open link
+        still answers requests.
         """
-        held = await self.peers.link(self.address)
+        peer_link = await self.pool.link(self.address)
         host, port = self.address.split(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b'\xff' * 64)
         await reader.read()
         writer.close()
         request = messages.Request(status=messages.StatusRequest(revision=1))
-        await held.request(request, 5)
+        await peer_link.request(request, 5)
 
     async def test_lost_link_breaks_waiting_stream(self):
-        held = await self.peers.link(self.address)
-        call = held.open(messages.OpenCall(call_id=CALL))
+        peer_link = await self.pool.link(self.address)
+        call = peer_link.open(messages.OpenCall(call_id=CALL))
         await call.receive_head()
         self.listener.close()
         with self.assertRaises(errors.StreamBroken):
@@ -121,7 +117,7 @@
 
 
 class StreamIdentityCase(unittest.IsolatedAsyncioTestCase):
-    """Feed a stream frames that a faulty path doubled or mixed up."""
+    """Give a stream duplicate, missing and misdirected frames."""
 
     def setUp(self):
         self.call = None
@@ -135,17 +131,15 @@
         found = self.tag if tag is None else tag
         return wire.Frame(wire.Kind.DATA, 1, sequence, found, payload)
 
-    async def test_doubled_frame_is_dropped(self):
+    async def test_duplicate_frame_is_dropped(self):
         self.call.accept(self.data(0, b'a'))
         self.call.accept(self.data(0, b'a'))
         self.call.accept(self.data(1, b'b'))
         self.assertEqual(await self.call.receive(), b'ab')
 
     async def test_frame_of_another_call_breaks(self):
-        """A caller never sees the bytes of another caller's answer.
-
-        A frame under our stream's number but with another call's tag comes;
-        the stream breaks visibly before the bytes are taken.
+        """A frame with the tag of another call breaks the stream before its
+        bytes reach the caller.
         """
         self.call.accept(self.data(0, b'theirs', tag=5))
         with self.assertRaises(errors.StreamBroken):
