--- a/tamarackthread/shared/addresses.py
+++ b/tamarackthread/shared/addresses.py
@@ -1,4 +1,4 @@
-"""Check addresses: IP numbers and ports, and whether two of them overlap."""
+"""Parse and compare addresses of an IP address and a port."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 @attrs.frozen
 class Address:
-    """An IP number and a port; port 0 is picked by the kernel."""
+    """An IP address and a port; the kernel chooses for port 0."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Give the usual form, with brackets around an IPv6 number."""
+        """Return ``HOST:PORT``, with brackets around an IPv6 address."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
     def overlaps(self, other: Address) -> bool:
-        """Tell whether both can't be listened on at once."""
+        """Return whether the two can't be bound at the same time."""
         if not self.port or self.port != other.port:
             return False
-        mine = ipaddress.ip_address(self.host)
-        theirs = ipaddress.ip_address(other.host)
-        if mine == theirs:
+        own_ip = ipaddress.ip_address(self.host)
+        other_ip = ipaddress.ip_address(other.host)
+        if own_ip == other_ip:
             return True
-        return mine.is_unspecified or theirs.is_unspecified
+        return own_ip.is_unspecified or other_ip.is_unspecified
 
 
 def parse(text: str) -> Address | None:
-    """Read ``HOST:PORT``, or return ``None`` for anything else."""
+    """Parse ``HOST:PORT``; return ``None`` if invalid."""
     host, _, port = text.rpartition(':')
     host = host.removeprefix('[').removesuffix(']')
     if not is_ip(host) or not port.isascii() or not port.isdigit():
@@ -44,7 +44,7 @@
 
 
 def is_ip(host: str) -> bool:
-    """Tell whether a host is an IP number; names need a resolver."""
+    """Return whether a host is an IP address and not a name."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/tamarackthread/shared/fields.py
+++ b/tamarackthread/shared/fields.py
@@ -1,9 +1,5 @@
-"""Read typed fields of what others write, and refuse what is none of it.
-
-Anybody can write to an address that targets and operators use.  JSON knows neither whole numbers
-nor bounds: ``true`` passes for 1, ``1e400`` for infinity, and a count with
-thirty digits is read well and then fits no message between our processes,
-which would stop the news of all targets for one writer's sake.
+"""Validate typed fields of JSON objects from untrusted writers; integers are
+bounded to what fits into messages between processes.
 """
 
 from __future__ import annotations
@@ -17,101 +13,99 @@
 
 JsonObject = dict[str, typing.Any]
 _Choice = typing.TypeVar('_Choice')
-# A name of a target, an address or a state is shorter.
+
 MAX_TEXT_LENGTH = 255
-# What a message between our processes can carry.
+# Limits of the integer types of messages between processes.
 MAX_INT32 = (1 << 31) - 1
 MAX_INT64 = (1 << 63) - 1
 
 
 class FieldInvalid(ValueError):
-    """A field is missing or is not what it should be; the text names it."""
+    """A field, named in the text, is missing or invalid."""
 
 
 def parse(body: bytes) -> JsonObject:
-    """Read an object; raise ``FieldInvalid`` for anything else."""
+    """Parse a JSON object; raise ``FieldInvalid`` for anything else."""
     try:
-        found = json.loads(body)
+        value = json.loads(body)
     except (ValueError, RecursionError) as exc:
-        raise FieldInvalid(f'$: no JSON, {type(exc).__name__}') from exc
-    return _table(found, '$')
+        raise FieldInvalid(f'$: not JSON, {type(exc).__name__}') from exc
+    return _require_object(value, '$')
 
 
-def json_object(row: JsonObject, name: str) -> JsonObject:
-    """Read a field that is an object."""
-    return _table(_present(row, name), f'$.{name}')
+def json_object(record: JsonObject, name: str) -> JsonObject:
+    """Return a field that is an object."""
+    return _require_object(_require(record, name), f'$.{name}')
 
 
-def text(row: JsonObject, name: str) -> str:
-    """Read a field that is a text, not empty and not long."""
-    found = _present(row, name)
-    if not isinstance(found, str) or not 0 < len(found) <= MAX_TEXT_LENGTH:
-        raise FieldInvalid(f'$.{name}: no short text')
-    return found
+def text(record: JsonObject, name: str) -> str:
+    """Return a field that is a string, not empty and of bounded length."""
+    value = _require(record, name)
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH:
+        raise FieldInvalid(f'$.{name}: not a string, empty or too long')
+    return value
 
 
-def address(row: JsonObject, name: str) -> str:
-    """Read a field that is an IP number and a port."""
-    found = text(row, name)
-    if addresses.parse(found) is None:
-        raise FieldInvalid(f'$.{name}: no IP number and port')
-    return found
+def address(record: JsonObject, name: str) -> str:
+    """Return a field that is an IP address and a port."""
+    value = text(record, name)
+    if addresses.parse(value) is None:
+        raise FieldInvalid(f'$.{name}: not an IP address and port')
+    return value
 
 
 def choice(
-    row: JsonObject,
+    record: JsonObject,
     name: str,
-    known: collections.abc.Mapping[str, _Choice],
+    choices: collections.abc.Mapping[str, _Choice],
 ) -> _Choice:
-    """Read a field that is one of some texts; return what it stands for."""
-    found = known.get(text(row, name))
-    if found is None:
-        raise FieldInvalid(f'$.{name}: unknown')
-    return found
+    """Return the value in ``choices`` for the text of a field."""
+    value = choices.get(text(record, name))
+    if value is None:
+        raise FieldInvalid(f'$.{name}: unknown value')
+    return value
 
 
 def integer(
-    row: JsonObject,
+    record: JsonObject,
     name: str,
-    most: int = MAX_INT64,
+    maximum: int = MAX_INT64,
     default: int | None = None,
 ) -> int:
-    """Read a field that is a whole number from 0 to ``most``.
-
-    One that is missing or null is ``default``; without a default it must be
-    there.
+    """Return a field that is an integer from 0 to ``maximum``; ``default``
+    replaces a missing or null field.
     """
-    if default is not None and row.get(name) is None:
+    if default is not None and record.get(name) is None:
         return default
-    found = _present(row, name)
-    # A truth value is a kind of whole number to this language.
-    if isinstance(found, bool) or not isinstance(found, int):
-        raise FieldInvalid(f'$.{name}: no whole number')
-    if not 0 <= found <= most:
+    value = _require(record, name)
+    # bool is a subclass of int.
+    if isinstance(value, bool) or not isinstance(value, int):
+        raise FieldInvalid(f'$.{name}: not an integer')
+    if not 0 <= value <= maximum:
         raise FieldInvalid(f'$.{name}: out of bounds')
-    return found
+    return value
 
 
-def number(row: JsonObject, name: str, default: float) -> float:
-    """Read a field that is a finite number of 0 or more, if it is there."""
-    found = row.get(name)
-    if found is None:
+def number(record: JsonObject, name: str, default: float) -> float:
+    """Return a field that is a number from 0 to ``MAX_INT32``."""
+    value = record.get(name)
+    if value is None:
         return default
-    if isinstance(found, bool) or not isinstance(found, int | float):
-        raise FieldInvalid(f'$.{name}: no number')
-    if not math.isfinite(found) or not 0 <= found <= MAX_INT32:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise FieldInvalid(f'$.{name}: not a number')
+    if not math.isfinite(value) or not 0 <= value <= MAX_INT32:
         raise FieldInvalid(f'$.{name}: out of bounds')
-    return float(found)
+    return float(value)
 
 
-def _present(row: JsonObject, name: str) -> typing.Any:
+def _require(record: JsonObject, name: str) -> typing.Any:
     try:
-        return row[name]
+        return record[name]
     except KeyError:
         raise FieldInvalid(f'$.{name}: missing') from None
 
 
-def _table(found: typing.Any, place: str) -> JsonObject:
-    if not isinstance(found, dict):
-        raise FieldInvalid(f'{place}: no object')
-    return found
+def _require_object(value: typing.Any, path: str) -> JsonObject:
+    if not isinstance(value, dict):
+        raise FieldInvalid(f'{path}: not an object')
+    return value
--- a/tamarackthread/shared/identity.py
+++ b/tamarackthread/shared/identity.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Identity:
-    """Say who a process is; ``incarnation`` grows at each of its starts."""
+    """Identity of a process; ``incarnation`` grows at each start."""
 
     node: str
     role: messages.Role
@@ -27,11 +27,8 @@
 
 @attrs.frozen
 class LinkOptions:
-    """Hold what every link of a process shares.
-
-    ``keys`` are the shared secrets: the first one signs, any of them is
-    accepted, so that a key can be replaced one host at a time.  The window
-    is in bytes for each stream and direction.
+    """Options of all links; the window is in bytes for each stream direction.
+    The first of ``keys`` signs and any is accepted, to allow key rotation.
     """
 
     identity: Identity
--- a/tamarackthread/shared/live_settings.py
+++ b/tamarackthread/shared/live_settings.py
@@ -1,8 +1,5 @@
-"""Let parts read settings that a reload may replace under them.
-
-A role gets its settings as a ``Section``, which reads like the generated
-class and always gives the value in force.  A part that copies a value at its
-start keeps that value; the schema marks only what is read anew at each use.
+"""Provide live views of settings: they read like the generated classes and
+always return the current value, also after a reload.
 """
 
 from __future__ import annotations
@@ -18,79 +15,79 @@
 
 
 class Source:
-    """Hold the settings in force and tell watchers of each reload."""
+    """Hold the current settings and call watchers after each reload."""
 
     def __init__(self, current: generated.Settings) -> None:
-        """Start from the settings that the process was started with."""
+        """Hold the settings that the process was started with."""
         self._current = current
         self._watchers: list[Watcher] = []
 
     @property
     def current(self) -> generated.Settings:
-        """Give the settings that are in force."""
+        """Return the current settings."""
         return self._current
 
     @property
     def settings(self) -> generated.Settings:
-        """Give a view on the settings that follows each reload."""
-        return typing.cast(generated.Settings, Section(self, ()))
+        """Return a view of the settings that follows each reload."""
+        return typing.cast(generated.Settings, SettingsView(self, ()))
 
     def watch(self, watcher: Watcher) -> None:
-        """Call the watcher after each reload, also when nothing differs."""
+        """Call the watcher after each reload, even if nothing differs."""
         self._watchers.append(watcher)
 
-    def replace(self, fresh: generated.Settings) -> None:
-        """Put other settings in force."""
-        self._current = fresh
+    def replace(self, replacement: generated.Settings) -> None:
+        """Replace the settings and call the watchers."""
+        self._current = replacement
         for watcher in self._watchers:
             watcher()
 
 
-class Section:
-    """Read like one generated class; sections in it are sections again."""
+class SettingsView:
+    """Live view of a generated class; nested sections are views too."""
 
     def __init__(self, source: Source, path: tuple[str, ...]) -> None:
-        """View the part of the settings that a path leads to."""
+        """View the section at a path of attribute names."""
         self._source = source
         self._path = path
 
     def __getattr__(self, name: str) -> typing.Any:
-        """Read a value in force."""
-        holder = self.in_force
-        value = getattr(holder, name)
+        """Return the current value."""
+        section = self.in_force
+        value = getattr(section, name)
         if attrs.has(type(value)):
-            return Section(self._source, (*self._path, name))
-        if isinstance(value, tuple) and _may_change(type(holder), name):
-            return Values(self, name)
+            return SettingsView(self._source, (*self._path, name))
+        if isinstance(value, tuple) and _is_reloadable(type(section), name):
+            return TupleView(self, name)
         return value
 
     @property
     def in_force(self) -> typing.Any:
-        """Give the generated object that is in force now."""
-        holder: typing.Any = self._source.current
+        """Return the current generated object."""
+        section: typing.Any = self._source.current
         for key in self._path:
-            holder = getattr(holder, key)
-        return holder
+            section = getattr(section, key)
+        return section
 
     def watch(self, watcher: Watcher) -> None:
         """Call the watcher after each reload."""
         self._source.watch(watcher)
 
 
-class Values(collections.abc.Sequence):
-    """Read like a tuple in the settings that a reload may replace."""
+class TupleView(collections.abc.Sequence):
+    """Live view of a tuple in the settings."""
 
-    def __init__(self, section: Section, name: str) -> None:
-        """View the tuple of that name."""
+    def __init__(self, section: SettingsView, name: str) -> None:
+        """View the tuple with this name in a section."""
         self._section = section
         self._name = name
 
     def __getitem__(self, index: typing.Any) -> typing.Any:
-        """Give an item in force."""
+        """Return a current item."""
         return self._in_force()[index]
 
     def __len__(self) -> int:
-        """Count the items in force."""
+        """Return the current number of items."""
         return len(self._in_force())
 
     def watch(self, watcher: Watcher) -> None:
@@ -101,11 +98,11 @@
         return getattr(self._section.in_force, self._name)
 
 
-def watch(part: typing.Any, watcher: Watcher) -> None:
-    """Watch a part of live settings; plain settings never change."""
-    if isinstance(part, Section | Values):
-        part.watch(watcher)
+def watch(view: typing.Any, watcher: Watcher) -> None:
+    """Watch a live view; does nothing for plain settings."""
+    if isinstance(view, SettingsView | TupleView):
+        view.watch(watcher)
 
 
-def _may_change(class_: type, name: str) -> bool:
+def _is_reloadable(class_: type, name: str) -> bool:
     return bool(attrs.fields_dict(class_)[name].metadata.get('reload'))
--- a/tamarackthread/shared/offload.py
+++ b/tamarackthread/shared/offload.py
@@ -1,8 +1,5 @@
-"""Run work that takes long off the event loop.
-
-A plan takes tens of milliseconds; on the loop it would hold up heartbeats and
-callers.  What runs elsewhere takes real time, which a simulated clock knows
-nothing of: a simulated run takes a stand-in that says how long the work takes.
+"""Run long work, such as planning, off the event loop.  Simulations replace
+this by a fake that takes simulated time.
 """
 
 from __future__ import annotations
@@ -16,24 +13,24 @@
 
 
 class Offload(abc.ABC):
-    """Run work while the event loop goes on."""
+    """Run blocking work without blocking the event loop."""
 
     @abc.abstractmethod
     async def run(
         self,
         work: collections.abc.Callable[..., _Result],
-        *given: typing.Any,
+        *args: typing.Any,
     ) -> _Result:
-        """Return what ``work(*given)`` returns, or raise what it raises."""
+        """Return the result of ``work(*args)`` or raise its exception."""
 
 
 class ThreadOffload(Offload):
-    """Run work in the loop's default threads."""
+    """Run work in the loop's default thread pool."""
 
     async def run(
         self,
         work: collections.abc.Callable[..., _Result],
-        *given: typing.Any,
+        *args: typing.Any,
     ) -> _Result:
         """Run the work in a thread."""
-        return await asyncio.to_thread(work, *given)
+        return await asyncio.to_thread(work, *args)
--- a/tamarackthread/shared/reload.py
+++ b/tamarackthread/shared/reload.py
@@ -1,8 +1,5 @@
-"""Take over changed settings while a process runs.
-
-The schema marks what may change at run time.  A file with findings leaves
-all settings as they were; of a sound file the marked part comes into force
-and the rest is named as waiting for a restart.
+"""Reload settings at run time.  An invalid file changes nothing; changes that
+the schema doesn't mark as reloadable are reported to need a restart.
 """
 
 from __future__ import annotations
@@ -22,23 +19,19 @@
 
 
 @attrs.frozen
-class Merged:
-    """The settings in force after a reload.
-
-    ``changed`` and ``waiting`` hold the names of settings, such as
-    ``logs.level``; those in ``waiting`` need a restart.
+class MergeResult:
+    """Settings after a reload, with the names of those that changed and of
+    those whose change needs a restart, such as ``logs.level``.
     """
 
     settings: generated.Settings
     changed: tuple[str, ...]
-    waiting: tuple[str, ...]
+    pending_restart: tuple[str, ...]
 
 
 class Reloader:
-    """Read the settings file again on SIGHUP.
-
-    Watchers are told at each sound reload, also when no setting differs,
-    because the files that the settings name may have new contents.
+    """Reload the settings file on SIGHUP.  Watchers are called even if no
+    setting differs, since key files and certificates may have changed.
     """
 
     def __init__(
@@ -47,31 +40,29 @@
         source: live_settings.Source,
         base: pathlib.Path | None = None,
     ) -> None:
-        """Reload a file into the source of the settings in force.
-
-        ``base`` is where relative paths in it are taken from, by default the
-        file's own folder.
+        """Reload ``path`` into ``source``; relative paths in it start at
+        ``base``, by default the folder of the file.
         """
         self._path = path
         self._base = base
         self._source = source
 
     def watch(self) -> None:
-        """Reload at each SIGHUP; call it from inside the running loop."""
+        """Reload at each SIGHUP; requires a running event loop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> bool:
-        """Take over the file; return whether it was sound."""
+        """Apply the file; return whether it was valid."""
         try:
             merged = self._read()
         except findings.InvalidError as exc:
-            for found in exc.findings:
-                _log.error('settings: kept the old ones, %s', found)
+            for finding in exc.findings:
+                _log.error('settings: kept the old ones, %s', finding)
             return False
-        for name in merged.waiting:
+        for name in merged.pending_restart:
             _log.warning(
-                'settings: %s %s waits for a restart',
+                'settings: %s %s needs a restart',
                 findings.RestartNeeded.code,
                 name,
             )
@@ -80,35 +71,34 @@
         _log.info('settings: reloaded with secrets, changed %s', changed)
         return True
 
-    def _read(self) -> Merged:
+    def _read(self) -> MergeResult:
         merged = merge(
             self._source.current, settings.load(self._path, self._base)
         )
-        # A key file or certificate that can't be used is found here, before
-        # half of the change is taken over.
-        secrets = merged.settings.security
-        security.read_keys(secrets.key_files)
-        if secrets.tls is not None:
-            security.make_contexts(secrets.tls)
+        # Validates key files and certificates before anything is applied.
+        security_settings = merged.settings.security
+        security.read_keys(security_settings.key_files)
+        if security_settings.tls is not None:
+            security.make_contexts(security_settings.tls)
         return merged
 
 
-def merge(old: generated.Settings, new: generated.Settings) -> Merged:
-    """Take what may change at run time from the new settings."""
+def merge(old: generated.Settings, new: generated.Settings) -> MergeResult:
+    """Merge the reloadable settings of ``new`` into ``old``."""
     merger = _Merger()
-    return Merged(
+    return MergeResult(
         settings=merger.merge(old, new, ''),
         changed=tuple(merger.changed),
-        waiting=tuple(merger.waiting),
+        pending_restart=tuple(merger.pending_restart),
     )
 
 
 class _Merger:
-    """Walk two settings side by side, keeping the names of differences."""
+    """Merge two settings recursively and record the names that differ."""
 
     def __init__(self) -> None:
         self.changed: list[str] = []
-        self.waiting: list[str] = []
+        self.pending_restart: list[str] = []
 
     def merge(
         self, old: typing.Any, new: typing.Any, prefix: str
@@ -131,5 +121,5 @@
         if field.metadata.get('reload'):
             self.changed.append(name)
             return True
-        self.waiting.append(name)
+        self.pending_restart.append(name)
         return False
--- a/tamarackthread/shared/replies.py
+++ b/tamarackthread/shared/replies.py
@@ -1,4 +1,4 @@
-"""Carry coded errors over a link as failure replies."""
+"""Convert coded errors to failure replies and back."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def failure_reply(failure: errors.CodedError) -> messages.Reply:
-    """Put a coded error into a reply."""
+    """Build the reply for a coded error."""
     leader = getattr(failure, 'leader', None)
     return messages.Reply(
         failure=messages.Failure(
@@ -19,13 +19,13 @@
 
 
 def raise_failure(failure: messages.Failure) -> None:
-    """Raise a peer's failure under its own class where we know it."""
-    kind = errors.by_code(failure.code or '')
-    raised: errors.CodedError
-    if kind is None:
-        raised = errors.PeerFailure(f'{failure.code} {failure.text}')
+    """Raise a failure as its error class, or ``PeerFailure`` if unknown."""
+    error_class = errors.by_code(failure.code or '')
+    error: errors.CodedError
+    if error_class is None:
+        error = errors.PeerFailure(f'{failure.code} {failure.text}')
     else:
-        raised = kind(failure.text or '')
+        error = error_class(failure.text or '')
     if failure.leader:
-        raised.leader = failure.leader  # type: ignore[attr-defined]
-    raise raised
+        error.leader = failure.leader  # type: ignore[attr-defined]
+    raise error
--- a/tamarackthread/shared/signal.py
+++ b/tamarackthread/shared/signal.py
@@ -1,4 +1,4 @@
-"""Wake all tasks that wait for something to change."""
+"""Wake all tasks that wait for a change."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class Signal:
-    """A condition without state: waiters look again after each wake."""
+    """A stateless condition; waiters check their predicate when woken."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Create a signal without waiters."""
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake everybody who waits now."""
+        """Wake all current waiters."""
         self._event.set()
         self._event = asyncio.Event()
 
-    async def wait(self, until: float) -> bool:
-        """Wait for a wake up to a time on the loop's clock; say if it came."""
+    async def wait(self, deadline: float) -> bool:
+        """Wait until a deadline in loop time; return whether notified."""
         event = self._event
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 await event.wait()
         except TimeoutError:
             return False
--- a/tamarackthread/shared/structure.py
+++ b/tamarackthread/shared/structure.py
@@ -1,7 +1,5 @@
-"""Build generated classes from JSON bodies.
-
-Unknown keys are passed over, so that a node of an older version can read what
-a newer one has accepted; ``validation`` is the place that refuses them.
+"""Convert JSON objects to generated classes and back.  Unknown keys are
+ignored, for compatibility with newer nodes; ``validation`` rejects them.
 """
 
 from __future__ import annotations
@@ -14,30 +12,30 @@
 _Built = typing.TypeVar('_Built')
 
 
-def build(kind: type[_Built], body: dict[str, typing.Any]) -> _Built:
-    """Build a generated class; raise ``TypeError`` if a needed key lacks."""
+def build(class_: type[_Built], body: dict[str, typing.Any]) -> _Built:
+    """Build an instance; raise ``TypeError`` if a required key is missing."""
     if not isinstance(body, dict):
-        raise TypeError(f'{kind.__name__} is made from an object')
-    arguments = {}
-    for field in attrs.fields(typing.cast(type, kind)):
+        raise TypeError(f'{class_.__name__} requires a JSON object')
+    keyword_arguments = {}
+    for field in attrs.fields(typing.cast(type, class_)):
         if field.name not in body:
             continue
-        arguments[field.name] = _value(field, body[field.name])
-    return kind(**arguments)
+        keyword_arguments[field.name] = _convert(field, body[field.name])
+    return class_(**keyword_arguments)
 
 
-def _value(field: attrs.Attribute, value: typing.Any) -> typing.Any:
-    child = field.metadata.get('child')
-    if child is None or value is None:
+def _convert(field: attrs.Attribute, value: typing.Any) -> typing.Any:
+    nested_class = field.metadata.get('child')
+    if nested_class is None or value is None:
         return value
     if isinstance(value, list):
-        return tuple(build(child, item) for item in value)
-    return build(child, value)
+        return tuple(build(nested_class, item) for item in value)
+    return build(nested_class, value)
 
 
-def to_body(thing: typing.Any) -> dict[str, typing.Any]:
-    """Turn a generated object back into plain JSON values."""
-    return attrs.asdict(thing, value_serializer=_serialise)
+def to_body(instance: typing.Any) -> dict[str, typing.Any]:
+    """Convert an instance of a generated class to JSON values."""
+    return attrs.asdict(instance, value_serializer=_serialise)
 
 
 def _serialise(
