--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -12,13 +12,13 @@
 )
 from tamarackthread.shared import offload
 from tamarackthread.shared.site import configuration
-from tests import policy_case, test_reading_rest
+from tests import policy_case, test_read_stalls
 
 # A map of 26 KB on a link of 100 Mbit/s.
 MAP_SECONDS = 0.0021
 
 
-class NarrowLink(test_reading_rest.LargeGroup):
+class NarrowLink(test_read_stalls.LargeGroup):
     """Send all orders over one slow link, one after the other."""
 
     def __init__(self):
@@ -26,13 +26,13 @@
         self.sent = 0
         self._free_at = 0
 
-    async def order(self, rank, asked):
+    async def order(self, rank, order):
         loop = asyncio.get_running_loop()
         self.sent += 1
         self._free_at = max(loop.time(), self._free_at) + MAP_SECONDS
         seconds = self._free_at - loop.time()
-        await asyncio.sleep(min(seconds, asked.timeout_seconds))
-        if seconds > asked.timeout_seconds:
+        await asyncio.sleep(min(seconds, order.timeout_seconds))
+        if seconds > order.timeout_seconds:
             return ranks.Outcome.UNKNOWN
         return ranks.Outcome.DONE
 
@@ -53,10 +53,10 @@
         group = NarrowLink()
         switcher = switching.Switcher(group, 1)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         self.assertTrue(await switcher.prepare(group.group(), 2, ()))
         self.assertEqual(group.SIZE, group.sent)
-        self.assertLess(loop.time() - began, 0.5)
+        self.assertLess(loop.time() - started_at, 0.5)
 
 
 class FullGroupCase(policy_case.PausedCase):
