--- a/bench/config/subscribers.py
+++ b/bench/config/subscribers.py
@@ -107,7 +107,7 @@
         self._links.close()
 
     def _note(self, _: typing.Any) -> None:
-        state = (self._feed.revision, self._feed.is_current())
+        state = (self._feed.revision, self._feed.is_ready())
         if state == self._last:
             return
         self._last = state
--- a/bench/slopes/stand.py
+++ b/bench/slopes/stand.py
@@ -172,7 +172,7 @@
         )
         following.start()
         self._feeds.append(following)
-        await following.wait_current()
+        await following.wait_ready()
 
     async def add_target(self) -> None:
         """Announce one more stand-in target of the spare service."""
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -132,7 +132,7 @@
                 self._claims,
             ),
             self._check,
-            self._feed.is_current,
+            self._feed.is_ready,
             self._metrics,
         )
         self._listener = listener.Listener(
@@ -180,7 +180,7 @@
         rules = call.profile.configuration
         # Without a lease the configuration may be outdated.  Refusing calls
         # puts an accepted change in force on all entries when leases expire.
-        if not self._feed.is_current(rules.lease_seconds):
+        if not self._feed.is_ready(rules.lease_seconds):
             if rules.lapse == 'refuse':
                 raise failures.ConfigurationLapsed(
                     retry_after=LAPSED_RETRY_SECONDS,
--- a/tamarackthread/shared/announcer.py
+++ b/tamarackthread/shared/announcer.py
@@ -154,7 +154,7 @@
     async def run(self) -> None:
         """Check at each interval and announce if needed."""
         while True:
-            if self._feed.is_current() and not self._is_registered():
+            if self._feed.is_ready() and not self._is_registered():
                 await self.announce()
             await asyncio.sleep(self._interval_seconds)
 
--- a/tamarackthread/shared/feed.py
+++ b/tamarackthread/shared/feed.py
@@ -103,9 +103,9 @@
         """Return the remaining seconds of the lease."""
         return self._replica.lease_remaining()
 
-    def is_current(self, lease_seconds: float | None = None) -> bool:
+    def is_ready(self, lease_seconds: float | None = None) -> bool:
         """Return whether this node may accept new work."""
-        return self._replica.is_current(lease_seconds)
+        return self._replica.is_ready(lease_seconds)
 
     def grant(self) -> feed_server.Grant:
         """Return the lease to grant to a child."""
@@ -117,9 +117,9 @@
         if self.revision:
             subscriber(self.documents)
 
-    async def wait_current(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until this node may accept work."""
-        while not self.is_current():
+        while not self.is_ready():
             await self._changed.wait(self._now() + self._wait_seconds)
 
     def start(self) -> None:
@@ -276,7 +276,7 @@
         before = self.revision
         if reply.ask_whole:
             self._full_report_due = True
-        renewed = self._replica.take(reply, sent_at)
+        renewed = self._replica.apply_reply(reply, sent_at)
         self._renewals += renewed
         if self.revision > before:
             for subscriber in self._subscribers:
--- a/tamarackthread/shared/feed_server.py
+++ b/tamarackthread/shared/feed_server.py
@@ -102,7 +102,7 @@
             return messages.Reply(feed=_redirect_reply(redirect))
         self._links[sender.node] = peer_link
         confirmed_before = self._descendants.confirmed_of(sender.node)
-        ask_whole = self._descendants.take(sender, request, received_at)
+        ask_whole = self._descendants.apply_report(sender, request, received_at)
         if request.nodes or request.confirmed != confirmed_before:
             self._source.schedule_report()
         if not ask_whole:
@@ -113,7 +113,7 @@
         return messages.Reply(feed=reply)
 
     def _redirects(self, sender: messages.NodeState) -> list[str]:
-        if self._descendants.knows(sender.node):
+        if self._descendants.is_child(sender.node):
             return []
         siblings = self._reachable(self._descendants.children_in(sender.zone))
         has_max_children = (
--- a/tamarackthread/shared/leased_catalogue.py
+++ b/tamarackthread/shared/leased_catalogue.py
@@ -48,7 +48,7 @@
         now = asyncio.get_running_loop().time()
         return max(self._lease_ends_at - now, 0)
 
-    def is_current(self, lease_seconds: float | None = None) -> bool:
+    def is_ready(self, lease_seconds: float | None = None) -> bool:
         """Return whether a leader has confirmed the lease after this start and, if
         given, within the last ``lease_seconds``.
         """
@@ -74,7 +74,7 @@
             revision=self._lease_revision,
         )
 
-    def take(self, reply: messages.FeedReply, sent_at: float) -> bool:
+    def apply_reply(self, reply: messages.FeedReply, sent_at: float) -> bool:
         """Apply a reply; return whether it extended the lease."""
         if reply.snapshot:
             self._add_snapshot_page(reply)
--- a/tamarackthread/shared/subtree.py
+++ b/tamarackthread/shared/subtree.py
@@ -49,7 +49,7 @@
         self._behind_since: dict[str, float] = {}
         self._reported: dict[str, messages.NodeState] = {}
 
-    def knows(self, child: str) -> bool:
+    def is_child(self, child: str) -> bool:
         """Return whether a node is a child that has not timed out."""
         return child in self._children
 
@@ -73,7 +73,7 @@
         child = self._children.get(name)
         return '' if child is None else child.address
 
-    def take(
+    def apply_report(
         self,
         sender: messages.NodeState,
         request: messages.FeedRequest,
--- a/tests/feed_net.py
+++ b/tests/feed_net.py
@@ -18,8 +18,8 @@
     subtree,
 )
 
-LEASE = 2.0
-WAIT = 0.5
+LEASE_SECONDS = 2.0
+POLL_SECONDS = 0.5
 
 
 def run_paused(scenario):
@@ -60,7 +60,7 @@
     def grant(self):
         if not self.grants:
             return feed_server.Grant()
-        return feed_server.Grant(LEASE, 0, self.catalogue.revision)
+        return feed_server.Grant(LEASE_SECONDS, 0, self.catalogue.revision)
 
     def schedule_report(self):
         """Do nothing, since a leader has no parent."""
@@ -83,14 +83,14 @@
         self.cut = set()
         self.dead = set()
         self.leader = Leader()
-        self.below = subtree.Subtree()
-        self.serve('leader', self.leader, self.below)
+        self.descendants = subtree.Subtree()
+        self.serve('leader', self.leader, self.descendants)
 
-    def serve(self, address, source, below, limits=None):
+    def serve(self, address, source, descendants, limits=None):
         limits = limits or feed_server.Limits()
         self.servers[address] = feed_server.FeedServer(
             source,
-            below,
+            descendants,
             limits,
             self.rng,
         )
@@ -102,7 +102,7 @@
             Links(self, own_identity),
             own_identity,
             parents.RandomParentSelector(control, self.rng),
-            WAIT,
+            POLL_SECONDS,
             self.rng,
         )
         if own_identity.address:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -22,7 +22,7 @@
     async def test_tree_confirms_and_counts(self):
         net = feed_net.Net()
         limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
-        net.serve('leader', net.leader, net.below, limits)
+        net.serve('leader', net.leader, net.descendants, limits)
         net.leader.commit(1)
         nodes = []
         for number in range(12):
@@ -30,12 +30,12 @@
             nodes[-1].start()
             await asyncio.sleep(0.01)
         await asyncio.sleep(5)
-        self.assertEqual(net.below.count(), 2)
-        self.assertTrue(all(node.is_current() for node in nodes))
+        self.assertEqual(net.descendants.count(), 2)
+        self.assertTrue(all(node.is_ready() for node in nodes))
         net.leader.commit(2)
         await asyncio.sleep(0.3)
         self.assertEqual({node.revision for node in nodes}, {2})
-        known = net.below.nodes()
+        known = net.descendants.nodes()
         self.assertEqual(len(known), 12)
         self.assertEqual({state.revision for state in known.values()}, {2})
 
@@ -46,7 +46,7 @@
         """
         net = feed_net.Net()
         limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
-        net.serve('leader', net.leader, net.below, limits)
+        net.serve('leader', net.leader, net.descendants, limits)
         net.leader.commit(1)
         nodes = []
         for number in range(6):
@@ -60,7 +60,7 @@
             net.cut |= {(f'a{number}', '*'), (f'n{number}', '*')}
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(all(node.is_current() for node in nodes[2:]))
+            self.assertTrue(all(node.is_ready() for node in nodes[2:]))
 
     @paused
     async def test_isolated_node_stops_within_the_lease(self):
@@ -71,14 +71,16 @@
         net.leader.commit(1)
         node = net.node('n')
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.cut.add(('n', '*'))
         net.leader.commit(2)
         accepted = feed_net.now()
-        while node.is_current():
+        while node.is_ready():
             await asyncio.sleep(0.01)
         self.assertEqual(node.revision, 1)
-        self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
+        self.assertLessEqual(
+            feed_net.now() - accepted, feed_net.LEASE_SECONDS + 0.02
+        )
 
     @paused
     async def test_isolated_relay_shortens_its_childrens_leases(self):
@@ -87,18 +89,20 @@
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        upper = net.node('upper', address='u')
-        lower = net.node('lower', control=('u',))
-        for node in (upper, lower):
+        relay = net.node('upper', address='u')
+        child = net.node('lower', control=('u',))
+        for node in (relay, child):
             node.start()
-            await node.wait_current()
+            await node.wait_ready()
         await asyncio.sleep(3.3)
         net.cut.add(('upper', '*'))
         net.leader.commit(2)
         accepted = feed_net.now()
-        while lower.is_current():
+        while child.is_ready():
             await asyncio.sleep(0.01)
-        self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
+        self.assertLessEqual(
+            feed_net.now() - accepted, feed_net.LEASE_SECONDS + 0.02
+        )
 
     @paused
     async def test_child_leaves_an_isolated_relay_before_expiry(self):
@@ -107,17 +111,17 @@
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        upper = net.node('upper', address='u')
-        lower = net.node('lower', control=('u', 'leader'))
-        upper.start()
-        await upper.wait_current()
-        lower.start()
-        await lower.wait_current()
+        relay = net.node('upper', address='u')
+        child = net.node('lower', control=('u', 'leader'))
+        relay.start()
+        await relay.wait_ready()
+        child.start()
+        await child.wait_ready()
         net.cut.add(('upper', '*'))
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(lower.is_current())
-        self.assertEqual(lower.parent, 'leader')
+            self.assertTrue(child.is_ready())
+        self.assertEqual(child.parent, 'leader')
 
     @paused
     async def test_one_way_silence_leads_to_another_parent(self):
@@ -126,14 +130,14 @@
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        net.serve('other', net.leader, net.below)
+        net.serve('other', net.leader, net.descendants)
         node = net.node('n', control=('leader', 'other'))
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.cut.add((node.parent, 'n'))
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(node.is_current())
+            self.assertTrue(node.is_ready())
 
     @paused
     async def test_restarted_node_never_goes_back(self):
@@ -144,16 +148,16 @@
         net.leader.commit(1)
         stale = net.node('stale', address='s')
         stale.start()
-        await stale.wait_current()
+        await stale.wait_ready()
         await asyncio.sleep(0.2)
         net.cut |= {('stale', '*'), ('leader', 'stale')}
         net.leader.commit(2)
-        again = net.node('n', control=('s',), incarnation=2)
-        again.start()
+        restarted = net.node('n', control=('s',), incarnation=2)
+        restarted.start()
         await asyncio.sleep(0.3)
-        self.assertEqual(again.revision, 1)
-        self.assertGreater(again.lease_remaining(), 0)
-        self.assertFalse(again.is_current())
+        self.assertEqual(restarted.revision, 1)
+        self.assertGreater(restarted.lease_remaining(), 0)
+        self.assertFalse(restarted.is_ready())
 
     @paused
     async def test_old_leader_grants_nothing(self):
@@ -164,14 +168,14 @@
         net.leader.commit(1)
         node = net.node('n')
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.leader.grants = False
         net.leader.signal.notify()
-        await asyncio.sleep(feed_net.LEASE + 0.01)
-        self.assertFalse(node.is_current())
+        await asyncio.sleep(feed_net.LEASE_SECONDS + 0.01)
+        self.assertFalse(node.is_ready())
         net.leader.grants = True
         await asyncio.sleep(1)
-        self.assertTrue(node.is_current())
+        self.assertTrue(node.is_ready())
 
     @paused
     async def test_silent_node_is_a_laggard_and_then_gone(self):
@@ -183,10 +187,10 @@
         net.cut.add(('n', '*'))
         net.leader.commit(2)
         await asyncio.sleep(1)
-        self.assertEqual(net.below.nodes()['n'].revision, 1)
+        self.assertEqual(net.descendants.nodes()['n'].revision, 1)
         await asyncio.sleep(3)
-        net.below.expire(feed_net.now())
-        self.assertEqual(net.below.nodes(), {})
+        net.descendants.expire(feed_net.now())
+        self.assertEqual(net.descendants.nodes(), {})
 
 
 class PagingCase(unittest.TestCase):
@@ -207,7 +211,7 @@
         )
         node = leased_catalogue.LeasedCatalogue()
         old = feed_net.document('old', 2)
-        node.take(messages.FeedReply(revision=2, documents=[old]), 0)
+        node.apply_reply(messages.FeedReply(revision=2, documents=[old]), 0)
         pages = 0
         while node.documents.revision < 9:
             self.assertIsNotNone(node.documents.get('profile', 'old'))
@@ -219,7 +223,7 @@
                 more=page.more,
                 floor=page.floor,
             )
-            node.take(reply, 0)
+            node.apply_reply(reply, 0)
             pages += 1
         self.assertEqual(pages, 3)
         names = [found.name for found in node.documents.each('profile')]
--- a/tests/test_feed_history.py
+++ b/tests/test_feed_history.py
@@ -81,10 +81,10 @@
         self.net.leader.signal.notify()
 
     def check(self):
-        bound = feed_net.now() - feed_net.LEASE - STEP_SECONDS
+        bound = feed_net.now() - feed_net.LEASE_SECONDS - STEP_SECONDS
         required = sum(at < bound for at in self.commits)
         for name, node in self.nodes.items():
-            if not node.is_current():
+            if not node.is_ready():
                 continue
             if node.revision < required:
                 self.violation = (
@@ -118,7 +118,7 @@
     """Grant a full lease regardless of the relay's own remaining time."""
     if not self.lease_remaining():
         return feed_server.Grant()
-    return feed_server.Grant(feed_net.LEASE, 0, self._lease_revision)
+    return feed_server.Grant(feed_net.LEASE_SECONDS, 0, self._lease_revision)
 
 
 def take_any_lease(self, reply, sent_at):
@@ -144,7 +144,7 @@
         faults = (
             ('grant', grant_full_lease),
             ('_take_lease', take_any_lease),
-            ('is_current', ignore_start_time),
+            ('is_ready', ignore_start_time),
         )
         for name, fault in faults:
             with self.subTest(fault=name):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -74,7 +74,9 @@
             whole=True,
             confirmed=revision,
         )
-        self.below.take(state, request, feed_net.now() if now is None else now)
+        self.below.apply_report(
+            state, request, feed_net.now() if now is None else now
+        )
 
 
 class TargetCase(unittest.TestCase):
@@ -161,7 +163,7 @@
                 leadership.Leadership(stage.group),
                 stage.log.machine,
                 upstream,
-                feed_net.LEASE,
+                feed_net.LEASE_SECONDS,
             )
 
             def build():
@@ -193,7 +195,7 @@
                 leadership.Leadership(stage.group),
                 stage.log.machine,
                 upstream,
-                feed_net.LEASE,
+                feed_net.LEASE_SECONDS,
             )
             stage.log.change('p', 0)
             stage.hear('one', 1)
