--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Prove that no node acts on a configuration that was replaced long ago."""
+"""Check that no node acts on a stale configuration."""
 
 import asyncio
 import functools
@@ -22,7 +22,7 @@
     async def test_tree_confirms_and_counts(self):
         net = feed_net.Net()
         limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
-        net.serve('leader', net.leader, net.below, limits)
+        net.serve('leader', net.leader, net.descendants, limits)
         net.leader.commit(1)
         nodes = []
         for number in range(12):
@@ -30,26 +30,23 @@
             nodes[-1].start()
             await asyncio.sleep(0.01)
         await asyncio.sleep(5)
-        self.assertEqual(net.below.count(), 2)
-        self.assertTrue(all(node.is_current() for node in nodes))
+        self.assertEqual(net.descendants.count(), 2)
+        self.assertTrue(all(node.is_ready() for node in nodes))
         net.leader.commit(2)
         await asyncio.sleep(0.3)
         self.assertEqual({node.revision for node in nodes}, {2})
-        known = net.below.nodes()
+        known = net.descendants.nodes()
         self.assertEqual(len(known), 12)
         self.assertEqual({state.revision for state in known.values()}, {2})
 
     @paused
     async def test_lost_relays_are_not_named(self):
-        """Nodes find a way when all relays of their zone are lost at once.
-
-        A rack with the relays goes.  Their children ask the control host,
-        which still counts the relays for some seconds; sending the children
-        on to those would keep them in circles until their leases end.
+        """A redirect never leads to a relay that was just lost: nodes would
+        retry it until their leases expire.
         """
         net = feed_net.Net()
         limits = feed_net.feed_server.Limits(children=4, children_in_zone=2)
-        net.serve('leader', net.leader, net.below, limits)
+        net.serve('leader', net.leader, net.descendants, limits)
         net.leader.commit(1)
         nodes = []
         for number in range(6):
@@ -63,133 +60,122 @@
             net.cut |= {(f'a{number}', '*'), (f'n{number}', '*')}
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(all(node.is_current() for node in nodes[2:]))
+            self.assertTrue(all(node.is_ready() for node in nodes[2:]))
 
     @paused
-    async def test_isolated_node_lapses_within_the_lease(self):
-        """An isolated entry stops taking calls at most one lease later.
-
-        A change is accepted just after the entry's way to control is cut.
-        Its last lease was granted before the change, so it has ended when
-        the leader says that the change is in force.
+    async def test_isolated_node_stops_within_the_lease(self):
+        """An isolated entry stops accepting calls at most one lease time after a
+        change; later it would act on a stale configuration.
         """
         net = feed_net.Net()
         net.leader.commit(1)
         node = net.node('n')
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.cut.add(('n', '*'))
         net.leader.commit(2)
         accepted = feed_net.now()
-        while node.is_current():
+        while node.is_ready():
             await asyncio.sleep(0.01)
         self.assertEqual(node.revision, 1)
-        self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
+        self.assertLessEqual(
+            feed_net.now() - accepted, feed_net.LEASE_SECONDS + 0.02
+        )
 
     @paused
-    async def test_relay_cut_off_shortens_its_childrens_leases(self):
-        """A node below a cut-off relay refuses as early as the relay does.
-
-        The relay still answers its child, and the child knows no other way.
-        Were the child's lease counted from the relay's answer alone, each
-        level of the tree would serve a replaced profile for longer.
+    async def test_isolated_relay_shortens_its_childrens_leases(self):
+        """A child's lease ends with that of its isolated relay; otherwise each
+        level of the tree would prolong the stale configuration.
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        upper = net.node('upper', address='u')
-        lower = net.node('lower', control=('u',))
-        for node in (upper, lower):
+        relay = net.node('upper', address='u')
+        child = net.node('lower', control=('u',))
+        for node in (relay, child):
             node.start()
-            await node.wait_current()
+            await node.wait_ready()
         await asyncio.sleep(3.3)
         net.cut.add(('upper', '*'))
         net.leader.commit(2)
         accepted = feed_net.now()
-        while lower.is_current():
+        while child.is_ready():
             await asyncio.sleep(0.01)
-        self.assertLessEqual(feed_net.now() - accepted, feed_net.LEASE + 0.02)
+        self.assertLessEqual(
+            feed_net.now() - accepted, feed_net.LEASE_SECONDS + 0.02
+        )
 
     @paused
-    async def test_child_leaves_a_cut_off_relay_before_it_lapses(self):
-        """Callers notice nothing when a relay loses its parent.
-
-        The relay is cut off and its lease runs down.  Its child sees that
-        and asks a control host while it still has a lease of its own.
+    async def test_child_leaves_an_isolated_relay_before_expiry(self):
+        """A child of an isolated relay selects another parent before its own
+        lease expires.
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        upper = net.node('upper', address='u')
-        lower = net.node('lower', control=('u', 'leader'))
-        upper.start()
-        await upper.wait_current()
-        lower.start()
-        await lower.wait_current()
+        relay = net.node('upper', address='u')
+        child = net.node('lower', control=('u', 'leader'))
+        relay.start()
+        await relay.wait_ready()
+        child.start()
+        await child.wait_ready()
         net.cut.add(('upper', '*'))
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(lower.is_current())
-        self.assertEqual(lower.parent, 'leader')
+            self.assertTrue(child.is_ready())
+        self.assertEqual(child.parent, 'leader')
 
     @paused
     async def test_one_way_silence_leads_to_another_parent(self):
-        """A parent whose answers are lost is left before the lease ends.
-
-        The node's requests arrive, so that the parent counts it as alive;
-        nothing comes back, and no connection is ever closed.
+        """A parent whose replies are lost is left before the lease expires,
+        though requests still reach it and no connection is closed.
         """
         net = feed_net.Net()
         net.leader.commit(1)
-        net.serve('other', net.leader, net.below)
+        net.serve('other', net.leader, net.descendants)
         node = net.node('n', control=('leader', 'other'))
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.cut.add((node.parent, 'n'))
         for _ in range(500):
             await asyncio.sleep(0.01)
-            self.assertTrue(node.is_current())
+            self.assertTrue(node.is_ready())
 
     @paused
     async def test_restarted_node_never_goes_back(self):
-        """A restarted node takes no work at a revision below its former one.
-
-        It held revision 2 and restarts.  A relay that was cut off before
-        revision 2 still has some of its lease and answers first.  That lease
-        was backed before the start, so the node waits for a newer one.
+        """A restarted node accepts no lease confirmed before its start: it may
+        have applied a newer revision than the relay that grants it.
         """
         net = feed_net.Net()
         net.leader.commit(1)
         stale = net.node('stale', address='s')
         stale.start()
-        await stale.wait_current()
+        await stale.wait_ready()
         await asyncio.sleep(0.2)
         net.cut |= {('stale', '*'), ('leader', 'stale')}
         net.leader.commit(2)
-        again = net.node('n', control=('s',), incarnation=2)
-        again.start()
+        restarted = net.node('n', control=('s',), incarnation=2)
+        restarted.start()
         await asyncio.sleep(0.3)
-        self.assertEqual(again.revision, 1)
-        self.assertGreater(again.lease_remaining(), 0)
-        self.assertFalse(again.is_current())
+        self.assertEqual(restarted.revision, 1)
+        self.assertGreater(restarted.lease_remaining(), 0)
+        self.assertFalse(restarted.is_ready())
 
     @paused
     async def test_old_leader_grants_nothing(self):
-        """Nodes on the side of an isolated old leader lapse.
-
-        It answers, but knows by its own clock that it leads no more; what it
-        still holds as newest is not given out as current.
+        """A leader that has lost its quorum grants no leases, so its nodes
+        stop accepting work.
         """
         net = feed_net.Net()
         net.leader.commit(1)
         node = net.node('n')
         node.start()
-        await node.wait_current()
+        await node.wait_ready()
         net.leader.grants = False
         net.leader.signal.notify()
-        await asyncio.sleep(feed_net.LEASE + 0.01)
-        self.assertFalse(node.is_current())
+        await asyncio.sleep(feed_net.LEASE_SECONDS + 0.01)
+        self.assertFalse(node.is_ready())
         net.leader.grants = True
         await asyncio.sleep(1)
-        self.assertTrue(node.is_current())
+        self.assertTrue(node.is_ready())
 
     @paused
     async def test_silent_node_is_a_laggard_and_then_gone(self):
@@ -201,19 +187,17 @@
         net.cut.add(('n', '*'))
         net.leader.commit(2)
         await asyncio.sleep(1)
-        self.assertEqual(net.below.nodes()['n'].revision, 1)
+        self.assertEqual(net.descendants.nodes()['n'].revision, 1)
         await asyncio.sleep(3)
-        net.below.expire(feed_net.now())
-        self.assertEqual(net.below.nodes(), {})
+        net.descendants.expire(feed_net.now())
+        self.assertEqual(net.descendants.nodes(), {})
 
 
 class PagingCase(unittest.TestCase):
     @paused
     async def test_snapshot_comes_whole_or_not_at_all(self):
-        """A node far behind never acts on half a state.
-
-        Documents were deleted and the deletions forgotten, so that the node
-        must replace its state; it does so only after the last page.
+        """A snapshot replaces a node's documents only after its last page;
+        half a snapshot is never acted on.
         """
         held = catalogue.Catalogue()
         body = 'x' * (catalogue.PAGE_BYTES // 2)
@@ -227,7 +211,7 @@
         )
         node = leased_catalogue.LeasedCatalogue()
         old = feed_net.document('old', 2)
-        node.take(messages.FeedReply(revision=2, documents=[old]), 0)
+        node.apply_reply(messages.FeedReply(revision=2, documents=[old]), 0)
         pages = 0
         while node.documents.revision < 9:
             self.assertIsNotNone(node.documents.get('profile', 'old'))
@@ -239,7 +223,7 @@
                 more=page.more,
                 floor=page.floor,
             )
-            node.take(reply, 0)
+            node.apply_reply(reply, 0)
             pages += 1
         self.assertEqual(pages, 3)
         names = [found.name for found in node.documents.each('profile')]
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -76,7 +76,9 @@
             whole=True,
             confirmed=revision,
         )
-        self.below.take(state, request, feed_net.now() if now is None else now)
+        self.below.apply_report(
+            state, request, feed_net.now() if now is None else now
+        )
 
 
 class TargetCase(unittest.TestCase):
@@ -159,7 +161,7 @@
                 leadership.Leadership(fixture.group),
                 fixture.log.machine,
                 upstream,
-                feed_net.LEASE,
+                feed_net.LEASE_SECONDS,
             )
 
             def build():
@@ -191,7 +193,7 @@
                 leadership.Leadership(fixture.group),
                 fixture.log.machine,
                 upstream,
-                feed_net.LEASE,
+                feed_net.LEASE_SECONDS,
             )
             fixture.log.change('p', 0)
             fixture.add_report('one', 1)
