--- a/tamarackthread/shared/site/__init__.py
+++ b/tamarackthread/shared/site/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what a site's control hosts and entries share."""
+"""Code that a site's control hosts and entries share."""
--- a/tamarackthread/shared/site/announcements.py
+++ b/tamarackthread/shared/site/announcements.py
@@ -1,4 +1,4 @@
-"""Hold what targets say of themselves, and which of two sayings counts."""
+"""Announcements of targets, and which of two supersedes the other."""
 
 from __future__ import annotations
 
@@ -8,19 +8,14 @@
 
 State = messages.TargetState
 
-# A start of a target that has said that it leaves never takes work again.
+# States after which an instance of a target never takes calls again.
 _LEAVING = frozenset((State.LEAVING, State.GONE))
 
 
 @attrs.frozen(kw_only=True)
 class Announcement:
-    """One announcement of one start of a target.
-
-    ``born`` is when the target's process started, in milliseconds since 1970,
-    and 0 where nobody says so.  A target may start again under its name: it
-    then knows nothing of before, and its ``sequence``, which grows with each
-    announcement of a start, begins anew.  ``cold`` is how many seconds more
-    the target answers slowly after its start.
+    """One announcement of a target; ``born`` is its start in Unix milliseconds
+    (0: unknown), ``cold`` the remaining seconds of its warm-up.
     """
 
     target: str
@@ -35,39 +30,29 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this start of the target has said its farewell."""
+        """Return whether the target is leaving or gone."""
         return self.state in _LEAVING
 
     def is_later_start(self, held: Announcement) -> bool:
-        """Tell whether this is of a later start of the target than another.
-
-        Two words of which one names no start are taken to be of the same one:
-        a process of an older release leaves it out of what it passes on.
+        """Return whether the target restarted since ``held``; False if either
+        start time is unknown, as in relays of older releases.
         """
         return 0 < held.born < self.born
 
     def is_earlier_start(self, held: Announcement) -> bool:
-        """Tell whether this is of an earlier start than another."""
+        """Return whether ``held`` is of a later start of the target."""
         return held.is_later_start(self)
 
     def supersedes(self, held: Announcement | None) -> bool:
-        """Tell whether this one counts although another is held.
-
-        A later start replaces an earlier one whatever that has said, its
-        farewell included, and an earlier one never counts again: its words may
-        be held up on their way until the target has long started anew, and
-        their sequence may be the higher one.
-
-        Within one start a farewell counts whatever its sequence, and nothing
-        but a farewell takes it back: an announcement that was held up would
-        otherwise send new work to a target that waits for its last.
+        """Return whether this one is newer.  Within a start, leaving is final:
+        a delayed announcement must not send calls to a target that drains.
         """
         if held is None or self.is_later_start(held):
             return True
         if self.is_earlier_start(held):
             return False
-        # A host of an older release told of some start, whose sequence says
-        # nothing of this one's.
+        # Relayed by an older release without the start time, so the sequences
+        # may be of different starts.
         if self.born and not held.born and not held.is_leaving:
             return True
         if held.is_leaving:
@@ -75,33 +60,29 @@
         return self.is_leaving or self.sequence >= held.sequence
 
     def inherit_start(self, held: Announcement | None) -> Announcement:
-        """Return this one with what only the held one of its start tells.
-
-        A word that names no start is of the one that is known, and a word of
-        a host that is gone for good may tell of nothing but that.
-        """
+        """Return this one with the start time of ``held`` if it has none."""
         if held is None or self.is_later_start(held):
             return self
         return attrs.evolve(self, born=self.born or held.born)
 
 
-def to_message(said: Announcement) -> messages.SiteTarget:
-    """Put an announcement into a message between nodes."""
+def to_message(announcement: Announcement) -> messages.SiteTarget:
+    """Build the message form of an announcement."""
     return messages.SiteTarget(
-        id=said.target,
-        service_name=said.service,
-        address=said.address,
-        zone=said.zone,
-        slots=said.slots,
-        state=said.state,
-        sequence=said.sequence,
-        cold_ms=int(said.cold * 1000),
-        born_ms=said.born,
+        id=announcement.target,
+        service_name=announcement.service,
+        address=announcement.address,
+        zone=announcement.zone,
+        slots=announcement.slots,
+        state=announcement.state,
+        sequence=announcement.sequence,
+        cold_ms=int(announcement.cold * 1000),
+        born_ms=announcement.born,
     )
 
 
 def from_message(row: messages.SiteTarget) -> Announcement:
-    """Read what ``to_message`` wrote."""
+    """Read an announcement from its message form."""
     return Announcement(
         target=row.id,
         service=row.service_name,
--- a/tamarackthread/shared/site/configuration.py
+++ b/tamarackthread/shared/site/configuration.py
@@ -1,4 +1,4 @@
-"""Hold one whole configuration of a site, and how it is read."""
+"""The configuration of a site, and the interface of its readers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Kind(enum.Enum):
-    """Say what of a route's calls may be repeated."""
+    """Whether the calls of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class TrafficShare:
-    """One service's part of a route's calls."""
+    """Share of a route's calls that goes to a service."""
 
     service: str
     weight: float
@@ -26,11 +26,8 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Say where calls for a host and a path prefix go.
-
-    ``attempts`` is how many targets one call may be sent to, ``timeout`` how
-    long it is kept waiting and ``aim`` the time to its first byte that its
-    caller hopes for, both in seconds.  A lower ``priority`` goes first.
+    """Route of a host and a path prefix; priority 0 goes first.  Seconds:
+    ``latency_goal`` to the first byte, ``gap`` between parts of a stream.
     """
 
     name: str
@@ -48,10 +45,8 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a call may run more than once.
-
-        A stream that can be resumed continues its answer elsewhere, so a
-        second run gives the caller nothing twice.
+        """Return whether a call may run more than once; a resumed stream may,
+        because it continues where it broke.
         """
         if self.kind is Kind.STREAM:
             return self.is_resumable
@@ -60,12 +55,8 @@
 
 @attrs.frozen(kw_only=True)
 class ExpertLayout:
-    """Say what an expert map of a service's groups may look like.
-
-    ``places`` is how many experts a rank holds in each of ``sets`` sets of
-    layers, ``spare`` how many of them one map may bring new to it, and
-    ``copy_seconds`` how long a rank takes to copy one.  ``slots`` is how many
-    calls a rank runs at once, 0 where nobody says so.
+    """Bounds of an expert map: ``places`` experts on a rank for each of its
+    ``sets`` of layers, ``spare`` of them new; ``slots`` calls, 0 if unknown.
     """
 
     sets: int
@@ -78,23 +69,15 @@
 
 @attrs.frozen(kw_only=True)
 class StepTiming:
-    """Say how long the targets of a service take to make a piece of a stream.
-
-    ``empty`` is how long a pass takes without any call's work, in seconds.
-    """
+    """Step time of a service; ``empty`` is in seconds, without any call."""
 
     empty: float
 
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A set of targets that answer alike.
-
-    ``experts`` is there where its targets are ranks of groups, and ``passes``
-    where they say how long they take.  ``gap`` is the longest pause in seconds
-    that the callers of any of its streams take without harm, 0 where none says
-    so.  ``cold_rate`` is how many calls a second one of its targets takes from
-    all entries together while it is cold, 0 without a limit.
+    """Interchangeable targets; ``gap`` is a stream's longest pause in seconds,
+    ``cold_rate`` the calls a second to one cold target; 0 is no limit.
     """
 
     name: str
@@ -106,7 +89,7 @@
 
 @attrs.frozen(kw_only=True)
 class Organisation:
-    """One organisation, its secret keys and its rank; 0 goes first."""
+    """One organisation and its secret keys; priority 0 goes first."""
 
     name: str
     keys: frozenset[str]
@@ -115,14 +98,14 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Bound what a caller may send."""
+    """Limits of a request."""
 
     body_bytes: int = 4 << 20
 
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """Everything that is in force under one version."""
+    """One version of the whole configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -131,10 +114,8 @@
     limits: Limits = Limits()
 
     def min_gap(self, service: str) -> float:
-        """Return the shortest pause that a stream at a service may have.
-
-        The ranks of a group advance together, so the most impatient callers
-        bound what any of them may do to the rest; 0 without any bound.
+        """Return the shortest ``gap`` of a service's routes, 0 without any:
+        ranks of a group step together, so the strictest route bounds all.
         """
         gaps = [
             route.gap
@@ -146,8 +127,8 @@
 
 
 class Reader(abc.ABC):
-    """Read a configuration in the form in which operators send it."""
+    """Parser of the format in which operators send a configuration."""
 
     @abc.abstractmethod
     def read(self, body: bytes) -> Configuration:
-        """Read all of it; raise ``InvalidError`` with all findings."""
+        """Parse a body; raise ``InvalidError`` with all findings."""
--- a/tamarackthread/shared/site/document.py
+++ b/tamarackthread/shared/site/document.py
@@ -1,4 +1,4 @@
-"""Hold a site's configuration as it was sent, packed for log and links."""
+"""A site's configuration as sent, compressed for storage and transport."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 from tamarackthread.shared import errors
 
 _VERSION = struct.Struct('>q')
-# Level 1 packs a document with hundreds of like routes to a tenth in a few
-# milliseconds; higher levels gain little and hold up the event loop.
+# Higher levels gain little on repetitive routes and block the event loop.
 _LEVEL = 1
 
 
@@ -23,35 +22,31 @@
 
 @attrs.frozen
 class Document:
-    """One accepted configuration; version 0 stands for none.
-
-    The body is kept packed: it is stored, sent to every node and read back
-    far more often than anybody looks into it.
-    """
+    """One accepted configuration, compressed; version 0 means none."""
 
     version: int = 0
     packed: bytes = b''
 
     @property
     def body(self) -> bytes:
-        """Unpack the body as it was sent."""
+        """Return the decompressed body."""
         try:
             return zlib.decompress(self.packed)
         except zlib.error as exc:
             raise DocumentUnreadable(str(exc)) from exc
 
     def encode(self) -> bytes:
-        """Serialise for the log."""
+        """Serialise for the replicated log."""
         return _VERSION.pack(self.version) + self.packed
 
 
 def pack(version: int, body: bytes) -> Document:
-    """Pack a body that was just sent."""
+    """Compress a body."""
     return Document(version, zlib.compress(body, _LEVEL))
 
 
 def decode(data: bytes) -> Document:
-    """Read what ``encode`` wrote; empty data is no configuration."""
+    """Decode a serialised document; empty data is version 0."""
     if not data:
         return Document()
     try:
--- a/tamarackthread/shared/site/feed_client.py
+++ b/tamarackthread/shared/site/feed_client.py
@@ -1,4 +1,4 @@
-"""Follow every control host of the site."""
+"""Poll the feeds of all control hosts of the site."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 WAIT_MS = 2000
 PERCENT = 100
-ANSWER_SECONDS = 4.0
+REPLY_SECONDS = 4.0
 RETRY_SECONDS = 0.15
-NAME_SECONDS = 0.5
-LOOK_SECONDS = 0.03
-# A host that no settings and no other host name any more is let go.
-FORGOTTEN_SECONDS = 10.0
+DISCOVERY_SECONDS = 0.5
+POLL_SECONDS = 0.03
+# A host is dropped once no settings and no other host list it.
+UNLISTED_SECONDS = 10.0
 _log = logging.getLogger('tamarackthread.site')
 
 
 @attrs.define(eq=False)
 class _Source:
-    """One control host and how far this process is in its book."""
+    """Polling state of one control host."""
 
-    named_at: float
+    listed_at: float
     is_up: bool = False
     task: asyncio.Task[None] | None = None
     epoch: int = 0
@@ -45,99 +45,96 @@
 
 
 class Subscriber(abc.ABC):
-    """Who learns what control hosts tell."""
+    """Receiver of the updates from control hosts."""
 
     @property
     @abc.abstractmethod
     def version(self) -> int:
-        """Return the version that is held, 0 before the first."""
+        """Return the current configuration version, 0 before the first."""
 
     @property
     def needs_documents(self) -> bool:
-        """Tell whether configurations are learned from control hosts."""
+        """Return whether configurations are fetched from control hosts."""
         return True
 
     @property
     @abc.abstractmethod
     def zone_changes(self) -> int:
-        """Return how many changes of zones are held."""
+        """Return the number of zone changes that were applied."""
 
     @abc.abstractmethod
     def learn_zones(self, rows: list[zones.Zone]) -> None:
-        """Take the zones that a control host knows of, some of them newer."""
+        """Apply a control host's zones, of which some may be newer."""
 
     @abc.abstractmethod
-    def learn_target(self, said: announcements.Announcement) -> None:
-        """Take an announcement, which may be older than one that is held."""
+    def learn_target(self, announcement: announcements.Announcement) -> None:
+        """Apply an announcement unless a newer one was applied."""
 
-    def learn_paces(  # noqa: B027  only who places calls needs them
+    def learn_paces(  # noqa: B027  only needed to route calls
         self,
         source: str,
         paces: dict[str, float],
     ) -> None:
-        """Take all slow targets that a control host knows of."""
+        """Replace the slow targets reported by a control host."""
 
-    def learn_groups(  # noqa: B027  only who places calls needs them
+    def learn_groups(  # noqa: B027  only needed to route calls
         self,
         term: int,
         rows: list[groups.Group],
     ) -> None:
-        """Take all groups that a control host knows of."""
+        """Replace the groups unless ``term`` is old."""
 
     @abc.abstractmethod
-    def learn_document(self, held: document.Document) -> None:
-        """Take a configuration with a higher version than the one held."""
+    def learn_document(self, stored: document.Document) -> None:
+        """Apply a configuration whose version is higher than ``version``."""
 
 
 class FeedClient:
-    """Ask every control host for what is new.
-
-    There is no agreement among control hosts on announcements: each tells
-    what it has heard, and the sequence says which word counts.  A drain so
-    needs one connection to work and no leader.
+    """Long-poll each control host for updates.  Announcements need no leader:
+    a drain reaches the subscriber over any one working connection.
     """
 
     def __init__(
         self,
         site: generated.Site,
         links: peers.Peers,
-        pupil: Subscriber,
+        subscriber: Subscriber,
         own_address: str = '',
     ) -> None:
-        """Follow nobody until ``run``; ``own_address`` is never followed."""
+        """Poll from ``run`` on; ``own_address`` is never polled."""
         self._site = site
         self._links = links
-        self._pupil = pupil
+        self._subscriber = subscriber
         self._own_address = own_address
-        self._fetching = source_selection.SourceSelector(links)
+        self._selector = source_selection.SourceSelector(links)
         self._sources: dict[str, _Source] = {}
         self._entries: tuple[str, ...] = ()
 
     @property
     def followed(self) -> tuple[str, ...]:
-        """Return the control hosts that have answered last."""
+        """Return the control hosts whose last poll succeeded."""
         return tuple(
             address for address, source in self._sources.items() if source.is_up
         )
 
     @property
     def entries(self) -> tuple[str, ...]:
-        """Return where the entries of the site accept links."""
+        """Return the link addresses of the site's entries."""
         return self._entries
 
     async def run(self) -> None:
-        """Follow for ever, also hosts that are named later."""
+        """Poll until cancelled, including hosts that join later."""
         try:
             while True:
-                self._name(host_addresses.link_addresses(self._site))
-                self._let_go()
-                await asyncio.sleep(NAME_SECONDS)
+                self._add_sources(host_addresses.link_addresses(self._site))
+                self._drop_unlisted()
+                await asyncio.sleep(DISCOVERY_SECONDS)
         finally:
             for source in self._sources.values():
                 if source.task is not None:
                     source.task.cancel()
 
-    def _name(self, addresses: collections.abc.Iterable[str]) -> None:
+    def _add_sources(self, addresses: collections.abc.Iterable[str]) -> None:
         loop = asyncio.get_running_loop()
         for address in addresses:
             if address == self._own_address:
@@ -146,90 +143,97 @@
             if source is None:
                 source = _Source(loop.time())
                 self._sources[address] = source
-                source.task = loop.create_task(self._follow(address, source))
-            source.named_at = loop.time()
+                source.task = loop.create_task(self._poll(address, source))
+            source.listed_at = loop.time()
 
-    def _let_go(self) -> None:
+    def _drop_unlisted(self) -> None:
         now = asyncio.get_running_loop().time()
         for address, source in tuple(self._sources.items()):
-            if now - source.named_at < FORGOTTEN_SECONDS:
+            if now - source.listed_at < UNLISTED_SECONDS:
                 continue
             self._sources.pop(address)
-            self._fetching.forget(address)
+            self._selector.forget(address)
             if source.task is not None:
                 source.task.cancel()
-            _log.info('site: nobody names control host %s any more', address)
+            _log.info(
+                'site: control host %s is no longer listed, stopped polling it',
+                address,
+            )
 
-    async def _follow(self, address: str, source: _Source) -> None:
+    async def _poll(self, address: str, source: _Source) -> None:
         while True:
             try:
-                reply = await self._ask(address, source)
+                reply = await self._request(address, source)
             except (errors.CodedError, TimeoutError) as exc:
                 if source.is_up:
-                    _tell(address, is_up=False, why=str(exc))
+                    _log_connection(address, is_up=False, reason=str(exc))
                 source.is_up = False
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             if not source.is_up:
-                _tell(address, is_up=True)
+                _log_connection(address, is_up=True)
             source.is_up = True
-            self._take(address, source, reply)
+            self._apply(address, source, reply)
             await self._await_document(address, reply.version)
 
-    async def _ask(
+    async def _request(
         self,
         address: str,
         source: _Source,
     ) -> messages.SiteFeedReply:
-        supply = self._fetching.state(address)
-        fetches = self._fetches(address)
-        held = self._pupil.version
-        asked = messages.SiteFeedRequest(
-            version=held if fetches else max(held, supply.told),
-            without_document=not fetches,
+        state = self._selector.state(address)
+        needs_document = self._needs_document(address)
+        version = self._subscriber.version
+        request = messages.SiteFeedRequest(
+            version=version
+            if needs_document
+            else max(version, state.advertised),
+            without_document=not needs_document,
             epoch=source.epoch,
             serial=source.serial,
             wait_ms=WAIT_MS,
-            zone_changes=self._pupil.zone_changes,
+            zone_changes=self._subscriber.zone_changes,
             groups_serial=source.groups_serial,
         )
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(REPLY_SECONDS):
             reply = await self._links.request(
-                address, messages.Request(site=asked), ANSWER_SECONDS
+                address, messages.Request(site=request), REPLY_SECONDS
             )
         if reply.site is None:
-            raise errors.FrameInvalid('control host answered something else')
+            raise errors.FrameInvalid('control host sent no site feed reply')
         return reply.site
 
-    def _fetches(self, address: str) -> bool:
-        """Tell whether a host is asked for configurations and not for versions.
-
-        Before the first one, which callers wait for, each host is.
+    def _needs_document(self, address: str) -> bool:
+        """Return whether to request documents from a host, not only versions.
+        Calls wait for the first configuration, so every host is asked for it.
         """
-        if not self._pupil.needs_documents:
+        if not self._subscriber.needs_documents:
             return False
-        if not self._pupil.version or self._fetching.state(address).is_asked:
+        if (
+            not self._subscriber.version
+            or self._selector.state(address).is_fetch_due
+        ):
             return True
-        return self._fetching.is_first(address, list(self.followed))
+        return self._selector.is_first(address, list(self.followed))
 
     async def _await_document(self, address: str, version: int) -> None:
-        """Wait until another host has brought what one has told of."""
-        supply = self._fetching.state(address)
-        supply.told = max(supply.told, version)
-        supply.is_asked = False
-        if not self._pupil.needs_documents:
+        """Wait for another host to deliver a version, else request it here."""
+        state = self._selector.state(address)
+        state.advertised = max(state.advertised, version)
+        state.is_fetch_due = False
+        if not self._subscriber.needs_documents:
             return
         loop = asyncio.get_running_loop()
-        patience = self._fetching.fetch_delay(address, list(self.followed))
-        until = loop.time() + patience
-        while self._pupil.version < version:
-            if loop.time() >= until:
-                supply.is_asked = True
-                self._fetching.record_timeout(list(self.followed))
+        delay = self._selector.fetch_delay(address, list(self.followed))
+        deadline = loop.time() + delay
+        while self._subscriber.version < version:
+            if loop.time() >= deadline:
+                state.is_fetch_due = True
+                self._selector.record_timeout(list(self.followed))
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def _take(
+    def _apply(
         self,
         address: str,
         source: _Source,
@@ -239,35 +243,35 @@
         source.serial = reply.serial
         source.groups_serial = reply.groups_serial or 0
         for row in reply.targets:
-            self._pupil.learn_target(announcements.from_message(row))
-        self._pupil.learn_paces(
+            self._subscriber.learn_target(announcements.from_message(row))
+        self._subscriber.learn_paces(
             address,
             {slow.id: slow.percent / PERCENT for slow in reply.paces},
         )
         if reply.groups is not None:
-            self._pupil.learn_groups(
+            self._subscriber.learn_groups(
                 reply.groups_term or 0, groups.from_messages(reply.groups)
             )
-        # Before the first configuration, with which work begins.
+        # Applied before the first configuration, which admits calls.
         if reply.zones is not None:
-            self._pupil.learn_zones(zones.from_messages(reply.zones))
-        is_newer = reply.version > self._pupil.version
-        # A host that was cut off may tell of an older configuration.
+            self._subscriber.learn_zones(zones.from_messages(reply.zones))
+        is_newer = reply.version > self._subscriber.version
+        # A host that was partitioned may send an older configuration.
         if reply.document is not None and is_newer:
-            held = document.Document(reply.version, reply.document)
-            self._pupil.learn_document(held)
-        self._name(reply.members)
+            stored = document.Document(reply.version, reply.document)
+            self._subscriber.learn_document(stored)
+        self._add_sources(reply.members)
         self._entries = tuple(reply.entries)
 
 
-def _tell(address: str, *, is_up: bool, why: str = '') -> None:
+def _log_connection(address: str, *, is_up: bool, reason: str = '') -> None:
     log_events.emit(
         _log,
         log_events.Event.DEPENDENCY,
         'site: %s control %s%s',
         'follows' if is_up else 'lost',
         address,
-        f', {why}' if why else '',
+        f', {reason}' if reason else '',
         level=logging.INFO if is_up else logging.WARNING,
         address=address,
         is_up=is_up,
--- a/tamarackthread/shared/site/host_addresses.py
+++ b/tamarackthread/shared/site/host_addresses.py
@@ -1,25 +1,23 @@
-"""Work out where the hosts of a site are reached."""
+"""Addresses of a site's control hosts, and timeouts for dialling them."""
 
 from __future__ import annotations
 
 from tamarackthread.generated import settings as generated
 
-# A host that is back is dialled within so many seconds: a target may say its
-# farewell to it at once, and entries must hear of that within two seconds.
+# Longest backoff between dials.  Entries must learn within two seconds of a
+# drain that was announced to a host that just restarted.
 MAX_BACKOFF_SECONDS = 0.3
-# A host that has no power yet drops the first packet of a connection, and the
-# kernel sends the next one a second later.  Dialled anew after this, it is
-# reached a quarter of a second after it is back; its answer takes some
-# milliseconds.
+# Shorter than the kernel's one-second SYN retransmission, so that a host that
+# was down during the first SYN is dialled again soon after it is back.
 DIAL_TIMEOUT_SECONDS = 0.25
 
 
 def host_of(address: str) -> str:
-    """Give the host of HOST:PORT."""
+    """Return the host of HOST:PORT."""
     return address.rpartition(':')[0]
 
 
 def link_addresses(site: generated.Site) -> list[str]:
-    """List where the control hosts of the settings accept links."""
+    """Return the link addresses of the control hosts in the settings."""
     hosts = dict.fromkeys(host_of(seed) for seed in site.seeds)
     return [f'{host}:{site.link_port}' for host in hosts]
--- a/tamarackthread/shared/site/site_metrics.py
+++ b/tamarackthread/shared/site/site_metrics.py
@@ -1,8 +1,4 @@
-"""Count what a process of a site does, and show it as text over HTTP.
-
-Names begin with ``tamarackthread_`` and end with their unit.  Labels are few:
-services and kinds of ends, never requests, callers or targets.
-"""
+"""Serve Prometheus metrics; no labels for requests, callers or targets."""
 
 from __future__ import annotations
 
@@ -10,7 +6,7 @@
 from aiohttp import web
 
 PATH = '/metrics'
-# From a plain service's answer to a stream's longest, in seconds.
+# Bounds in seconds, from answers of plain services to the longest streams.
 BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 _registry = prometheus_client.CollectorRegistry()
 
@@ -113,14 +109,14 @@
 
 
 class MetricsServer:
-    """Serve the figures to whoever collects them."""
+    """HTTP server of the metrics."""
 
     def __init__(self) -> None:
-        """Serve nothing until ``start``."""
+        """Serve from ``start`` on."""
         self._runner: web.ServerRunner | None = None
 
     async def start(self, address: str) -> None:
-        """Serve at HOST:PORT; an empty address serves nowhere."""
+        """Serve at HOST:PORT, or not at all if the address is empty."""
         if not address:
             return
         self._runner = web.ServerRunner(
@@ -137,7 +133,7 @@
 
 
 def render() -> bytes:
-    """Write all figures as text."""
+    """Return all metrics in the text format."""
     return prometheus_client.generate_latest(_registry)
 
 
--- a/tamarackthread/shared/site/source_selection.py
+++ b/tamarackthread/shared/site/source_selection.py
@@ -1,10 +1,4 @@
-"""Decide which control host brings a follower its configurations.
-
-The failure: each control host tells each follower of a new configuration, and all
-of them send it whole, so that it crosses between zones some ten times for each
-process.  One near host sends it; the others only name its version, and one of
-them is asked for it where the near one has not brought it soon.
-"""
+"""Choose the control host that sends documents; others send only versions."""
 
 from __future__ import annotations
 
@@ -15,70 +9,69 @@
 
 from tamarackthread.shared import peers
 
-# A near host has a new configuration some hundredths of a second after the first
-# one that tells of it.  Later it is asked of the next host, and so on.
+# Wait for the preferred host to have a new version, then for each further one.
 FETCH_SECONDS = 0.3
-NEXT_SECONDS = 0.15
-# A host that did not bring one in time is put last for so long.
-MISSED_SECONDS = 5.0
-_MARK_BYTES = 8
+NEXT_FETCH_SECONDS = 0.15
+# How long a host that timed out is sorted last.
+PENALTY_SECONDS = 5.0
+_HASH_BYTES = 8
 
 
 @attrs.define(eq=False)
 class SourceState:
-    """What one control host has told of versions.
-
-    ``told`` is the highest of which it has told, and ``is_asked`` whether it is to
-    send the configuration with its next answer.
+    """Versions of one control host; ``advertised`` is the highest one, and with
+    ``is_fetch_due`` set its next reply is to carry the document.
     """
 
-    told: int = 0
-    is_asked: bool = False
-    missed_at: float | None = None
+    advertised: int = 0
+    is_fetch_due: bool = False
+    timed_out_at: float | None = None
 
 
 class SourceSelector:
-    """Put the control hosts in order: near ones first, each follower another."""
+    """Order control hosts: own zone first, then by a hash of both addresses."""
 
     def __init__(self, links: peers.Peers) -> None:
-        """Learn from ``links`` in which zone a host is."""
+        """Use ``links`` to look up the zones of hosts."""
         self._links = links
-        self._supplies: dict[str, SourceState] = {}
+        self._states: dict[str, SourceState] = {}
 
     def state(self, address: str) -> SourceState:
-        """Return what a host has told."""
-        return self._supplies.setdefault(address, SourceState())
+        """Return the state of a host."""
+        return self._states.setdefault(address, SourceState())
 
     def forget(self, address: str) -> None:
-        """Forget a host."""
-        self._supplies.pop(address, None)
+        """Drop the state of a host."""
+        self._states.pop(address, None)
 
     def order(self, addresses: list[str]) -> list[str]:
-        """Return hosts in the order in which they are asked."""
+        """Return hosts in order of preference."""
         return sorted(addresses, key=self._rank)
 
     def is_first(self, address: str, addresses: list[str]) -> bool:
-        """Tell whether a host is the one that brings configurations."""
+        """Return whether a host is the preferred one."""
         return address in self.order([*addresses, address])[:1]
 
     def fetch_delay(self, address: str, addresses: list[str]) -> float:
-        """Return how long others may take before a host is asked, in seconds."""
-        place = self.order([*addresses, address]).index(address)
-        return FETCH_SECONDS + place * NEXT_SECONDS
+        """Return the seconds to wait for preferred hosts before asking this one."""
+        position = self.order([*addresses, address]).index(address)
+        return FETCH_SECONDS + position * NEXT_FETCH_SECONDS
 
     def record_timeout(self, addresses: list[str]) -> None:
-        """Note that the first of some hosts has not brought one in time."""
+        """Record that the preferred host did not deliver in time."""
         now = asyncio.get_running_loop().time()
         for first in self.order(addresses)[:1]:
-            self.state(first).missed_at = now
+            self.state(first).timed_out_at = now
 
     def _rank(self, address: str) -> tuple[bool, bool, bytes]:
         now = asyncio.get_running_loop().time()
-        missed_at = self.state(address).missed_at
-        has_missed = missed_at is not None and now - missed_at < MISSED_SECONDS
+        timed_out_at = self.state(address).timed_out_at
+        has_timed_out = (
+            timed_out_at is not None and now - timed_out_at < PENALTY_SECONDS
+        )
         own = self._links.own
-        held = self._links.current(address)
-        is_far = held is None or held.peer.zone != own.zone
+        link = self._links.current(address)
+        is_far = link is None or link.peer.zone != own.zone
         text = f'{own.node} {own.address} {address}'.encode()
-        mark = hashlib.blake2b(text, digest_size=_MARK_BYTES).digest()
-        return has_missed, is_far, mark
+        digest = hashlib.blake2b(text, digest_size=_HASH_BYTES).digest()
+        return has_timed_out, is_far, digest
--- a/tamarackthread/shared/site/zones.py
+++ b/tamarackthread/shared/site/zones.py
@@ -1,4 +1,4 @@
-"""Know which availability zones are evacuated: their targets get no work."""
+"""Evacuated availability zones, whose targets get no calls."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Zone:
-    """What was last asked of one zone; ``revision`` counts its changes."""
+    """Requested state of one zone; ``revision`` counts its changes."""
 
     name: str
     is_evacuated: bool = False
@@ -19,20 +19,20 @@
 
 
 class Zones:
-    """Hold the newest row of each zone."""
+    """The newest row of each zone."""
 
     def __init__(self) -> None:
-        """Begin with no zone evacuated."""
+        """Start with no zone evacuated."""
         self._rows: dict[str, Zone] = {}
 
     @property
     def changes(self) -> int:
-        """Return the sum of all revisions, which grows with each change."""
+        """Return the sum of all revisions, which increases with each change."""
         return sum(row.revision for row in self._rows.values())
 
     @property
     def rows(self) -> list[Zone]:
-        """List the zones that were ever evacuated, by name."""
+        """Return all zones that were ever evacuated, in order of name."""
         return [self._rows[name] for name in sorted(self._rows)]
 
     def get(self, name: str) -> Zone:
@@ -40,39 +40,35 @@
         return self._rows.get(name) or Zone(name)
 
     def is_evacuated(self, name: str) -> bool:
-        """Tell whether the targets of a zone get no work."""
+        """Return whether a zone is evacuated."""
         row = self._rows.get(name)
         return row is not None and row.is_evacuated
 
     def learn(self, row: Zone) -> bool:
-        """Take a row unless a newer one is held; tell whether it is news.
-
-        Control hosts that are behind tell of requests that others have
-        overtaken.
-        """
+        """Store a row unless it is stale; return whether it was stored."""
         if row.revision <= self.get(row.name).revision:
             return False
         self._rows[row.name] = row
         return True
 
 
-def to_messages(held: Zones) -> list[messages.SiteZone]:
-    """Put all rows into a message between nodes."""
-    return [to_message(row) for row in held.rows]
+def to_messages(zones: Zones) -> list[messages.SiteZone]:
+    """Build the message form of all rows."""
+    return [to_message(row) for row in zones.rows]
 
 
 def to_message(row: Zone) -> messages.SiteZone:
-    """Put one row into a message."""
+    """Build the message form of one row."""
     return messages.SiteZone(row.name, row.is_evacuated, row.revision)
 
 
 def from_messages(
     rows: collections.abc.Iterable[messages.SiteZone],
 ) -> list[Zone]:
-    """Read what ``to_messages`` wrote."""
+    """Read rows from their message form."""
     return [from_message(row) for row in rows]
 
 
 def from_message(row: messages.SiteZone) -> Zone:
-    """Read what ``to_message`` wrote."""
+    """Read one row from its message form."""
     return Zone(row.name, bool(row.is_evacuated), row.revision or 0)
