--- a/tamarackthread/shared/__init__.py
+++ b/tamarackthread/shared/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what every role needs: errors, links, settings, logs and metrics."""
+"""Code for every role: errors, links, settings, logs and metrics."""
--- a/tamarackthread/shared/catalogue.py
+++ b/tamarackthread/shared/catalogue.py
@@ -1,10 +1,4 @@
-"""Keep the newest version of each document in the order of revisions.
-
-Control hosts, relays and nodes share this class, so that each of them can
-serve the documents after any revision.  Deletions are kept as documents with
-an empty body, up to a limit; a reader from before that limit gets the whole
-state as a snapshot.
-"""
+"""Store the newest version of each document in order of revision."""
 
 from __future__ import annotations
 
@@ -24,10 +18,8 @@
 
 @attrs.frozen
 class Page:
-    """Documents in the order of revisions, and the revision they lead to.
-
-    ``floor`` is the revision up to which deletions are forgotten.  With
-    ``snapshot`` set, what no page names does not exist.
+    """Documents up to a revision.  ``floor`` is that of the newest dropped
+    deletion; in a snapshot, documents on no page do not exist.
     """
 
     revision: int
@@ -38,12 +30,14 @@
 
 
 class Catalogue:
-    """Hold documents by kind and name, ordered by revision."""
+    """Documents by kind and name; deletions are kept with an empty body, up to a
+    limit, and readers from before that need a snapshot.
+    """
 
     def __init__(self) -> None:
         """Start empty at revision 0."""
-        # A document that changes is taken out and put at the end, so that
-        # the dictionary's own order is the order of revisions.
+        # A changed document is moved to the end, so that the dictionary is
+        # in order of revision.
         self._documents: dict[Key, messages.Document] = {}
         self._deletions = 0
         self._revision = 0
@@ -51,61 +45,58 @@
 
     @property
     def revision(self) -> int:
-        """Give the revision that the documents are at; it never falls."""
+        """Return the revision of the documents; it never decreases."""
         return self._revision
 
     @property
     def floor(self) -> int:
-        """Give the revision up to which deletions are forgotten."""
+        """Return the revision of the newest deletion that was dropped."""
         return self._floor
 
     def __len__(self) -> int:
-        """Count the documents, deletions included."""
+        """Return the number of documents, including deletions."""
         return len(self._documents)
 
     def put(self, document: messages.Document) -> bool:
-        """Take a document unless a newer one is held; say whether it was."""
+        """Store a document unless it is stale; return whether it was stored."""
         key = (document.kind, document.name)
-        held = self._documents.get(key)
-        if held is not None and held.revision >= document.revision:
+        stored = self._documents.get(key)
+        if stored is not None and stored.revision >= document.revision:
             return False
         self._documents.pop(key, None)
-        if held is not None and not held.body:
+        if stored is not None and not stored.body:
             self._deletions -= 1
         self._documents[key] = document
         self._deletions += not document.body
-        self._forget_deletions()
+        self._drop_deletions()
         return True
 
     def advance(self, revision: int) -> None:
-        """Note that all documents up to a revision are held."""
+        """Raise the revision, once all documents up to it are stored."""
         self._revision = max(self._revision, revision)
 
     def latest(self, kind: str, name: str) -> messages.Document | None:
-        """Find a document by its key, also one that was deleted."""
+        """Return a document by its key, including a deletion."""
         return self._documents.get((kind, name))
 
     def get(self, kind: str, name: str) -> messages.Document | None:
-        """Find a document that exists."""
+        """Return a document, or ``None`` if it is missing or deleted."""
         found = self._documents.get((kind, name))
         return found if found is not None and found.body else None
 
     def each(self, kind: str) -> collections.abc.Iterator[messages.Document]:
-        """Yield the existing documents of a kind, oldest change first."""
+        """Yield the documents of a kind in order of revision, without deletions."""
         for document in tuple(self._documents.values()):
             if document.kind == kind and document.body:
                 yield document
 
     def everything(self) -> collections.abc.Iterator[messages.Document]:
-        """Yield all documents in the order of revisions, deletions too."""
+        """Yield all documents and deletions in order of revision."""
         yield from tuple(self._documents.values())
 
     def after(self, revision: int, snapshot_floor: int | None = None) -> Page:
-        """Build the page that follows a revision.
-
-        ``snapshot_floor`` is the floor of the snapshot that the reader is in
-        the middle of; once the floor has moved it starts again from the
-        first page, for a deletion may have been forgotten in between.
+        """Build the page after a revision.  If the floor has moved from the one
+        at which the reader's snapshot began, the snapshot starts over.
         """
         snapshot = snapshot_floor is not None or revision < self._floor
         if snapshot and snapshot_floor != self._floor:
@@ -122,7 +113,7 @@
         revision: int,
         floor: int,
     ) -> None:
-        """Take a whole state, given in the order of revisions."""
+        """Replace the whole state by documents in order of revision."""
         self._documents = {}
         self._deletions = 0
         self._floor = floor
@@ -140,7 +131,7 @@
         newer.reverse()
         return newer
 
-    def _forget_deletions(self) -> None:
+    def _drop_deletions(self) -> None:
         if self._deletions <= DELETIONS_LIMIT:
             return
         for key, document in tuple(self._documents.items()):
@@ -154,9 +145,9 @@
 
 
 def _first_page(newer: list[messages.Document]) -> list[messages.Document]:
-    taken = 0
+    size = 0
     for position, document in enumerate(newer):
-        taken += len(document.body) + DOCUMENT_OVERHEAD_BYTES
-        if taken > PAGE_BYTES and position:
+        size += len(document.body) + DOCUMENT_OVERHEAD_BYTES
+        if size > PAGE_BYTES and position:
             return newer[:position]
     return newer
--- a/tamarackthread/shared/claim_errors.py
+++ b/tamarackthread/shared/claim_errors.py
@@ -1,8 +1,4 @@
-"""Define the coded errors of claims, for callers, entries and agents.
-
-``ran`` speaks of the keyed request as a whole and not only of the try that
-failed, because a second try may be refused while the first one has run.
-"""
+"""Coded errors of claims; ``ran`` covers all tries of the keyed request."""
 
 from __future__ import annotations
 
@@ -11,14 +7,14 @@
 
 
 class ClaimsFull(errors.CodedError):
-    """No room is left for claims; nothing is forgotten early to make some."""
+    """Claim table is full; no claim is evicted before it expires."""
 
     code = 'TT4500'
     status = 503
 
 
 class ClaimsUnavailable(errors.CodedError):
-    """Claim's shard can't be asked, so an earlier try may have run."""
+    """Claim's shard is unreachable, so an earlier try may have run."""
 
     code = 'TT4501'
     status = 503
@@ -71,11 +67,7 @@
 
 
 class ClaimFenced(errors.CodedError):
-    """Claim was sealed, or the call or a newer one with its key came before.
-
-    This call was not started, but another with the same key may have been:
-    the entry waits for that one's outcome.
-    """
+    """Claim was sealed or superseded; another call with its key may have run."""
 
     code = 'TT4510'
     status = 409
@@ -83,21 +75,21 @@
 
 
 class HandoverExpired(errors.CodedError):
-    """Claimed call came after the time in which it might start."""
+    """Claimed call arrived after its start window."""
 
     code = 'TT4511'
     status = 503
 
 
 class HandoverMismatch(errors.CodedError):
-    """Claimed call was meant for another process than this one."""
+    """Claimed call was addressed to another process."""
 
     code = 'TT4512'
     status = 503
 
 
 class GateFull(errors.CodedError):
-    """Agent has no room to remember another claimed call."""
+    """Agent's table of claimed calls is full."""
 
     code = 'TT4513'
     status = 503
--- a/tamarackthread/shared/claim_keys.py
+++ b/tamarackthread/shared/claim_keys.py
@@ -1,4 +1,4 @@
-"""Name claims by key and find the shard where a key's claim lives."""
+"""Hash the keys of claims and select their shards."""
 
 from __future__ import annotations
 
@@ -15,9 +15,8 @@
 
 @attrs.frozen
 class Shard:
-    """One group of control hosts that keeps claims.
-
-    ``members`` are addresses; any of them knows or learns the leader.
+    """One group of control hosts that stores claims; ``members`` are
+    addresses, each of which can find the leader.
     """
 
     name: str
@@ -26,17 +25,15 @@
 
 
 def claim_key(organisation: str, key: str) -> bytes:
-    """Give the fixed-size name under which a key's claim is kept.
-
-    The organisation is part of it, so two organisations that pick the same
-    key never meet.
+    """Return the fixed-size hash under which a claim is stored; it includes
+    the organisation, so that keys of two organisations do not collide.
     """
     joined = SEPARATOR.join((organisation.encode(), key.encode()))
     return xxhash.xxh3_128_digest(joined)
 
 
 def digest(method: str, path: str, body: bytes) -> bytes:
-    """Fingerprint a request, to notice a key that is reused for another."""
+    """Hash a request, to detect a key that is reused for another one."""
     hashed = xxhash.xxh3_128()
     for part in (method.encode(), path.encode()):
         hashed.update(part)
@@ -51,20 +48,16 @@
     shards: collections.abc.Iterable[Shard],
     home_region: str,
 ) -> Shard:
-    """Pick the shard of a key; raise ``ShardUnknown`` when there is none.
-
-    Only shards in the organisation's home region are weighed, so that the
-    write before the hand-over seldom leaves the region.  An organisation
-    whose region keeps no shard uses all of them.  The highest hash wins:
-    every entry picks alike, whatever order it heard of the shards in.
+    """Select a key's shard by rendezvous hashing, in the home region if it has
+    shards; raise ``ShardUnknown`` if there are none at all.
     """
     known = tuple(shards)
-    near = tuple(shard for shard in known if shard.region == home_region)
-    candidates = near or known
+    local = tuple(shard for shard in known if shard.region == home_region)
+    candidates = local or known
     if not candidates:
         raise claim_errors.ShardUnknown(home_region)
-    name = claim_key(organisation, key)
-    return max(candidates, key=lambda shard: _weight(shard.name, name))
+    hashed = claim_key(organisation, key)
+    return max(candidates, key=lambda shard: _weight(shard.name, hashed))
 
 
 def _weight(shard: str, key: bytes) -> int:
--- a/tamarackthread/shared/documents.py
+++ b/tamarackthread/shared/documents.py
@@ -1,7 +1,5 @@
-"""Read and check the bodies of replicated documents.
-
-``check`` stands before a commit and is strict; ``parse`` reads what was
-committed and passes over keys that a newer version may have added.
+"""Check document bodies strictly before a commit, and parse committed ones,
+ignoring keys of newer versions.
 """
 
 from __future__ import annotations
@@ -60,7 +58,7 @@
 
 
 def parse(kind: str, body: str) -> Parsed:
-    """Read a committed body; raise ``DocumentUnreadable`` if it can't be."""
+    """Parse a committed body; raise ``DocumentUnreadable`` or ``KindUnknown``."""
     class_ = CLASSES.get(kind)
     if class_ is None:
         raise findings.KindUnknown(kind)
@@ -71,9 +69,8 @@
 
 
 def check(kind: str, name: str, body: str) -> list[messages.Finding]:
-    """Return everything that keeps a body from being committed.
-
-    An empty body deletes the document, so only kind and name are checked.
+    """Return all findings for which a body is rejected.  An empty body deletes
+    the document, so only kind and name are checked.
     """
     if kind not in CLASSES:
         text = f'"{kind}" is none of {", ".join(KINDS)}'
@@ -91,13 +88,10 @@
     kind: str,
     value: typing.Any,
 ) -> collections.abc.Iterator[schema_errors.Violation]:
-    """Yield the broken rules of a body that is already parsed.
-
-    The leader checks on its event loop.  A body of tens of thousands of
-    values would hold it up for longer than its lease, and every change would
-    cost an election; so a body over the limit gets no further look.
+    """Yield the violations of a parsed body.  One over the limit is not checked
+    further: that could block the leader's event loop beyond its lease.
     """
-    if _exceeds(value, MAX_VALUES):
+    if _has_more_values(value, MAX_VALUES):
         text = f'more than {MAX_VALUES} values'
         yield schema_errors.Violation(
             (),
@@ -116,24 +110,24 @@
 
 
 def place(path: jsonc.Path) -> str:
-    """Write a path the way that JSON paths are written."""
+    """Format a path as a JSON path."""
     parts = [_ROOT]
     for key in path:
         parts.append(f'[{key}]' if isinstance(key, int) else f'.{key}')
     return ''.join(parts)
 
 
-def _exceeds(value: typing.Any, limit: int) -> bool:
-    """Count the values in a body, no further than to the limit."""
-    waiting = [value]
+def _has_more_values(value: typing.Any, limit: int) -> bool:
+    """Return whether a body has more values than the limit."""
+    pending = [value]
     count = 0
-    while waiting and count <= limit:
-        part = waiting.pop()
+    while pending and count <= limit:
+        part = pending.pop()
         count += 1
         if isinstance(part, dict):
-            waiting.extend(part.values())
+            pending.extend(part.values())
         elif isinstance(part, list):
-            waiting.extend(part)
+            pending.extend(part)
     return count > limit
 
 
@@ -151,8 +145,8 @@
     except (ValueError, RecursionError) as exc:
         yield _finding(_ROOT, findings.SyntaxInvalid, str(exc))
         return
-    for key in pairs.doubled:
-        text = f'"{key}" stands twice in one object'
+    for key in pairs.duplicates:
+        text = f'"{key}" appears twice in one object'
         yield _finding(_ROOT, findings.KeyDuplicate, text)
     for violation in violations(kind, value):
         yield messages.Finding(
@@ -163,10 +157,10 @@
 
 
 class _Pairs:
-    """Make dictionaries for the decoder, noting keys that stand twice."""
+    """Object hook of the decoder that records duplicate keys."""
 
     def __init__(self) -> None:
-        self.doubled: list[str] = []
+        self.duplicates: list[str] = []
 
     def __call__(
         self,
@@ -175,28 +169,28 @@
         known: dict[str, typing.Any] = {}
         for key, value in items:
             if key in known:
-                self.doubled.append(key)
+                self.duplicates.append(key)
             known[key] = value
         return known
 
 
 def _decode(body: str, pairs: _Pairs) -> typing.Any:
-    """Decode JSON, refusing what is not a usable number."""
+    """Decode JSON, rejecting NaN and infinite numbers."""
     return json.loads(
         body,
         object_pairs_hook=pairs,
-        parse_constant=_refuse_number,
+        parse_constant=_reject_number,
         parse_float=_finite,
     )
 
 
 def _finite(text: str) -> float:
     value = float(text)
-    return value if math.isfinite(value) else _refuse_number(text)
+    return value if math.isfinite(value) else _reject_number(text)
 
 
-def _refuse_number(text: str) -> typing.NoReturn:
-    raise ValueError(f'{text} is not a usable number')
+def _reject_number(text: str) -> typing.NoReturn:
+    raise ValueError(f'{text} is not a finite number')
 
 
 def _cross_check(
@@ -220,5 +214,5 @@
             )
 
 
-def _finding(where: str, kind: type, text: str) -> messages.Finding:
-    return messages.Finding(place=where, code=kind.code, text=text)
+def _finding(location: str, kind: type, text: str) -> messages.Finding:
+    return messages.Finding(place=location, code=kind.code, text=text)
--- a/tamarackthread/shared/errors.py
+++ b/tamarackthread/shared/errors.py
@@ -1,9 +1,4 @@
-"""Define the coded errors that callers, operators and peers see.
-
-Every way to fail has one class with a stable code.  ``catalogue`` lists them
-all, and ``docs/ERRORS.md`` is checked against it.  Other modules may define
-errors of their own by deriving from ``CodedError``; they join the catalogue.
-"""
+"""Errors with stable codes; subclasses in any module join ``catalogue``."""
 
 from __future__ import annotations
 
@@ -15,10 +10,8 @@
 
 
 class CodedError(Exception):
-    """The base of every error that has a stable code.
-
-    ``ran`` says what is known about the call's execution and ``status`` is
-    the HTTP status that a caller gets; ``retry_after`` is in seconds.
+    """Base of all errors with a code.  ``ran`` says whether the call was run,
+    ``status`` is the HTTP status for the caller.
     """
 
     code = 'TT0000'
@@ -26,12 +19,12 @@
     ran = messages.Ran.NOT_RUN
 
     def __init__(self, text: str = '', retry_after: float = 0) -> None:
-        """Keep the text for people and the honest retry time in seconds."""
+        """Set the message and the seconds after which to retry."""
         super().__init__(text or self.__doc__ or '')
         self.retry_after = retry_after
 
     def __init_subclass__(cls) -> None:
-        """Register the class under its code, refusing a second use of it."""
+        """Register the class; raise ``RuntimeError`` if its code is taken."""
         super().__init_subclass__()
         other = _classes.get(cls.code)
         if other is not None and other.__qualname__ != cls.__qualname__:
@@ -40,13 +33,13 @@
 
 
 def catalogue() -> collections.abc.Iterator[type[CodedError]]:
-    """Yield every coded error known so far, ordered by code."""
+    """Yield all registered error classes in order of code."""
     for code in sorted(_classes):
         yield _classes[code]
 
 
 def by_code(code: str) -> type[CodedError] | None:
-    """Find the class for a code that a peer sent, or ``None``."""
+    """Return the error class of a code, or ``None``."""
     return _classes.get(code)
 
 
@@ -67,7 +60,7 @@
 
 
 class PeerFailure(CodedError):
-    """Peer process answered with a failure that this version cannot name."""
+    """Peer process answered with an error code that is unknown here."""
 
     code = 'TT1003'
     status = 502
@@ -75,7 +68,7 @@
 
 
 class FrameInvalid(CodedError):
-    """Peer sent a frame that makes no sense."""
+    """Peer sent a malformed frame."""
 
     code = 'TT1004'
 
@@ -87,7 +80,7 @@
 
 
 class GreetingRefused(CodedError):
-    """Peer could not prove that it belongs to this system."""
+    """Peer could not authenticate as part of this system."""
 
     code = 'TT1006'
 
@@ -100,7 +93,7 @@
 
 
 class StreamBroken(CodedError):
-    """Stream between two processes broke in the middle."""
+    """Stream between two processes ended early."""
 
     code = 'TT1008'
     status = 502
--- a/tamarackthread/shared/events.py
+++ b/tamarackthread/shared/events.py
@@ -1,7 +1,5 @@
-"""Cut an engine's event stream into whole events.
-
-Only whole events are passed on and counted, so that a broken stream can be
-resumed exactly after the last event that the caller has.
+"""Split a stream of server-sent events and count whole events, after which a
+broken stream can be resumed.
 """
 
 from __future__ import annotations
@@ -15,7 +13,7 @@
 
 
 class EventTooLarge(errors.CodedError):
-    """Engine sent an event that does not end."""
+    """Engine sent an event over the limit."""
 
     code = 'TT1010'
     status = 502
@@ -23,62 +21,59 @@
 
 
 class EventSplitter:
-    """Collect bytes and give back whole server-sent events."""
+    """Buffer bytes and return whole server-sent events."""
 
     def __init__(self) -> None:
-        """Start between two events."""
-        self._rest = b''
-        self._tail = b''
+        """Start with an empty buffer."""
+        self._buffer = b''
+        self._pending_cr = b''
         self._count = 0
         self._done = False
 
     @property
     def count(self) -> int:
-        """Count the events given back, the closing one left out."""
+        """Return the number of events returned, without the final ``[DONE]``."""
         return self._count
 
     @property
     def done(self) -> bool:
-        """Tell whether the engine said that the answer is whole."""
+        """Return whether the final ``[DONE]`` was received."""
         return self._done
 
     @property
     def rest(self) -> bytes:
-        """Give the bytes of an event that is not whole yet."""
-        return self._rest + self._tail
+        """Return the buffered bytes of an incomplete event."""
+        return self._buffer + self._pending_cr
 
     def feed(self, received: bytes) -> bytes:
-        """Add bytes and return the whole events among all that is held.
-
-        Raises ``EventTooLarge`` when an event never ends.  What comes is the
-        same however the bytes were split on their way, because a resumed
-        stream goes on after so many events.
+        """Add bytes and return whole events, however the bytes were split;
+        raise ``EventTooLarge`` if an event exceeds the limit.
         """
-        held = self._rest + self._normal(received)
-        *events, rest = held.split(SEPARATOR)
-        self._keep(rest)
+        buffered = self._buffer + self._normalise(received)
+        *events, rest = buffered.split(SEPARATOR)
+        self._store(rest)
         whole = bytearray()
         for event in events:
             text = event.strip(b'\n')
             if not text:
                 continue
             whole += text + SEPARATOR
-            self._note(text)
+            self._count_event(text)
         return bytes(whole)
 
-    def _normal(self, received: bytes) -> bytes:
-        """End lines with a line feed, also one whose two bytes came apart."""
-        received = self._tail + received
-        self._tail = received[-1:] if received.endswith(b'\r') else b''
-        usable = received[: len(received) - len(self._tail)]
+    def _normalise(self, received: bytes) -> bytes:
+        """Convert CRLF to LF, including a pair that was split between chunks."""
+        received = self._pending_cr + received
+        self._pending_cr = received[-1:] if received.endswith(b'\r') else b''
+        usable = received[: len(received) - len(self._pending_cr)]
         return usable.replace(b'\r\n', b'\n')
 
-    def _keep(self, rest: bytes) -> None:
+    def _store(self, rest: bytes) -> None:
         if len(rest) > MAX_EVENT_BYTES:
             raise EventTooLarge(f'over {MAX_EVENT_BYTES} bytes')
-        self._rest = rest
+        self._buffer = rest
 
-    def _note(self, event: bytes) -> None:
+    def _count_event(self, event: bytes) -> None:
         if event == DONE:
             self._done = True
             return
--- a/tamarackthread/shared/findings.py
+++ b/tamarackthread/shared/findings.py
@@ -1,8 +1,4 @@
-"""Name what can be wrong in settings and documents.
-
-A finding is not raised by itself: all that are found go into one report, each
-with its place and the code of one of these classes.
-"""
+"""Findings in settings and documents, and the error classes of their codes."""
 
 from __future__ import annotations
 
@@ -17,10 +13,8 @@
 
 @attrs.frozen
 class Finding:
-    """One thing that is wrong.
-
-    ``place`` is ``file:line:column`` in a settings file and a path such as
-    ``$.routing.policy`` in a document.
+    """One invalid value; ``place`` is ``file:line:column`` in a settings file and
+    a path such as ``$.routing.policy`` in a document.
     """
 
     place: str
@@ -28,12 +22,12 @@
     text: str
 
     def __str__(self) -> str:
-        """Give the line that an operator reads."""
+        """Return the finding as one line."""
         return f'{self.place}: {self.code} {self.text}'
 
 
 class InvalidError(errors.CodedError):
-    """Settings or a document were refused; all findings are told."""
+    """Settings or a document are invalid; all findings are listed."""
 
     code = 'TT2000'
     status = BAD_REQUEST
@@ -42,13 +36,13 @@
         self,
         findings: collections.abc.Iterable[Finding] = (),
     ) -> None:
-        """Keep the findings and show each on a line."""
+        """Store the findings; the message has one line for each."""
         self._findings = tuple(findings)
         super().__init__('\n'.join(str(found) for found in self._findings))
 
     @property
     def findings(self) -> tuple[Finding, ...]:
-        """Give all findings in the order of their places."""
+        """Return all findings in order of place."""
         return self._findings
 
 
@@ -67,28 +61,28 @@
 
 
 class KeyDuplicate(errors.CodedError):
-    """Key stands twice in one object."""
+    """Key appears twice in one object."""
 
     code = 'TT2003'
     status = BAD_REQUEST
 
 
 class KeyUnknown(errors.CodedError):
-    """Key is not known here."""
+    """Key is not known in this object."""
 
     code = 'TT2004'
     status = BAD_REQUEST
 
 
 class KeyMissing(errors.CodedError):
-    """Needed key is missing."""
+    """Required key is missing."""
 
     code = 'TT2005'
     status = BAD_REQUEST
 
 
 class TypeInvalid(errors.CodedError):
-    """Value is of another type than its key takes."""
+    """Value has the wrong type for its key."""
 
     code = 'TT2006'
     status = BAD_REQUEST
@@ -116,7 +110,7 @@
 
 
 class AddressOverlap(errors.CodedError):
-    """Two things would use one address."""
+    """Two endpoints use the same address."""
 
     code = 'TT2010'
     status = BAD_REQUEST
@@ -130,7 +124,7 @@
 
 
 class TimingInvalid(errors.CodedError):
-    """Two times do not fit together."""
+    """Two durations contradict each other."""
 
     code = 'TT2012'
     status = BAD_REQUEST
--- a/tamarackthread/shared/jsonc.py
+++ b/tamarackthread/shared/jsonc.py
@@ -1,7 +1,5 @@
-"""Read JSON with comments and keep where each value stands.
-
-``//`` and ``/* */`` comments and a comma after the last item are taken; all
-else is JSON.  Lark parses, because it gives line and column of each token.
+"""Parse JSON with comments and trailing commas, and record the position of
+each value.
 """
 
 from __future__ import annotations
@@ -41,7 +39,7 @@
 
 @attrs.frozen
 class Position:
-    """A place in a text; both numbers start at 1."""
+    """Position in a text; both numbers start at 1."""
 
     line: int
     column: int
@@ -49,7 +47,7 @@
 
 @attrs.frozen
 class Problem:
-    """Something wrong at a place, before the file's name is known."""
+    """Finding in a text, without the file name."""
 
     position: Position
     code: str
@@ -58,14 +56,14 @@
 
 @attrs.frozen
 class Text:
-    """A parsed text: its plain value and the place of each part."""
+    """Parsed text: its value, and the positions of all parts."""
 
     value: typing.Any
     positions: dict[Path, Position]
     problems: tuple[Problem, ...]
 
     def position(self, path: Path) -> Position:
-        """Find a part's place, or that of the nearest part around it."""
+        """Return the position of a part, or of the nearest enclosing one."""
         while path and path not in self.positions:
             path = path[:-1]
         return self.positions.get(path, Position(1, 1))
@@ -86,35 +84,35 @@
 
 
 class _Nodes(lark.Transformer):
-    """Turn the parse tree into nodes while it is parsed."""
+    """Build nodes during the parse."""
 
     def start(self, items: list) -> _Node:
         return items[0]
 
     def object(self, items: list) -> _Node:
-        return _Node('object', _at(items[0]), items[1:])
+        return _Node('object', _position(items[0]), items[1:])
 
     def array(self, items: list) -> _Node:
-        return _Node('array', _at(items[0]), items[1:])
+        return _Node('array', _position(items[0]), items[1:])
 
     def pair(self, items: list) -> _Pair:
-        return _Pair(json.loads(items[0]), _at(items[0]), items[1])
+        return _Pair(json.loads(items[0]), _position(items[0]), items[1])
 
     def string(self, items: list) -> _Node:
-        return _Node('plain', _at(items[0]), json.loads(items[0]))
+        return _Node('plain', _position(items[0]), json.loads(items[0]))
 
     def number(self, items: list) -> _Node:
         value = math.inf
         if len(items[0]) <= MAX_NUMBER_CHARACTERS:
             value = json.loads(items[0])
-        return _Node('number', _at(items[0]), value)
+        return _Node('number', _position(items[0]), value)
 
     def word(self, items: list) -> _Node:
-        return _Node('plain', _at(items[0]), json.loads(items[0]))
+        return _Node('plain', _position(items[0]), json.loads(items[0]))
 
 
 class _Reader:
-    """Walk the nodes once, collecting places and problems."""
+    """Convert nodes to values, collecting positions and problems."""
 
     def __init__(self) -> None:
         self.positions: dict[Path, Position] = {}
@@ -130,7 +128,7 @@
                 for number, item in enumerate(node.value)
             ]
         if node.kind == 'number' and not math.isfinite(node.value):
-            self._note(node.position, findings.ValueInvalid, 'too large')
+            self._add_problem(node.position, findings.ValueInvalid, 'too large')
         return node.value
 
     def _object(self, node: _Node, path: Path) -> dict[str, typing.Any]:
@@ -138,19 +136,19 @@
         for pair in node.value:
             if pair.key in values:
                 first = self.positions[(*path, pair.key)]
-                text = f'"{pair.key}" stands already in line {first.line}'
-                self._note(pair.position, findings.KeyDuplicate, text)
+                text = f'"{pair.key}" already appears in line {first.line}'
+                self._add_problem(pair.position, findings.KeyDuplicate, text)
                 continue
             self.positions[(*path, pair.key)] = pair.position
             values[pair.key] = self.read(pair.node, (*path, pair.key))
         return values
 
-    def _note(self, position: Position, kind: type, text: str) -> None:
+    def _add_problem(self, position: Position, kind: type, text: str) -> None:
         self.problems.append(Problem(position, kind.code, text))
 
 
 def parse(text: str) -> Text:
-    """Parse a text; nonsense gives one problem and the value ``None``."""
+    """Parse a text; a syntax error gives one problem and the value ``None``."""
     try:
         node = _parser().parse(text)
     except lark.exceptions.UnexpectedInput as exc:
@@ -195,5 +193,5 @@
     )
 
 
-def _at(token: typing.Any) -> Position:
+def _position(token: typing.Any) -> Position:
     return Position(token.line, token.column)
--- a/tamarackthread/shared/target_errors.py
+++ b/tamarackthread/shared/target_errors.py
@@ -1,7 +1,4 @@
-"""Define the coded refusals and failures that an agent gives of its target.
-
-Entries know them too: how a call ended decides what they do next.
-"""
+"""Errors that agents report of their targets, and on which entries decide."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 
 
 class TargetSilent(errors.CodedError):
-    """Target did not answer its heartbeat a moment ago."""
+    """Target did not answer its last heartbeat."""
 
     code = 'TT6002'
     status = 503
@@ -53,14 +50,14 @@
 
 
 class TargetFull(errors.CodedError):
-    """Agent holds as many calls as its target may have."""
+    """Target has reached its concurrency limit."""
 
     code = 'TT6007'
     status = 503
 
 
 class BodyIncomplete(errors.CodedError):
-    """Body of the call ended before it was whole."""
+    """Request body ended early."""
 
     code = 'TT6008'
     status = 400
