--- a/tests/test_call_path.py
+++ b/tests/test_call_path.py
@@ -7,7 +7,7 @@
 
 from bench import load
 from bench.engines import batch, journal, plain, replica
-from tests import stage
+from tests import loopback
 
 QUICK = batch.EngineOptions(step_seconds=0.001)
 CHAT = load.Chat(prompt='two sows, one barn', tokens=40)
@@ -40,7 +40,7 @@
 def engine(name, options=QUICK):
     emulated = replica.Replica(options, journal.Journal(None))
     app = emulated.application()
-    return stage.Agent(name, app, kind='model', service='draft')
+    return loopback.Agent(name, app, kind='model', service='draft')
 
 
 async def cut(request):
@@ -50,15 +50,15 @@
 
 class SuccessCase(unittest.IsolatedAsyncioTestCase):
     async def test_stream_is_complete(self):
-        async with stage.running([engine('a')]) as (entry, caller):
+        async with loopback.running([engine('a')]) as (entry, caller):
             answer = await caller.chat(entry.address, CHAT)
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
         self.assertEqual(answer.text, load.expected_text(CHAT))
 
     async def test_plain_call_runs_once(self):
         service = plain.PlainService(journal.Journal(None), 0)
-        agent = stage.Agent('s', service.application())
-        async with stage.running([agent]) as (entry, caller):
+        agent = loopback.Agent('s', service.application())
+        async with loopback.running([agent]) as (entry, caller):
             answer = await caller.plain(
                 entry.address,
                 'POST',
@@ -69,7 +69,7 @@
         self.assertIn('feed', answer.text)
 
     async def test_unknown_credential_and_path(self):
-        async with stage.running([]) as (entry, caller):
+        async with loopback.running([]) as (entry, caller):
             wrong = await caller.plain(entry.address, 'GET', '/nowhere')
             caller._token = 'other'
             unknown = await caller.plain(entry.address, 'GET', '/stock')
@@ -83,10 +83,10 @@
         first = Booking(cut)
         second = Booking(cut)
         agents = [
-            stage.Agent('a', first.application()),
-            stage.Agent('b', second.application()),
+            loopback.Agent('a', first.application()),
+            loopback.Agent('b', second.application()),
         ]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             answer = await caller.plain(
                 entry.address,
                 'POST',
@@ -101,10 +101,10 @@
         broken = Booking(cut)
         sound = Booking()
         agents = [
-            stage.Agent('a', broken.application()),
-            stage.Agent('b', sound.application()),
+            loopback.Agent('a', broken.application()),
+            loopback.Agent('b', sound.application()),
         ]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             answers = [
                 await caller.plain(entry.address, 'GET', '/stock')
                 for _ in range(4)
@@ -116,8 +116,8 @@
     async def test_lost_attempt_makes_the_call_may_have_run(self):
         """Guards against 'not run' from a refusal after a lost attempt."""
         broken = Booking(cut)
-        agents = [stage.Agent('a', broken.application())]
-        async with stage.running(agents) as (entry, caller):
+        agents = [loopback.Agent('a', broken.application())]
+        async with loopback.running(agents) as (entry, caller):
 
             async def cut_and_leave(request):
                 agents[0].gate.set_leaving()
@@ -135,8 +135,8 @@
             await asyncio.Event().wait()
 
         booking = Booking(never_respond)
-        agents = [stage.Agent('a', booking.application())]
-        async with stage.running(agents) as (entry, caller):
+        agents = [loopback.Agent('a', booking.application())]
+        async with loopback.running(agents) as (entry, caller):
             answer = await caller.plain(
                 entry.address,
                 'POST',
@@ -154,10 +154,10 @@
         leaving = Booking()
         staying = Booking()
         agents = [
-            stage.Agent('a', leaving.application()),
-            stage.Agent('b', staying.application()),
+            loopback.Agent('a', leaving.application()),
+            loopback.Agent('b', staying.application()),
         ]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             agents[0].gate._leaving = True
             for number in range(6):
                 answer = await caller.plain(
@@ -171,7 +171,7 @@
         self.assertEqual(len(staying.started), 6)
 
     async def test_leaving_agent_waits_for_its_streams(self):
-        async with stage.running([engine('a')]) as (entry, caller):
+        async with loopback.running([engine('a')]) as (entry, caller):
             agent = entry.fleet.connection('draft', 'a')
             self.assertTrue(agent.is_linked)
             request = asyncio.ensure_future(
@@ -179,7 +179,7 @@
             )
             while not agent.view.load.own_calls:
                 await asyncio.sleep(0)
-            agent.current_link.notify(stage.messages.Request())
+            agent.current_link.notify(loopback.messages.Request())
             answer = await request
         self.assertEqual(answer.outcome, load.Outcome.COMPLETE)
 
@@ -189,7 +189,7 @@
         """Guards against lost or repeated tokens after a lost agent."""
         agents = [engine('a'), engine('b')]
         long = load.Chat(prompt='go on', tokens=400)
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             request = asyncio.ensure_future(caller.chat(entry.address, long))
             busy = [agent for agent in agents if agent.gate.open_calls]
             while not busy:
@@ -216,14 +216,14 @@
             return response
 
         target = Booking(send_half)
-        agent = stage.Agent(
+        agent = loopback.Agent(
             'a',
             target.application(),
             kind='model',
             service='draft',
         )
         profile = {'resume': {'enabled': False}}
-        async with stage.running([agent], profile) as (entry, caller):
+        async with loopback.running([agent], profile) as (entry, caller):
             answer = await caller.chat(entry.address, CHAT)
         self.assertEqual(answer.outcome, load.Outcome.BROKEN)
         self.assertTrue(target.started)
--- a/tests/test_callers_limits.py
+++ b/tests/test_callers_limits.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bench import load
-from tests import stage, test_call_path
+from tests import loopback, test_call_path
 
 
 HEALTH = b'GET /-/health HTTP/1.1\r\nHost: x\r\n\r\n'
@@ -28,7 +28,7 @@
         """Guards against connections that never complete their headers."""
         agents = [test_call_path.engine('a')]
         limits = {'slow_body_seconds': 0.3}
-        async with stage.running(agents, **limits) as (entry, caller):
+        async with loopback.running(agents, **limits) as (entry, caller):
             reader, writer = await send(entry.address, b'GET / HTTP/1.1\r\nX')
             answer = await caller.chat(entry.address, test_call_path.CHAT)
             await wait_closed(reader)
@@ -43,7 +43,7 @@
             b'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
             b'Authorization: Bearer token\r\nContent-Length: 9\r\n\r\n{'
         )
-        async with stage.running(agents, **limits) as (entry, _caller):
+        async with loopback.running(agents, **limits) as (entry, _caller):
             reader, writer = await send(entry.address, raw)
             response = await reader.readuntil(b'}}')
             writer.close()
@@ -52,7 +52,7 @@
 
     async def test_too_many_connections(self):
         agents = [test_call_path.engine('a')]
-        async with stage.running(agents, connection_limit=1) as running:
+        async with loopback.running(agents, connection_limit=1) as running:
             address = running[0].address
             first = await send(address, HEALTH)
             await first[0].readuntil(b'alive')
@@ -63,7 +63,7 @@
 
     async def test_bad_values_are_named(self):
         agents = [test_call_path.engine('a')]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             deadline = await caller.plain(
                 entry.address,
                 'GET',
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -8,7 +8,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.policy import buckets
 from tamarackthread.shared import errors
-from tests import stage
+from tests import loopback
 
 
 class FakePeers:
@@ -35,7 +35,7 @@
         self.portions = buckets.Portions()
         known = directory.Directory()
         known.apply(
-            [stage.document('organisation', 'o', {'requests_per_second': 100})],
+            [loopback.document('organisation', 'o', {'requests_per_second': 100})],
         )
         self.leaser = rate_leases.RateLeaser(
             'e',
@@ -82,7 +82,7 @@
         async def run():
             self.leaser.update_limits()
             self.leaser._directory.apply(
-                [stage.document('organisation', 'o', {})],
+                [loopback.document('organisation', 'o', {})],
             )
             self.leaser.update_limits()
 
--- a/tests/test_keyed_calls.py
+++ b/tests/test_keyed_calls.py
@@ -10,7 +10,7 @@
 from bench import load
 from tamarackthread.control import failures
 from tamarackthread.generated.messages import ttypes as messages
-from tests import shards, stage
+from tests import shards, loopback
 
 State = messages.ClaimState
 Outcome = load.Outcome
@@ -52,11 +52,11 @@
 async def two_entries(*targets):
     """Run two entries with the same shards in front of the targets."""
     agents = [
-        stage.Agent(f'target-{number}', target.application())
+        loopback.Agent(f'target-{number}', target.application())
         for number, target in enumerate(targets)
     ]
-    async with stage.running(agents) as (first, caller):
-        second = stage.Entry('entry-2', first.shards)
+    async with loopback.running(agents) as (first, caller):
+        second = loopback.Entry('entry-2', first.shards)
         await second.start(agents)
         try:
             yield first, second, caller, agents
--- a/tests/test_profiles_in_use.py
+++ b/tests/test_profiles_in_use.py
@@ -6,7 +6,7 @@
 from bench import load
 from bench.engines import batch
 from tamarackthread.policy import routing
-from tests import stage, test_call_path
+from tests import loopback, test_call_path
 
 ONE_SLOT = batch.EngineOptions(step_seconds=0.002, slots=1)
 
@@ -14,12 +14,12 @@
 class ProfileCase(unittest.IsolatedAsyncioTestCase):
     async def test_new_profile_replaces_the_rules(self):
         agents = [test_call_path.engine('a')]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             pool = entry.fleet.pool('draft')
             before = pool.admission
             view = pool.connections['a'].view
             changed = {'routing': {'policy': 'round_robin'}}
-            entry.directory.apply([stage.document('profile', 'p', changed)])
+            entry.directory.apply([loopback.document('profile', 'p', changed)])
             entry.fleet.update()
             answer = await caller.chat(entry.address, test_call_path.CHAT)
             self.assertIsNot(pool.admission, before)
@@ -32,7 +32,7 @@
 
     async def test_unchanged_profile_keeps_the_queue(self):
         agents = [test_call_path.engine('a')]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             before = entry.fleet.pool('draft').admission
             entry.fleet.update()
             self.assertIs(entry.fleet.pool('draft').admission, before)
@@ -46,7 +46,7 @@
         draft = load.Chat(prompt='a long narrative', tokens=1500)
         notice = load.Chat(prompt='aurora now', tokens=5)
         agents = [test_call_path.engine('a', ONE_SLOT)]
-        async with stage.running(agents) as (entry, caller):
+        async with loopback.running(agents) as (entry, caller):
             draft_task = asyncio.ensure_future(
                 caller.chat(entry.address, draft, X_Priority='background'),
             )
