--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Put an entry, an agent and a fake target on loopback in one process."""
+"""Run an entry, agents and fake targets on loopback in one process."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 KEY = b'stage' * 8
 TOKEN = 'token'
-GRACE = 0.02
+TAKEOVER_GRACE_SECONDS = 0.02
 
 
 def options(node, role):
@@ -49,30 +49,30 @@
 
 
 class Handler(link.Handler):
-    """Serve an agent's gate alone, without configuration."""
+    """Link handler of an agent's gate, without configuration."""
 
-    def __init__(self, guard, reporter):
-        self._gate = guard
+    def __init__(self, agent_gate, reporter):
+        self._gate = agent_gate
         self._reporter = reporter
 
-    async def on_request(self, held, request):
+    async def on_request(self, peer_link, request):
         if request.claim_probe is not None:
             proof = self._gate.probe(request.claim_probe)
             return messages.Reply(claim_proof=proof)
         return messages.Reply(done=messages.Done())
 
-    async def on_stream(self, held, call, opening):
+    async def on_stream(self, peer_link, call, opening):
         await self._gate.serve(call, opening)
 
-    def on_connected(self, held):
-        self._reporter.add(held)
+    def on_connected(self, peer_link):
+        self._reporter.add(peer_link)
 
-    def on_lost(self, held):
-        self._reporter.remove(held)
+    def on_lost(self, peer_link):
+        self._reporter.remove(peer_link)
 
 
 class Agent:
-    """Be an agent's gate on a listener, in front of a fake target."""
+    """An agent's gate behind a listener, in front of a fake target."""
 
     def __init__(self, name, app, *, kind='plain', service='stock'):
         self.name = name
@@ -135,7 +135,7 @@
 
 
 class Entry:
-    """Be an entry's front on loopback, configured by hand."""
+    """An entry's front end, configured without control hosts."""
 
     def __init__(self, name='entry', claimed=None, **limits):
         self.directory = directory.Directory()
@@ -155,7 +155,7 @@
             takeover.Takeover(
                 self.claims,
                 takeover.LinkProber(self.peers),
-                GRACE,
+                TAKEOVER_GRACE_SECONDS,
             ),
         )
         self.runner = calls.CallRunner(
@@ -189,9 +189,9 @@
         self.fleet.update()
         self.address = await self.front.start()
         for agent in agents:
-            await self.linked(agent)
+            await self.wait_linked(agent)
 
-    async def linked(self, agent):
+    async def wait_linked(self, agent):
         connection = self.fleet.connection(agent.service, agent.name)
         while not connection.view.load.last_report.sequence > 0:
             await asyncio.sleep(0)
@@ -204,7 +204,7 @@
 
 @contextlib.asynccontextmanager
 async def running(agents, profile=None, **limits):
-    """Start agents and an entry, give the entry and a caller."""
+    """Start agents and an entry; yield the entry and a caller."""
     entry = Entry(**limits)
     for agent in agents:
         await agent.start()
--- a/tests/test_alerts_page.py
+++ b/tests/test_alerts_page.py
@@ -1,4 +1,4 @@
-"""Prove that the page of alerts names what is really sent and logged."""
+"""Test that metrics and log lines on the page of alerts are in the code."""
 
 import pathlib
 import re
@@ -8,15 +8,15 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = (ROOT / 'docs' / 'ALERTS.md').read_text()
-NAMES = metrics.__file__
-# What stands for a value in a line of the log.
-VALUE = re.compile(r'TT\d+|\b[A-Z]+\b')
+METRICS_MODULE = metrics.__file__
+# Placeholders of values in a log line.
+PLACEHOLDER = re.compile(r'TT\d+|\b[A-Z]+\b')
 
 
 def _source() -> str:
     texts = []
     for path in sorted((ROOT / 'tamarackthread').rglob('*.py')):
-        if 'generated' in path.parts or str(path) == NAMES:
+        if 'generated' in path.parts or str(path) == METRICS_MODULE:
             continue
         texts.append(path.read_text())
     return '\n'.join(texts)
@@ -28,10 +28,10 @@
 
 
 class TestAlertsPage(unittest.TestCase):
-    """Compare page and code."""
+    """Compare the page with the code."""
 
     def test_metrics(self) -> None:
-        """The page has only metrics that some process sends."""
+        """All metrics on the page are sent by some process."""
         source = _source()
         kinds = (metrics.Counter, metrics.Gauge, metrics.Timer)
         sent = {
@@ -46,11 +46,11 @@
         self.assertLessEqual(named, sent)
 
     def test_log_lines(self) -> None:
-        """Each line of the page is in the code, but for its values."""
+        """All log lines on the page are in the code, except for values."""
         source = _source()
         lines = _first_cells(PAGE.partition('## Log lines')[2])
         self.assertGreater(len(lines), 20)
         for line in lines:
-            for fragment in VALUE.split(line):
+            for fragment in PLACEHOLDER.split(line):
                 with self.subTest(line=line, fragment=fragment):
                     self.assertIn(fragment.strip(), source)
--- a/tests/test_known_codes.py
+++ b/tests/test_known_codes.py
@@ -1,4 +1,4 @@
-"""Prove that each role's process knows the codes that its peers send."""
+"""Test that each role's process knows the error codes that its peers send."""
 
 import subprocess
 import sys
@@ -13,7 +13,7 @@
 
 
 def unknown(module, codes):
-    """List the codes that a process which loads only a module can't name."""
+    """Return the codes that are unknown to a process with only this module."""
     done = subprocess.run(
         [sys.executable, '-c', SCRIPT, module, *codes],
         capture_output=True,
@@ -24,12 +24,9 @@
 
 
 class KnownCodesCase(unittest.TestCase):
-    def test_entry_names_the_refusals_of_agents(self):
-        """A caller sees why its call was refused, also between processes.
-
-        Tests load all roles into one process, where every code is known.  An
-        entry alone once did not know the agents' classes and told callers of
-        an unknown failure; nor did bad endings count against a target.
+    def test_entry_knows_codes_of_agents(self):
+        """An entry that does not import the error classes of agents reports
+        refusals as unknown failures and does not count them against targets.
         """
         codes = [f'TT600{number}' for number in range(1, 10)]
         codes.extend(('TT4501', 'TT4502'))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Prove that log lines carry what they must and never hold up the caller."""
+"""Test the format of log lines, and that a blocked output blocks no caller."""
 
 import contextvars
 import io
@@ -12,7 +12,7 @@
 
 
 class _StuckStream(io.StringIO):
-    """Block every write until released, as a full pipe does."""
+    """Stream that blocks writes until released, like a full pipe."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,14 +20,14 @@
         self.released = threading.Event()
 
     def write(self, text: str) -> int:
-        """Wait for the release, then write."""
+        """Write after the release."""
         self.reached.set()
         self.released.wait()
         return super().write(text)
 
 
 class TestLogs(unittest.TestCase):
-    """Write to a stream and look at the lines."""
+    """Check the lines written to a stream."""
 
     def _lines(self, chosen: settings.Logs) -> list[str]:
         stream = io.StringIO()
@@ -42,7 +42,7 @@
         return stream.getvalue().splitlines()
 
     def test_text(self) -> None:
-        """The prefix stands once and the id only inside the request."""
+        """The prefix appears once, the request id only inside the request."""
         first, second = self._lines(settings.Logs())
         self.assertTrue(
             first.endswith('Z WARNING entry: call 3f2a refused [3f2a]')
@@ -50,14 +50,14 @@
         self.assertTrue(second.endswith('Z INFO entry: started'))
 
     def test_json(self) -> None:
-        """Each line is one object with the same fields."""
+        """Each line is one object with fixed fields."""
         first, second = map(json.loads, self._lines(settings.Logs(json=True)))
         self.assertEqual(first['request_id'], '3f2a')
         self.assertEqual(first['text'], 'entry: call 3f2a refused')
         self.assertEqual((second['part'], second['level']), ('entry', 'info'))
 
     def test_traceback(self) -> None:
-        """An exception's traceback is written too."""
+        """The traceback of an exception is written."""
         stream = io.StringIO()
         writer = logs.start(settings.Logs(level='error'), stream)
         failure = ValueError('nonsense')
@@ -66,11 +66,8 @@
         self.assertIn('ValueError: nonsense', stream.getvalue())
 
     def test_stuck_reader(self) -> None:
-        """Nobody reads the log any more.
-
-        Callers go on at once: lines over the limit are dropped and counted.
-        When the reader is back it sees the kept lines and then the count,
-        because the count is queued behind the next line that finds room.
+        """A blocked output must not block callers: lines over the limit are
+        dropped, and their count follows the next line that is queued.
         """
         stream = _StuckStream()
         writer = logs.Writer(settings.Logs(), stream, max_queued_lines=2)
--- a/tests/test_role_memory.py
+++ b/tests/test_role_memory.py
@@ -1,4 +1,4 @@
-"""Prove what each role of the platform holds in memory once it is loaded."""
+"""Test the memory and the imports of each role of the platform."""
 
 import os
 import subprocess
@@ -7,10 +7,9 @@
 import types
 import unittest
 
-# Resident megabytes after the imports, on CPython 3.11.  Entry and control
-# stand at 45 and 46 here; a bare process of the HTTP library at 38.
-MOST_MEGABYTES = 50
-LOOK = """
+# Limit of resident memory after the imports, on CPython 3.11.
+MAX_MEGABYTES = 50
+SCRIPT = """
 import importlib, sys
 for name in sys.argv[1:]:
     importlib.import_module(name)
@@ -38,29 +37,28 @@
 
 class RoleMemoryCase(unittest.TestCase):
     def test_ceiling(self):
-        """A library that a role does not use costs each of its processes."""
+        """An import that a role does not need costs memory in each process."""
         for role, modules in ROLES.items():
             with self.subTest(role=role):
-                megabytes, has_numbers, has_commands = _look(modules)
-                self.assertLessEqual(int(megabytes), MOST_MEGABYTES)
-                self.assertEqual('False', has_numbers)
-                self.assertEqual('False', has_commands)
+                megabytes, has_numpy, has_cleo = _measure(modules)
+                self.assertLessEqual(int(megabytes), MAX_MEGABYTES)
+                self.assertEqual('False', has_numpy)
+                self.assertEqual('False', has_cleo)
 
 
-def _look(modules):
-    """Load modules in a process of their own, the second time from bytecode.
-
-    Compiling takes more memory than running, and a host is given bytecode.
+def _measure(modules):
+    """Import modules in a new process.  Only the second run counts, which loads
+    bytecode as hosts do: compiling takes more memory.
     """
     with tempfile.TemporaryDirectory() as cache:
-        surroundings = {**os.environ, 'PYTHONPYCACHEPREFIX': cache}
-        surroundings.pop('PYTHONDONTWRITEBYTECODE', None)
+        environment = {**os.environ, 'PYTHONPYCACHEPREFIX': cache}
+        environment.pop('PYTHONDONTWRITEBYTECODE', None)
         for _ in range(2):
             done = subprocess.run(  # noqa: S603  this very interpreter
-                [sys.executable, '-c', LOOK, *modules],
+                [sys.executable, '-c', SCRIPT, *modules],
                 capture_output=True,
                 text=True,
                 check=True,
-                env=surroundings,
+                env=environment,
             )
     return done.stdout.split()
--- a/tests/test_role_process.py
+++ b/tests/test_role_process.py
@@ -1,4 +1,4 @@
-"""Prove how a role's process starts, reloads and stops."""
+"""Test how a role's process starts, reloads settings and stops."""
 
 import contextlib
 import json
@@ -48,18 +48,16 @@
             process.kill()
             process.communicate()
 
-    def logged(self, process, words):
-        """Read the log up to a line with these words; fail at its end."""
+    def wait_logged(self, process, words):
+        """Return the next log line with a text; fail if there is none."""
         for line in process.stderr:
             if words in line:
                 return line
         return self.fail(f'never logged: {words}')
 
     def test_reload_and_planned_stop(self):
-        """The process goes on over a bad file and stops cleanly.
-
-        SIGHUP with a bad file is answered by its findings in the log, with
-        a sound file by what changed; SIGTERM ends the process with 0.
+        """An invalid file on SIGHUP must not stop the process; its findings
+        are logged, and a valid file is applied.  SIGTERM exits with 0.
         """
         self.write()
         with self.start() as process:
@@ -67,24 +65,24 @@
             self.assertEqual(set(addresses), {'link', 'http'})
             self.write(logs={'level': 'loud'})
             process.send_signal(signal.SIGHUP)
-            line = self.logged(process, 'kept the old ones')
+            line = self.wait_logged(process, 'kept the old ones')
             self.assertIn('settings.json:1:', line)
             self.write(logs={'json': True})
             process.send_signal(signal.SIGHUP)
-            line = self.logged(process, 'changed logs.json')
+            line = self.wait_logged(process, 'changed logs.json')
             self.assertEqual(json.loads(line)['part'], 'settings')
             process.send_signal(signal.SIGTERM)
             process.communicate()
             self.assertEqual(process.returncode, 0)
 
-    def test_start_that_fails_says_why(self):
+    def test_failed_start_logs_reason(self):
         self.write(listen={'port': 'any'}, node={'id': 'e1'})
         with self.start() as process:
-            _, said = process.communicate()
+            _, stderr = process.communicate()
             self.assertEqual(process.returncode, 1)
-            self.assertEqual(said.count('settings.json:1:'), 3)
+            self.assertEqual(stderr.count('settings.json:1:'), 3)
         self.write()
         with self.start('agent') as process:
-            _, said = process.communicate()
+            _, stderr = process.communicate()
             self.assertEqual(process.returncode, 2)
-            self.assertIn('is for role "entry"', said)
+            self.assertIn('is for role "entry"', stderr)
--- a/tests/test_stuck_output.py
+++ b/tests/test_stuck_output.py
@@ -1,4 +1,4 @@
-"""Prove that an entry serves on when nobody reads its output any more."""
+"""Test that an entry serves calls while its output is blocked."""
 
 import asyncio
 import collections
@@ -13,14 +13,14 @@
 import aiohttp
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# A line of a refused call has some 400 bytes and a pipe holds 64 KB.
+# Enough refused calls, with a log line each, to fill a pipe of 64 KB.
 CALLS = 1200
-AT_ONCE = 20
+CONCURRENCY = 20
 NO_CONFIGURATION = 503
 
 
-def settings_of(folder):
-    """Write the settings of an entry that finds no control host."""
+def write_settings(folder):
+    """Write settings of an entry without control hosts."""
     (folder / 'key').write_bytes(b'k' * 32)
     path = folder / 'settings.json'
     path.write_text(
@@ -42,33 +42,33 @@
     return path
 
 
-async def ask(session, address, number):
-    """Make one call with little time and return its status."""
+async def call(session, address, number):
+    """Make one call with a short deadline and return its status."""
     headers = {'Attempt-Id': f'c{number}', 'Deadline-Ms': '20'}
     async with session.get(f'http://{address}/', headers=headers) as answer:
         await answer.read()
         return answer.status
 
 
-async def press(address):
-    """Make many calls, a few at a time, and count the statuses."""
-    seen = collections.Counter()
+async def call_all(address):
+    """Make all calls with limited concurrency and count the statuses."""
+    statuses = collections.Counter()
     async with aiohttp.ClientSession() as session:
-        for first in range(0, CALLS, AT_ONCE):
-            numbers = range(first, first + AT_ONCE)
-            seen.update(
+        for first in range(0, CALLS, CONCURRENCY):
+            numbers = range(first, first + CONCURRENCY)
+            statuses.update(
                 await asyncio.gather(
-                    *(ask(session, address, number) for number in numbers)
+                    *(call(session, address, number) for number in numbers)
                 )
             )
-    return seen
+    return statuses
 
 
 class StuckOutputCase(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        path = settings_of(pathlib.Path(folder.name))
+        path = write_settings(pathlib.Path(folder.name))
         self.process = subprocess.Popen(
             [sys.executable, '-m', 'tamarackthread.platform', 'entry'],
             cwd=ROOT,
@@ -80,20 +80,16 @@
         self.addCleanup(self.process.kill)
 
     def test_calls_go_on(self):
-        """Whoever collects the output stops reading under load.
-
-        The pipe is full after some hundred refused calls, each of which has a
-        line of its own.  A write on the event loop would wait for good then,
-        and with it every caller.  All calls are answered, and a planned stop
-        ends the process once somebody reads again.
+        """A log write to a full pipe must not block the event loop: all calls
+        are answered, and the process stops once its output is read again.
         """
         address = ''
         while not address:
             line = json.loads(self.process.stdout.readline())
             if line['event'] == 'started':
                 address = line['address']
-        seen = asyncio.run(press(address))
-        self.assertEqual({NO_CONFIGURATION: CALLS}, dict(seen))
+        statuses = asyncio.run(call_all(address))
+        self.assertEqual({NO_CONFIGURATION: CALLS}, dict(statuses))
         self.process.send_signal(signal.SIGTERM)
         rest = self.process.stdout.read()
         self.process.wait()
