--- a/tamarackthread/cli/__init__.py
+++ b/tamarackthread/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Offer the roles and the operator commands on the command line."""
+"""Command line to run the roles and to operate them."""
--- a/tamarackthread/cli/commands/__init__.py
+++ b/tamarackthread/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Define the commands, one module for each part."""
+"""Commands of the command line."""
--- a/tamarackthread/cli/commands/base.py
+++ b/tamarackthread/cli/commands/base.py
@@ -1,4 +1,4 @@
-"""Give each command its options, its output and its exit code."""
+"""Provide the options, output and exit codes common to all commands."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def operator_options() -> list[inputs.Option]:
-    """List the options that say where control is and who asks."""
+    """List the options for the control hosts and the operator's identity."""
     return [
         helpers.option(
             'settings',
@@ -61,7 +61,7 @@
     ]
 
 
-def lines_of(name: str) -> list[str]:
+def read_lines(name: str) -> list[str]:
     """Read a log's lines; raise ``OptionInvalid`` if there is no such file."""
     try:
         content = pathlib.Path(name).read_text(errors='replace')
@@ -71,37 +71,37 @@
 
 
 class BaseCommand(command.Command, abc.ABC):
-    """Turn coded errors into words on standard error and an exit code."""
+    """Report coded errors on standard error and by exit code."""
 
     def handle(self) -> int:
         """Run the command; called by the library."""
         try:
-            return int(self.perform())
+            return int(self.run_command())
         except findings.InvalidError as exc:
             for found in exc.findings:
-                self.complain(str(found))
+                self.print_error(str(found))
             return int(exit_codes.ExitCode.INVALID)
         except failures.CommandFailed as exc:
-            self.complain(failures.describe(exc))
+            self.print_error(failures.describe(exc))
             return int(exc.exit_code)
         except errors.CodedError as exc:
-            self.complain(failures.describe(exc))
+            self.print_error(failures.describe(exc))
             return int(exit_codes.ExitCode.REFUSED)
 
     @abc.abstractmethod
-    def perform(self) -> exit_codes.ExitCode:
-        """Do the work and say how it ended."""
+    def run_command(self) -> exit_codes.ExitCode:
+        """Run the command and return its result."""
 
-    def say(self, text: str) -> None:
-        """Print a line as it is; tags of the library mean nothing in it."""
+    def print_line(self, text: str) -> None:
+        """Print a line without interpreting the library's markup."""
         self.io.output.write_line(text, type=output.Type.RAW)
 
-    def complain(self, text: str) -> None:
+    def print_error(self, text: str) -> None:
         """Print a line on standard error."""
         self.io.error_output.write_line(text, type=output.Type.RAW)
 
-    def number(self, name: str, smallest: int = 0) -> int:
-        """Read an option that takes a whole number."""
+    def integer_option(self, name: str, minimum: int = 0) -> int:
+        """Parse an integer option; raise ``OptionInvalid`` if it is invalid."""
         value = self.option(name)
         try:
             found = int(value)
@@ -109,15 +109,15 @@
             raise failures.OptionInvalid(
                 f'--{name} takes a whole number, not "{value}"',
             ) from None
-        if found < smallest:
+        if found < minimum:
             raise failures.OptionInvalid(
-                f'--{name} must be at least {smallest}',
+                f'--{name} must be at least {minimum}',
             )
         return found
 
 
 class OperatorCommand(BaseCommand, abc.ABC):
-    """A command that asks the control hosts."""
+    """A command that sends requests to the control hosts."""
 
     def configure(self) -> None:
         """Add the options of all operator commands; called by the library."""
@@ -125,28 +125,28 @@
         for added in operator_options():
             self._definition.add_option(added)
 
-    def perform(self) -> exit_codes.ExitCode:
-        """Connect, act, and close the links."""
+    def run_command(self) -> exit_codes.ExitCode:
+        """Connect to the control hosts, act, and close the links."""
         return asyncio.run(self._connected())
 
     @abc.abstractmethod
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Do the work with a connected operator client."""
+        """Run the command with a connected operator client."""
 
-    def show(self, value: object, text: str) -> None:
-        """Print the value with ``--json`` and else the text."""
-        self.say(render.as_json(value) if self.option('json') else text)
+    def print_result(self, value: object, text: str) -> None:
+        """Print the value as JSON with ``--json``, otherwise the text."""
+        self.print_line(render.as_json(value) if self.option('json') else text)
 
-    async def settle(
+    async def wait_until_in_force(
         self,
         operator: client.Operator,
         revision: int,
     ) -> exit_codes.ExitCode:
-        """Wait until a revision is in force everywhere."""
+        """Wait for a revision; raise ``NotInForce`` after the timeout."""
         status = await operator.wait(revision)
         if status.in_force_everywhere:
             return exit_codes.ExitCode.DONE
-        self.complain(render.status_text(status, revision))
+        self.print_error(render.status_text(status, revision))
         raise failures.NotInForce(
             f'revision {revision} is not in force everywhere yet; '
             'it stays accepted, ask with "status --wait"',
--- a/tamarackthread/cli/commands/check.py
+++ b/tamarackthread/cli/commands/check.py
@@ -23,18 +23,20 @@
     ]
     options: typing.ClassVar = [base.JSON_OPTION]
 
-    def perform(self) -> exit_codes.ExitCode:
+    def run_command(self) -> exit_codes.ExitCode:
         """Print the findings of all files."""
         found = []
         for name in self.argument('file'):
             found.extend(settings_checks.check(name))
         if self.option('json'):
-            self.say(render.as_json([attrs.asdict(one) for one in found]))
+            self.print_line(
+                render.as_json([attrs.asdict(one) for one in found])
+            )
         else:
             for one in found:
-                self.say(str(one))
+                self.print_line(str(one))
         if found:
             return exit_codes.ExitCode.INVALID
         if not self.option('json'):
-            self.say('no findings')
+            self.print_line('no findings')
         return exit_codes.ExitCode.DONE
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -52,7 +52,7 @@
     summary = ''
 
     def __init__(self, kind: str) -> None:
-        """Make the command for a kind, such as ``profile``."""
+        """Create the command for a kind, such as ``profile``."""
         self._kind = kind
         self.name = f'{kind} {self.verb}'
         article = 'an' if kind[0] in 'aeiou' else 'a'
@@ -73,7 +73,7 @@
 
 
 class ListCommand(DocumentCommand):
-    """Name all documents of a kind."""
+    """List all documents of a kind."""
 
     verb = 'list'
     summary = 'Name each {kind} with its version.'
@@ -83,7 +83,7 @@
         """Print a table, or all documents as JSON."""
         found = await operator.list_documents(self._kind)
         rows = [(held.name, held.version, held.revision) for held in found]
-        self.show(
+        self.print_result(
             [render.document_values(held) for held in found],
             render.table(('name', 'version', 'revision'), rows),
         )
@@ -107,14 +107,14 @@
         if self.option('effective'):
             whole = documents.parse(found.kind, found.body)
             found.body = json.dumps(structure.to_body(whole))
-        self.show(
+        self.print_result(
             render.document_values(found), document_files.format_file(found)
         )
         return exit_codes.ExitCode.DONE
 
 
 class DiffCommand(DocumentCommand):
-    """Compare a file with what is in force."""
+    """Compare a file with the version in force."""
 
     verb = 'diff'
     summary = 'Show how a file differs from the {kind} in force.'
@@ -122,7 +122,7 @@
     options: typing.ClassVar = [base.JSON_OPTION]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Print a unified diff; the exit code says whether there is any."""
+        """Print a unified diff; the exit code tells whether they differ."""
         name = self.argument('name')
         path = pathlib.Path(self.argument('file'))
         file = document_files.read(path, self._kind, name)
@@ -134,14 +134,14 @@
             str(path),
         )
         if shown or self.option('json'):
-            self.show({'difference': shown}, shown)
+            self.print_result({'difference': shown}, shown)
         if shown:
             return exit_codes.ExitCode.DIFFERENT
         return exit_codes.ExitCode.DONE
 
 
 class HistoryCommand(DocumentCommand):
-    """Show the versions of a document that are kept."""
+    """Show the stored versions of a document."""
 
     verb = 'history'
     summary = 'Show the versions of {one} and what each changed.'
@@ -149,13 +149,13 @@
     options: typing.ClassVar = [base.JSON_OPTION]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Print each version with its difference from the one before."""
+        """Print each version with its diff from the previous one."""
         name = self.argument('name')
         history = await changes.versions(operator, self._kind, name)
         if not history:
             raise failures.DocumentNotFound(f'{self._kind} {name}')
         values = [render.document_values(held) for held in history]
-        self.show(values, '\n'.join(_format_history(history)))
+        self.print_result(values, '\n'.join(_format_history(history)))
         return exit_codes.ExitCode.DONE
 
 
@@ -163,17 +163,17 @@
     """A command that makes one change."""
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Make the change, say what became of it, and wait if asked."""
+        """Make the change, print its result, and wait with ``--wait``."""
         result = await self.change(operator)
         title = f'{self._kind} {self.argument("name")}'
-        self.show(
+        self.print_result(
             render.result_values(result),
             render.result_text(result, title),
         )
         if result.outcome == changes.Outcome.CONFLICT:
             return exit_codes.ExitCode.CONFLICT
         if self.option('wait'):
-            return await self.settle(operator, result.revision)
+            return await self.wait_until_in_force(operator, result.revision)
         return exit_codes.ExitCode.DONE
 
     @abc.abstractmethod
@@ -183,9 +183,9 @@
     def build_edit(
         self, body: str, based_on: int | None = None
     ) -> changes.Edit:
-        """Build what the operator wants; an option goes before the file."""
+        """Build an edit; ``--based-on`` overrides the version in the file."""
         if self.option('based-on') is not None:
-            based_on = self.number('based-on')
+            based_on = self.integer_option('based-on')
         return changes.Edit(
             kind=self._kind,
             name=self.argument('name'),
@@ -196,7 +196,7 @@
 
 
 class ApplyCommand(ChangeCommand):
-    """Make a file's body the newest version."""
+    """Apply a file as the newest version."""
 
     verb = 'apply'
     summary = 'Make a file the newest version of {one}.'
@@ -217,7 +217,7 @@
 
 
 class RollbackCommand(ChangeCommand):
-    """Go back to an earlier version, as a new version."""
+    """Apply an earlier version as a new version."""
 
     verb = 'rollback'
     summary = 'Undo: make an earlier version of {one} the newest one.'
@@ -238,7 +238,7 @@
 
 
 class DeleteCommand(ChangeCommand):
-    """Delete a document; its history stays."""
+    """Delete a document; its earlier versions stay stored."""
 
     verb = 'delete'
     summary = 'Delete {one}; "rollback" brings it back.'
@@ -265,7 +265,7 @@
 
 
 def for_kind(kind: str) -> list[DocumentCommand]:
-    """Make all commands for a kind that operators write."""
+    """Create all commands for a kind that operators edit."""
     return [
         ListCommand(kind),
         ShowCommand(kind),
--- a/tamarackthread/cli/commands/explain.py
+++ b/tamarackthread/cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tell one request's story from the logs of many processes."""
+"""Trace one request through the logs of many processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ExplainCommand(base.BaseCommand):
-    """Print a request's decisions in order, and what led to them."""
+    """Print the decisions on a request and the state they were based on."""
 
     name = 'explain'
     description = "Tell one request's story from logs written as JSON."
@@ -28,22 +28,24 @@
         ),
     ]
 
-    def perform(self) -> exit_codes.ExitCode:
-        """Print the story; refuse if no line names the request."""
-        told = request_trace.tell(self.argument('request'), self._texts())
-        if told.unreadable:
-            self.complain(f'{told.unreadable} lines are no JSON and left out')
-        if not told.lines:
-            self.complain('no line names this request')
+    def run_command(self) -> exit_codes.ExitCode:
+        """Print the trace; fail if no line has the request's id."""
+        trace = request_trace.tell(self.argument('request'), self._read_lines())
+        if trace.unreadable:
+            self.print_error(
+                f'{trace.unreadable} lines are no JSON and left out'
+            )
+        if not trace.lines:
+            self.print_error('no line names this request')
             return exit_codes.ExitCode.REFUSED
-        for text in request_trace.describe(told):
-            self.say(text)
+        for text in request_trace.describe(trace):
+            self.print_line(text)
         return exit_codes.ExitCode.DONE
 
-    def _texts(self) -> collections.abc.Iterator[str]:
+    def _read_lines(self) -> collections.abc.Iterator[str]:
         names = self.argument('files')
         if not names:
             yield from sys.stdin
             return
         for name in names:
-            yield from base.lines_of(name)
+            yield from base.read_lines(name)
--- a/tamarackthread/cli/commands/losses.py
+++ b/tamarackthread/cli/commands/losses.py
@@ -1,4 +1,4 @@
-"""Tell where a day's calls were lost, from the logs of all processes."""
+"""Report lost calls and their causes from the logs of all processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tamarackthread.cli import exit_codes, failures, log_lines, losses
 from tamarackthread.cli.commands import base
 
-# Rows of each table that people read; ``--json`` has all of them.
-MOST_ROWS = 12
-MOST_PLACES = 20
+# Limits of the text output; ``--json`` has everything.
+MAX_TABLE_ROWS = 12
+MAX_UNREADABLE_SHOWN = 20
 
 
 class LossesCommand(base.BaseCommand):
-    """Print lost calls by cause, second, service and more."""
+    """Print lost calls by cause, second, service and other fields."""
 
     name = 'losses'
     description = 'Tell which calls were late, refused or failed, and why.'
@@ -33,40 +33,44 @@
         base.JSON_OPTION,
     ]
 
-    def perform(self) -> exit_codes.ExitCode:
-        """Print the report; refuse files in which no line is ours."""
-        reading = log_lines.read(self._texts(), by_clock=True)
-        for place in reading.unreadable[:MOST_PLACES]:
-            self.complain(f'{place}: {failures.LineUnreadable.code} is no line')
-        left = len(reading.unreadable) - MOST_PLACES
-        if left > 0:
-            self.complain(f'and {left} more')
+    def run_command(self) -> exit_codes.ExitCode:
+        """Print the report; raise ``LogsEmpty`` without any log line."""
+        reading = log_lines.read(self._read_files(), by_clock=True)
+        for place in reading.unreadable[:MAX_UNREADABLE_SHOWN]:
+            self.print_error(
+                f'{place}: {failures.LineUnreadable.code} is not a log line'
+            )
+        omitted = len(reading.unreadable) - MAX_UNREADABLE_SHOWN
+        if omitted > 0:
+            self.print_error(f'and {omitted} more')
         if not reading.lines:
             raise failures.LogsEmpty('no line of any file is a log line')
         found = losses.report(reading)
         if self.option('json'):
-            self.say(json.dumps(as_object(found)))
+            self.print_line(json.dumps(report_values(found)))
         else:
-            self._tell(found)
+            self._print_tables(found)
         return exit_codes.ExitCode.DONE
 
-    def _texts(self) -> dict[str, collections.abc.Iterable[str]]:
-        return {name: base.lines_of(name) for name in self.argument('files')}
+    def _read_files(self) -> dict[str, collections.abc.Iterable[str]]:
+        return {name: base.read_lines(name) for name in self.argument('files')}
 
-    def _tell(self, found: losses.Report) -> None:
-        self.say(
+    def _print_tables(self, found: losses.Report) -> None:
+        self.print_line(
             f'{len(found.losses)} calls lost, '
             f'{found.unattributed_share:.0%} of them not attributed'
         )
         for dimension in losses.DIMENSIONS:
-            self.say('')
-            self.say(f'{dimension:52} calls  seconds')
-            for row in found.by(dimension)[:MOST_ROWS]:
-                self.say(f'{row.name:52} {row.calls:5}  {row.seconds:7.1f}')
+            self.print_line('')
+            self.print_line(f'{dimension:52} calls  seconds')
+            for row in found.by(dimension)[:MAX_TABLE_ROWS]:
+                self.print_line(
+                    f'{row.name:52} {row.calls:5}  {row.seconds:7.1f}'
+                )
 
 
-def as_object(found: losses.Report) -> dict[str, typing.Any]:
-    """Put a report into one object for scripts."""
+def report_values(found: losses.Report) -> dict[str, typing.Any]:
+    """Convert a report to JSON values."""
     return {
         'calls': len(found.losses),
         'unattributed_share': round(found.unattributed_share, 4),
--- a/tamarackthread/cli/commands/members.py
+++ b/tamarackthread/cli/commands/members.py
@@ -26,10 +26,10 @@
 
 
 class MemberCommand(base.OperatorCommand, abc.ABC):
-    """A command that asks replicated groups, each for its members."""
+    """A command that sends a membership request to replicated groups."""
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Ask each group; one that refuses does not keep the others back."""
+        """Send to each group; an error of one does not stop the others."""
         replies = {}
         code = exit_codes.ExitCode.DONE
         for group in await self._groups(operator):
@@ -38,17 +38,17 @@
             try:
                 replies[group] = await operator.member(request)
             except errors.CodedError as exc:
-                self.complain(f'{group}: {failures.describe(exc)}')
+                self.print_error(f'{group}: {failures.describe(exc)}')
                 code = getattr(exc, 'exit_code', exit_codes.ExitCode.REFUSED)
         values = {
             name: render.members_values(reply)
             for name, reply in replies.items()
         }
-        self.show(values, render.members_text(replies))
+        self.print_result(values, render.members_text(replies))
         return code
 
     async def _groups(self, operator: client.Operator) -> list[str]:
-        """Name the groups: configuration first, then each shard of claims."""
+        """List the groups: configuration first, then the claim shards."""
         chosen = self.option('group')
         if chosen:
             return [chosen]
@@ -60,7 +60,7 @@
 
     @abc.abstractmethod
     def request(self) -> messages.MemberRequest:
-        """Build the request without its group."""
+        """Build the request, without its group."""
 
 
 class MembersCommand(MemberCommand):
@@ -71,7 +71,7 @@
     options: typing.ClassVar = _OPTIONS
 
     def request(self) -> messages.MemberRequest:
-        """Ask for the list."""
+        """Build a request to list the members."""
         return messages.MemberRequest(action=client.LIST_MEMBERS)
 
 
@@ -84,7 +84,7 @@
     options: typing.ClassVar = _OPTIONS
 
     def request(self) -> messages.MemberRequest:
-        """Ask to add."""
+        """Build a request to add a member."""
         return messages.MemberRequest(
             action='add',
             node=self.argument('node'),
@@ -101,7 +101,7 @@
     options: typing.ClassVar = _OPTIONS
 
     def request(self) -> messages.MemberRequest:
-        """Ask to remove."""
+        """Build a request to remove a member."""
         return messages.MemberRequest(
             action='remove',
             node=self.argument('node'),
@@ -109,7 +109,7 @@
 
 
 class ReplaceCommand(MemberCommand):
-    """Put a new control host in the place of a lost one."""
+    """Replace a control host by another."""
 
     name = 'control replace'
     description = 'Put a control host in the place of another.'
@@ -126,7 +126,7 @@
     options: typing.ClassVar = _OPTIONS
 
     def request(self) -> messages.MemberRequest:
-        """Ask to replace."""
+        """Build a request to replace a member."""
         return messages.MemberRequest(
             action='replace',
             replaces=self.argument('old'),
--- a/tamarackthread/cli/commands/roles.py
+++ b/tamarackthread/cli/commands/roles.py
@@ -1,4 +1,4 @@
-"""Start the long-running roles."""
+"""Run the long-running roles: entry, agent and control."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RoleCommand(base.BaseCommand, abc.ABC):
-    """Run one role in this process until it is asked to stop."""
+    """Run one role in this process until a signal stops it."""
 
     role = ''
     module = ''
@@ -49,8 +49,8 @@
         'settings again.  "tamarackthread check FILE" checks a file first.'
     )
 
-    def perform(self) -> exit_codes.ExitCode:
-        """Load the settings and run; return after the planned stop."""
+    def run_command(self) -> exit_codes.ExitCode:
+        """Load the settings and run the role until its graceful stop."""
         name = self.option('settings')
         if not name:
             raise failures.OptionInvalid('say --settings FILE')
@@ -64,24 +64,26 @@
         except findings.InvalidError:
             raise
         except errors.CodedError as exc:
-            self.complain(
+            self.print_error(
                 f'{self.role} could not run: {failures.describe(exc)}'
             )
             return exit_codes.ExitCode.START_FAILED
         except OSError as exc:
-            self.complain(f'{self.role} could not run: {exc}')
+            self.print_error(f'{self.role} could not run: {exc}')
             return exit_codes.ExitCode.START_FAILED
         return exit_codes.ExitCode.DONE
 
     async def _run(self, loaded: generated.Settings) -> None:
-        # Only the role that runs is imported: an agent's process then holds
-        # neither the entry's nor control's code in its memory.
+        # Imported late, so that a process does not load the code of the other
+        # roles into its memory.
         run: _Run = importlib.import_module(self.module).run
-        announce = self._announce if self.option('print-addresses') else None
+        announce = (
+            self._print_addresses if self.option('print-addresses') else None
+        )
         await run(loaded, announce)
 
-    def _announce(self, addresses: dict[str, str]) -> None:
-        self.say(render.as_json(addresses))
+    def _print_addresses(self, addresses: dict[str, str]) -> None:
+        self.print_line(render.as_json(addresses))
         self.io.output.flush()
 
 
--- a/tamarackthread/cli/commands/system.py
+++ b/tamarackthread/cli/commands/system.py
@@ -1,4 +1,4 @@
-"""Show the state of the whole system: status and audit trail."""
+"""Show the status of the configuration and the audit trail."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StatusCommand(base.OperatorCommand):
-    """Tell how far the configuration is in force."""
+    """Show on how many nodes a revision is in force."""
 
     name = 'status'
     description = 'Tell on how many nodes a revision is in force.'
@@ -27,14 +27,14 @@
     ]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Print the status, after waiting if asked."""
+        """Print the status, with ``--wait`` after waiting."""
         waits = self.option('wait') is not None
-        revision = self.number('wait') if waits else 0
+        revision = self.integer_option('wait') if waits else 0
         status = await operator.status(revision)
         if waits:
             revision = revision or status.revision
             status = await operator.wait(revision)
-        self.show(
+        self.print_result(
             render.status_values(status),
             render.status_text(status, revision),
         )
@@ -64,18 +64,18 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print the records, oldest first."""
-        limit = self.number('limit', smallest=1)
+        limit = self.integer_option('limit', minimum=1)
         if self.option('after') is None:
             records = await operator.newest_audit(limit)
         else:
-            records = await operator.audit(self.number('after'), limit)
+            records = await operator.audit(self.integer_option('after'), limit)
         if self.option('json'):
-            self.say(
+            self.print_line(
                 render.as_json(
                     [render.audit_values(record) for record in records],
                 ),
             )
             return exit_codes.ExitCode.DONE
         for record in records:
-            self.say(render.audit_text(record, self.option('diff')))
+            self.print_line(render.audit_text(record, self.option('diff')))
         return exit_codes.ExitCode.DONE
--- a/tamarackthread/cli/commands/targets.py
+++ b/tamarackthread/cli/commands/targets.py
@@ -1,4 +1,4 @@
-"""List targets and take them out of service."""
+"""List and drain targets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TargetListCommand(base.OperatorCommand):
-    """Show the targets that have announced themselves."""
+    """List the targets that have registered with control."""
 
     name = 'target list'
     description = 'Show each target that has announced itself.'
@@ -27,18 +27,18 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a table, or all target documents as JSON."""
-        chosen = []
-        for held in await operator.list_documents('target'):
-            service = json.loads(held.body).get('service')
+        selected = []
+        for document in await operator.list_documents('target'):
+            service = json.loads(document.body).get('service')
             if self.option('service') in {None, service}:
-                chosen.append(render.document_values(held))
-        rows = [_row(values) for values in chosen]
-        self.show(chosen, render.table(_HEADERS, rows))
+                selected.append(render.document_values(document))
+        rows = [_row(values) for values in selected]
+        self.print_result(selected, render.table(_HEADERS, rows))
         return exit_codes.ExitCode.DONE
 
 
 class TargetDrainCommand(base.OperatorCommand):
-    """Take a target out of service, or back."""
+    """Drain a target, or cancel its draining."""
 
     name = 'target drain'
     description = 'Let a target finish its work and take no new work.'
@@ -56,17 +56,17 @@
     ]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Ask the agent and say what it now does."""
+        """Send the request and print the new state."""
         name = self.argument('name')
         cancel = bool(self.option('cancel'))
         revision = await operator.drain(name, cancel)
         state = 'takes new work' if cancel else 'takes no new work'
-        self.show(
+        self.print_result(
             {'target': name, 'leaving': not cancel, 'revision': revision},
             f'target {name} {state}, revision {revision}',
         )
         if self.option('wait'):
-            return await self.settle(operator, revision)
+            return await self.wait_until_in_force(operator, revision)
         return exit_codes.ExitCode.DONE
 
 
--- a/tamarackthread/cli/commands/zones.py
+++ b/tamarackthread/cli/commands/zones.py
@@ -1,4 +1,4 @@
-"""Evacuate availability zones of a site and take them back."""
+"""List, evacuate and restore the availability zones of a site."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ZoneCommand(base.OperatorCommand, abc.ABC):
-    """Ask a control host of a site for its zones, after a change if any."""
+    """A command that sends a zone request to a site's control hosts."""
 
     options: typing.ClassVar = [base.JSON_OPTION]
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
-        """Print all zones as they are after the request."""
+        """Print the state of all zones after the request."""
         found = await operator.zones(self.request())
         values = [
             {
@@ -35,7 +35,7 @@
             [zone.name, render.yes_no(zone.is_evacuated), str(zone.revision)]
             for zone in found
         ]
-        self.show(values, render.table(_HEADERS, rows))
+        self.print_result(values, render.table(_HEADERS, rows))
         return exit_codes.ExitCode.DONE
 
     @abc.abstractmethod
@@ -44,18 +44,18 @@
 
 
 class ZoneListCommand(ZoneCommand):
-    """Show the zones of a site."""
+    """List the zones of a site."""
 
     name = 'zone list'
     description = 'Show each availability zone and whether it is evacuated.'
 
     def request(self) -> messages.SiteZoneRequest:
-        """Ask for the list."""
+        """Build a request to list the zones."""
         return messages.SiteZoneRequest()
 
 
 class ZoneEvacuateCommand(ZoneCommand):
-    """Send nothing more to the targets of a zone."""
+    """Stop sending work to the targets of a zone."""
 
     name = 'zone evacuate'
     description = 'Send no more work to the targets of an availability zone.'
@@ -66,14 +66,14 @@
     arguments: typing.ClassVar = [_NAME]
 
     def request(self) -> messages.SiteZoneRequest:
-        """Ask to evacuate."""
+        """Build a request to evacuate a zone."""
         return messages.SiteZoneRequest(
             name=self.argument('name'), is_evacuated=True
         )
 
 
 class ZoneRestoreCommand(ZoneCommand):
-    """Send work to the targets of a zone again."""
+    """Resume sending work to the targets of a zone."""
 
     name = 'zone restore'
     description = 'Send work to the targets of an availability zone again.'
@@ -81,7 +81,7 @@
     arguments: typing.ClassVar = [_NAME]
 
     def request(self) -> messages.SiteZoneRequest:
-        """Ask to take it back."""
+        """Build a request to restore a zone."""
         return messages.SiteZoneRequest(
             name=self.argument('name'), is_evacuated=False
         )
