--- a/bench/day_picture.py
+++ b/bench/day_picture.py
@@ -24,19 +24,19 @@
 
 
 def draw(
-    reading: log_lines.Reading,
+    parsed: log_lines.ParsedLogs,
     found: losses.Report,
     path: str,
 ) -> None:
     """Write the picture as PNG to ``path``."""
-    zero = reading.lines[0].seconds
+    zero = parsed.lines[0].seconds
     figure, axes = pyplot.subplots(3, 1, figsize=_SIZE_INCHES, sharex=True)
     _draw_losses(axes[0], found)
     for event, field, axis in (
         (_Event.MAP, 'step_ms', axes[1]),
         (_Event.PLAN, 'skew', axes[2]),
     ):
-        rows = [line for line in reading.lines if line.event == event]
+        rows = [line for line in parsed.lines if line.event == event]
         axis.plot(
             [line.seconds - zero for line in rows],
             [line.number(field) for line in rows],
@@ -44,7 +44,7 @@
         )
         axis.set_ylabel(f'{event.value}: {field}')
         axis.set_ylim(bottom=0)
-    for line in reading.lines:
+    for line in parsed.lines:
         if line.event in {_Event.LEADER, _Event.HELD}:
             colour = 'tab:green' if line.event == _Event.LEADER else 'tab:red'
             for axis in axes:
@@ -86,11 +86,11 @@
         name: pathlib.Path(name).read_text(errors='replace').splitlines()
         for name in words[1:]
     }
-    reading = log_lines.read(texts, by_clock=True)
-    if not reading.lines:
+    parsed = log_lines.read(texts, require_time=True)
+    if not parsed.lines:
         sys.stderr.write('no line of any file is a log line\n')
         return 1
-    draw(reading, losses.report(reading), words[0])
+    draw(parsed, losses.report(parsed), words[0])
     return 0
 
 
--- a/tamarackthread/cli/commands/losses.py
+++ b/tamarackthread/cli/commands/losses.py
@@ -35,17 +35,17 @@
 
     def run_command(self) -> exit_codes.ExitCode:
         """Print the report; raise ``LogsEmpty`` without any log line."""
-        reading = log_lines.read(self._read_files(), by_clock=True)
-        for place in reading.unreadable[:MAX_UNREADABLE_SHOWN]:
+        parsed = log_lines.read(self._read_files(), require_time=True)
+        for place in parsed.unreadable[:MAX_UNREADABLE_SHOWN]:
             self.print_error(
                 f'{place}: {failures.LineUnreadable.code} is not a log line'
             )
-        omitted = len(reading.unreadable) - MAX_UNREADABLE_SHOWN
+        omitted = len(parsed.unreadable) - MAX_UNREADABLE_SHOWN
         if omitted > 0:
             self.print_error(f'and {omitted} more')
-        if not reading.lines:
+        if not parsed.lines:
             raise failures.LogsEmpty('no line of any file is a log line')
-        found = losses.report(reading)
+        found = losses.report(parsed)
         if self.option('json'):
             self.print_line(json.dumps(report_values(found)))
         else:
--- a/tamarackthread/cli/log_lines.py
+++ b/tamarackthread/cli/log_lines.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Place:
+class Location:
     """Where a line stands: ``number`` counts from 1."""
 
     file: str
@@ -64,45 +64,45 @@
 
 
 @attrs.frozen
-class Reading:
+class ParsedLogs:
     """All lines that could be read, by time, and the places of the rest."""
 
     lines: tuple[Line, ...]
-    unreadable: tuple[Place, ...]
+    unreadable: tuple[Location, ...]
 
 
 def read(
     files: collections.abc.Mapping[str, collections.abc.Iterable[str]],
     *,
-    by_clock: bool = False,
-) -> Reading:
+    require_time: bool = False,
+) -> ParsedLogs:
     """Read the lines of files, each an object with or without words before it.
 
     A line without any object is not ours and is passed over.  One that is cut
-    or lacks its time is named by its place; with ``by_clock`` also one whose
+    or lacks its time is named by its place; with ``require_time`` also one whose
     time can't be read.
     """
     found: list[Line] = []
-    unreadable: list[Place] = []
+    unreadable: list[Location] = []
     for place, text in _numbered(files):
         line = parse(text)
-        if line is None or (by_clock and math.isnan(line.seconds)):
+        if line is None or (require_time and math.isnan(line.seconds)):
             unreadable.append(place)
             continue
         found.append(line)
     found.sort(key=_time)
-    return Reading(tuple(found), tuple(unreadable))
+    return ParsedLogs(tuple(found), tuple(unreadable))
 
 
 def _numbered(
     files: collections.abc.Mapping[str, collections.abc.Iterable[str]],
-) -> collections.abc.Iterator[tuple[Place, str]]:
+) -> collections.abc.Iterator[tuple[Location, str]]:
     """Give each line that may be ours, without the words before it."""
     for name, texts in files.items():
         for number, text in enumerate(texts, start=1):
             _, brace, rest = text.partition('{')
             if brace:
-                yield Place(name, number), brace + rest
+                yield Location(name, number), brace + rest
 
 
 def parse(text: str) -> Line | None:
--- a/tamarackthread/cli/losses.py
+++ b/tamarackthread/cli/losses.py
@@ -125,7 +125,7 @@
     """The losses of a day; times count from its first line."""
 
     losses: tuple[Loss, ...]
-    unreadable: tuple[log_lines.Place, ...]
+    unreadable: tuple[log_lines.Location, ...]
 
     @property
     def unattributed_share(self) -> float:
@@ -173,24 +173,24 @@
 )
 
 
-def report(reading: log_lines.Reading) -> Report:
+def report(parsed: log_lines.ParsedLogs) -> Report:
     """Attribute each lost call of a day's lines."""
-    if not reading.lines:
-        return Report((), reading.unreadable)
-    zero = reading.lines[0].seconds
-    spans = _spans(reading.lines, zero)
+    if not parsed.lines:
+        return Report((), parsed.unreadable)
+    zero = parsed.lines[0].seconds
+    spans = _spans(parsed.lines, zero)
     tried = frozenset(
         line.request_id
-        for line in reading.lines
+        for line in parsed.lines
         if line.event == _Event.TRY_FAILED
     )
     found = []
-    for line in reading.lines:
+    for line in parsed.lines:
         kind = _KINDS.get(line.event)
         if kind is None or not _is_lost(kind, line):
             continue
         found.append(_loss(kind, line, zero, spans, tried))
-    return Report(tuple(found), reading.unreadable)
+    return Report(tuple(found), parsed.unreadable)
 
 
 def _is_lost(kind: Kind, line: log_lines.Line) -> bool:
--- a/tamarackthread/cli/request_trace.py
+++ b/tamarackthread/cli/request_trace.py
@@ -47,9 +47,9 @@
     Of beliefs those are kept that its own processes held when they decided:
     the newest of each subject, of targets only those that the request met.
     """
-    reading = log_lines.read({'': texts})
-    every = reading.lines
-    unreadable = len(reading.unreadable)
+    parsed = log_lines.read({'': texts})
+    every = parsed.lines
+    unreadable = len(parsed.unreadable)
     own = [line for line in every if line.request_id == request_id]
     if not own:
         return Story((), (), unreadable)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -26,8 +26,8 @@
             name: pathlib.Path(name).read_text().splitlines()
             for name in (ENTRY, CONTROL)
         }
-        self.reading = log_lines.read(texts)
-        self.found = losses.report(self.reading)
+        self.parsed = log_lines.read(texts)
+        self.found = losses.report(self.parsed)
 
     def test_causes(self):
         """Each lost call is told with what went on while it waited."""
@@ -70,23 +70,23 @@
             attrs.evolve(line, node='10.0.0.1/control', event='plan')
             if line.event == 'leader' and line.node == '10.0.0.2/control'
             else line
-            for line in self.reading.lines
+            for line in self.parsed.lines
         )
-        found = losses.report(log_lines.Reading(lines, ()))
+        found = losses.report(log_lines.ParsedLogs(lines, ()))
         causes = {loss.cause for loss in found.losses}
         self.assertNotIn(losses.Cause.NO_OWNER, causes)
 
     def test_leader_never_replaced(self):
         """Without a next leader the owner is missed until the end."""
         texts = {ENTRY: pathlib.Path(ENTRY).read_text().splitlines()}
-        first = self.reading.lines[1]
+        first = self.parsed.lines[1]
         lines = tuple(
             line
-            for line in self.reading.lines
+            for line in self.parsed.lines
             if line.event != 'leader' or line is first
         )
         self.assertEqual('leader', first.event)
-        found = losses.report(log_lines.Reading(lines, ()))
+        found = losses.report(log_lines.ParsedLogs(lines, ()))
         self.assertIs(losses.Cause.NO_OWNER, found.losses[-1].cause)
         self.assertEqual((), log_lines.read(texts).unreadable)
 
