--- a/tamarackthread/cli/commands/explain.py
+++ b/tamarackthread/cli/commands/explain.py
@@ -30,7 +30,9 @@
 
     def run_command(self) -> exit_codes.ExitCode:
         """Print the trace; fail if no line has the request's id."""
-        trace = request_trace.tell(self.argument('request'), self._read_lines())
+        trace = request_trace.collect(
+            self.argument('request'), self._read_lines()
+        )
         if trace.unreadable:
             self.print_error(
                 f'{trace.unreadable} lines are no JSON and left out'
@@ -38,7 +40,7 @@
         if not trace.lines:
             self.print_error('no line names this request')
             return exit_codes.ExitCode.REFUSED
-        for text in request_trace.describe(trace):
+        for text in request_trace.format_lines(trace):
             self.print_line(text)
         return exit_codes.ExitCode.DONE
 
--- a/tamarackthread/cli/commands/losses.py
+++ b/tamarackthread/cli/commands/losses.py
@@ -36,9 +36,9 @@
     def run_command(self) -> exit_codes.ExitCode:
         """Print the report; raise ``LogsEmpty`` without any log line."""
         parsed = log_lines.read(self._read_files(), require_time=True)
-        for place in parsed.unreadable[:MAX_UNREADABLE_SHOWN]:
+        for location in parsed.unreadable[:MAX_UNREADABLE_SHOWN]:
             self.print_error(
-                f'{place}: {failures.LineUnreadable.code} is not a log line'
+                f'{location}: {failures.LineUnreadable.code} is not a log line'
             )
         omitted = len(parsed.unreadable) - MAX_UNREADABLE_SHOWN
         if omitted > 0:
@@ -74,7 +74,7 @@
     return {
         'calls': len(found.losses),
         'unattributed_share': round(found.unattributed_share, 4),
-        'unreadable': [str(place) for place in found.unreadable],
+        'unreadable': [str(location) for location in found.unreadable],
         'by': {
             dimension: [attrs.asdict(row) for row in found.by(dimension)]
             for dimension in losses.DIMENSIONS
--- a/tamarackthread/cli/log_lines.py
+++ b/tamarackthread/cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Read structured log lines of many processes, and say which can't be read."""
+"""Parse the structured log lines of many processes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import attrs
 
-# Fields that every line has; the others are the inputs of a decision.
-_PLAIN = frozenset(
+# Fields common to all lines; the others belong to the event.
+_COMMON_FIELDS = frozenset(
     ('time', 'level', 'part', 'text', 'request_id', 'node', 'event'),
 )
 
@@ -20,7 +20,7 @@
 class Line:
     """One line of a process's log.
 
-    ``seconds`` are since the epoch, not a number where ``time`` tells none.
+    ``seconds`` is the Unix time, NaN if ``time`` cannot be parsed.
     """
 
     time: str
@@ -33,9 +33,9 @@
     fields: dict[str, typing.Any]
 
     @property
-    def subject(self) -> tuple[str, ...]:
-        """Return what a belief is about, so that the newest replaces others."""
-        about = next(
+    def state_key(self) -> tuple[str, ...]:
+        """Return the key under which a newer state replaces an older one."""
+        subject_name = next(
             (
                 self.fields[name]
                 for name in ('target', 'targets', 'address')
@@ -43,29 +43,29 @@
             ),
             '',
         )
-        return self.node, self.event, str(about)
+        return self.node, self.event, str(subject_name)
 
     def number(self, name: str) -> float:
-        """Return a field that is a number, 0 if it is none."""
+        """Return a numeric field, 0 if it is missing or not a number."""
         found = self.fields.get(name)
         return float(found) if isinstance(found, int | float) else 0
 
 
 @attrs.frozen
 class Location:
-    """Where a line stands: ``number`` counts from 1."""
+    """The position of a line; ``number`` counts from 1."""
 
     file: str
     number: int
 
     def __str__(self) -> str:
-        """Write it as FILE:LINE."""
+        """Format as FILE:LINE."""
         return f'{self.file}:{self.number}'
 
 
 @attrs.frozen
 class ParsedLogs:
-    """All lines that could be read, by time, and the places of the rest."""
+    """All valid lines, sorted by time, and the locations of invalid ones."""
 
     lines: tuple[Line, ...]
     unreadable: tuple[Location, ...]
@@ -76,28 +76,25 @@
     *,
     require_time: bool = False,
 ) -> ParsedLogs:
-    """Read the lines of files, each an object with or without words before it.
-
-    A line without any object is not ours and is passed over.  One that is cut
-    or lacks its time is named by its place; with ``require_time`` also one whose
-    time can't be read.
-    """
+    """Parse lines of files, each a JSON object after an optional prefix."""
+    # Lines without an object are skipped.  Malformed ones are reported, with
+    # ``require_time`` also those whose time cannot be parsed.
     found: list[Line] = []
     unreadable: list[Location] = []
-    for place, text in _numbered(files):
+    for location, text in _find_objects(files):
         line = parse(text)
         if line is None or (require_time and math.isnan(line.seconds)):
-            unreadable.append(place)
+            unreadable.append(location)
             continue
         found.append(line)
-    found.sort(key=_time)
+    found.sort(key=_time_of)
     return ParsedLogs(tuple(found), tuple(unreadable))
 
 
-def _numbered(
+def _find_objects(
     files: collections.abc.Mapping[str, collections.abc.Iterable[str]],
 ) -> collections.abc.Iterator[tuple[Location, str]]:
-    """Give each line that may be ours, without the words before it."""
+    """Yield each line that has an object, without its prefix."""
     for name, texts in files.items():
         for number, text in enumerate(texts, start=1):
             _, brace, rest = text.partition('{')
@@ -106,7 +103,7 @@
 
 
 def parse(text: str) -> Line | None:
-    """Read one object, ``None`` if it is no line of ours."""
+    """Parse one object; return ``None`` if it is not a log line."""
     try:
         row = json.loads(text)
     except ValueError:
@@ -115,22 +112,26 @@
         return None
     return Line(
         time=str(row['time']),
-        seconds=_seconds(row['time']),
+        seconds=_unix_seconds(row['time']),
         node=str(row.get('node', '')),
         event=str(row.get('event', '')),
         text=str(row['text']),
         request_id=str(row.get('request_id', '')),
         level=str(row.get('level', '')),
-        fields={name: held for name, held in row.items() if name not in _PLAIN},
+        fields={
+            name: held
+            for name, held in row.items()
+            if name not in _COMMON_FIELDS
+        },
     )
 
 
-def _seconds(time: typing.Any) -> float:
+def _unix_seconds(time: typing.Any) -> float:
     try:
         return datetime.datetime.fromisoformat(time).timestamp()
     except (ValueError, TypeError):
         return math.nan
 
 
-def _time(line: Line) -> str:
+def _time_of(line: Line) -> str:
     return line.time
--- a/tamarackthread/cli/losses.py
+++ b/tamarackthread/cli/losses.py
@@ -1,9 +1,6 @@
-"""Find which calls were late, refused or failed, and what they waited for.
+"""Attribute late, refused and failed calls to causes found in the logs.
 
-Each such call waited for something during a stretch of time that its line
-tells.  What went on in that stretch is in the lines of control and of the
-entry itself; the first cause in the order of ``_CAUSES`` that overlaps counts,
-so that a group without an owner is not told as one that was uneven.
+The cause is the first of ``_CAUSES`` that overlaps the time the call waited.
 """
 
 from __future__ import annotations
@@ -20,25 +17,25 @@
 from tamarackthread.shared import log_events
 
 _Event = log_events.Event
-# An entry that has started knows its targets after a beat or two.
-START_SECONDS = 2.0
-# A group that was found held goes on after the lag of reports and its orders.
-RELEASE_SECONDS = 0.5
-# Silence of a leader that its peers wait for before one of them stands.
-ELECTION_SECONDS = 1.2
-# A new owner reads, plans and switches in so long.
+# Time until a started entry knows its targets.
+STARTUP_SECONDS = 2.0
+# Delay of the reports and orders that release a held group.
+HOLD_MARGIN_SECONDS = 0.5
+# Time without heartbeats before the leader's peers start an election.
+ELECTION_TIMEOUT_SECONDS = 1.2
+# Time until a new owner of the maps has made and applied a plan.
 TAKEOVER_SECONDS = 0.7
-# Demand has shifted so long before the plan that answers it, and copies and
-# the step of the switch follow it.
-SHIFT_SECONDS = 1.0
-SWITCH_SECONDS = 0.5
-# A switch that took longer than this until all ranks were armed was waited for.
-HELD_MS = 60
+# Time from a shift of demand to its plan, and from the plan to the end of
+# its switch of maps.
+DEMAND_SHIFT_SECONDS = 1.0
+MAP_SWITCH_SECONDS = 0.5
+# A switch of maps that arms its ranks more slowly than this delays calls.
+SLOW_ARM_MS = 60
 MILLISECONDS = 1000
 
 
 class Kind(enum.StrEnum):
-    """Name how a call was lost."""
+    """The way in which a call was lost."""
 
     LATE = 'late'
     REFUSED = 'refused'
@@ -47,7 +44,7 @@
 
 
 class Cause(enum.StrEnum):
-    """Name what a lost call waited for, or why it had no answer."""
+    """The cause for which a call was late or had no reply."""
 
     NO_CONFIGURATION = 'no configuration or target known yet'
     STARTING = 'its entry had just started'
@@ -61,7 +58,7 @@
     UNKNOWN = 'not attributed'
 
 
-_KINDS = types.MappingProxyType(
+_KIND_BY_EVENT = types.MappingProxyType(
     {
         _Event.CALL_ANSWERED.value: Kind.LATE,
         _Event.CALL_REFUSED.value: Kind.REFUSED,
@@ -69,8 +66,8 @@
         _Event.CALL_BROKEN.value: Kind.BROKEN,
     }
 )
-# What the codes of the request path mean here; docs/ERRORS.md has them all.
-_BY_CODE = types.MappingProxyType(
+# Causes of the error codes of the request path (see docs/ERRORS.md).
+_CAUSE_BY_CODE = types.MappingProxyType(
     {
         'TT7201': Cause.NO_CONFIGURATION,
         'TT7202': Cause.CALLER,
@@ -83,9 +80,9 @@
         'TT7209': Cause.TARGET,
     }
 )
-# What only the owner of the maps does.
-_OWNERS_WORK = frozenset((_Event.PLAN.value, _Event.MAP.value))
-# What a report can be summed by.
+# Events that only the owner of the maps logs.
+_OWNER_EVENTS = frozenset((_Event.PLAN.value, _Event.MAP.value))
+# Fields by which a report can be grouped.
 DIMENSIONS = tuple(
     'cause kind second service route organisation node target'.split()
 )
@@ -93,7 +90,7 @@
 
 @attrs.frozen(kw_only=True)
 class Loss:
-    """One lost call: from when until when it waited for its cause."""
+    """One lost call, with the start and end of its wait in seconds."""
 
     kind: Kind
     cause: Cause
@@ -107,13 +104,13 @@
 
     @property
     def second(self) -> int:
-        """Return the second in which it waited longest for its cause."""
+        """Return the second in which the wait ended."""
         return int(self.ended)
 
 
 @attrs.frozen
 class Row:
-    """How many calls were lost to something, and for how many seconds."""
+    """Count and total wait in seconds of the lost calls of one group."""
 
     name: str
     calls: int
@@ -122,19 +119,19 @@
 
 @attrs.frozen
 class Report:
-    """The losses of a day; times count from its first line."""
+    """All lost calls; times are in seconds since the first log line."""
 
     losses: tuple[Loss, ...]
     unreadable: tuple[log_lines.Location, ...]
 
     @property
     def unattributed_share(self) -> float:
-        """Return the part of the losses whose cause was not found."""
+        """Return the share of lost calls without a known cause."""
         unknown = sum(loss.cause is Cause.UNKNOWN for loss in self.losses)
         return unknown / len(self.losses) if self.losses else 0
 
     def by(self, dimension: str) -> list[Row]:
-        """Sum the losses by one of their fields, the largest first."""
+        """Group the lost calls by a field, the largest group first."""
         calls: collections.Counter[str] = collections.Counter()
         seconds: collections.Counter[str] = collections.Counter()
         for loss in self.losses:
@@ -148,8 +145,8 @@
 
 
 @attrs.frozen
-class _Span:
-    """A stretch in which something went on; everywhere without a node."""
+class _Interval:
+    """The time in which a cause was active, on all nodes if none is named."""
 
     cause: Cause
     began: float
@@ -157,13 +154,13 @@
     node: str = ''
 
     def covers(self, began: float, ended: float, node: str) -> bool:
-        """Tell whether a wait at a node overlaps this."""
+        """Tell whether a wait at a node overlaps this interval."""
         if self.node not in {'', node}:
             return False
         return self.began < ended and began < self.ended
 
 
-# The earlier one counts where several went on at once.
+# In order of precedence, for causes that overlap.
 _CAUSES = (
     Cause.STARTING,
     Cause.NO_OWNER,
@@ -174,43 +171,43 @@
 
 
 def report(parsed: log_lines.ParsedLogs) -> Report:
-    """Attribute each lost call of a day's lines."""
+    """Attribute each lost call to a cause."""
     if not parsed.lines:
         return Report((), parsed.unreadable)
-    zero = parsed.lines[0].seconds
-    spans = _spans(parsed.lines, zero)
-    tried = frozenset(
+    start = parsed.lines[0].seconds
+    intervals = _find_intervals(parsed.lines, start)
+    failed_attempts = frozenset(
         line.request_id
         for line in parsed.lines
         if line.event == _Event.TRY_FAILED
     )
     found = []
     for line in parsed.lines:
-        kind = _KINDS.get(line.event)
+        kind = _KIND_BY_EVENT.get(line.event)
         if kind is None or not _is_lost(kind, line):
             continue
-        found.append(_loss(kind, line, zero, spans, tried))
+        found.append(_build_loss(kind, line, start, intervals, failed_attempts))
     return Report(tuple(found), parsed.unreadable)
 
 
 def _is_lost(kind: Kind, line: log_lines.Line) -> bool:
     if kind is Kind.LATE:
         return bool(line.fields.get('is_late'))
-    # A call that no configuration allows is owed nothing.
-    return _BY_CODE.get(str(line.fields.get('code'))) is not Cause.CALLER
+    # A call that the configuration rejects is not lost.
+    return _CAUSE_BY_CODE.get(str(line.fields.get('code'))) is not Cause.CALLER
 
 
-def _loss(
+def _build_loss(
     kind: Kind,
     line: log_lines.Line,
-    zero: float,
-    spans: list[_Span],
-    tried: frozenset[str],
+    start: float,
+    intervals: list[_Interval],
+    failed_attempts: frozenset[str],
 ) -> Loss:
-    began, ended = _wait(kind, line, zero)
+    began, ended = _wait_interval(kind, line, start)
     return Loss(
         kind=kind,
-        cause=_cause(line, spans, tried, began, ended),
+        cause=_find_cause(line, intervals, failed_attempts, began, ended),
         began=began,
         ended=ended,
         node=line.node,
@@ -221,13 +218,13 @@
     )
 
 
-def _wait(
+def _wait_interval(
     kind: Kind,
     line: log_lines.Line,
-    zero: float,
+    start: float,
 ) -> tuple[float, float]:
-    """Return from when until when a call waited for what made it late."""
-    ended = line.seconds - zero
+    """Return the start and end of the wait that made a call late."""
+    ended = line.seconds - start
     arrived = ended - line.number('took_ms') / MILLISECONDS
     if kind is not Kind.LATE or not line.fields.get('first_ms'):
         return arrived, ended
@@ -239,109 +236,119 @@
     return paused_until - pause, paused_until
 
 
-def _cause(
+def _find_cause(
     line: log_lines.Line,
-    spans: list[_Span],
-    tried: frozenset[str],
+    intervals: list[_Interval],
+    failed_attempts: frozenset[str],
     began: float,
     ended: float,
 ) -> Cause:
     code = str(line.fields.get('code', ''))
-    by_code = _BY_CODE.get(code)
+    by_code = _CAUSE_BY_CODE.get(code)
     if by_code is not None and by_code is not Cause.DEADLINE:
         return by_code
     for cause in _CAUSES:
-        for span in spans:
-            if span.cause is cause and span.covers(began, ended, line.node):
+        for interval in intervals:
+            if interval.cause is cause and interval.covers(
+                began, ended, line.node
+            ):
                 return cause
     if by_code is not None:
         return by_code
-    if line.request_id in tried:
+    if line.request_id in failed_attempts:
         return Cause.TARGET
     return Cause.UNKNOWN
 
 
-def _spans(
+def _find_intervals(
     lines: collections.abc.Iterable[log_lines.Line],
-    zero: float,
-) -> list[_Span]:
-    found: list[_Span] = []
-    owners = _Owners()
+    start: float,
+) -> list[_Interval]:
+    found: list[_Interval] = []
+    leader_tracker = _LeaderTracker()
     for line in lines:
-        now = line.seconds - zero
-        found.extend(owners.take(line, now))
-        found.extend(_span_of(line, now))
-    found.extend(owners.end())
+        now = line.seconds - start
+        found.extend(leader_tracker.process(line, now))
+        found.extend(_intervals_of(line, now))
+    found.extend(leader_tracker.finish())
     return found
 
 
-class _Owners:
-    """Follow who leads, and for how long nobody does."""
+class _LeaderTracker:
+    """Track the leader and the intervals without one."""
 
     def __init__(self) -> None:
         self._leader = ''
         self._lost_at: float | None = None
 
-    def take(
+    def process(
         self,
         line: log_lines.Line,
         now: float,
-    ) -> collections.abc.Iterator[_Span]:
-        """Take a line; give the stretch without a leader that it ends."""
+    ) -> collections.abc.Iterator[_Interval]:
+        """Process a line; yield the interval without a leader that it ends."""
         if line.event == _Event.LEADER:
             if self._leader:
-                # One that was suspended or cut off is not seen to go.
-                began = self._lost_at or now - ELECTION_SECONDS
-                yield _Span(Cause.NO_OWNER, began, now + TAKEOVER_SECONDS)
-            self._leader = _host(line.node)
+                # No line shows the loss of a suspended or partitioned leader.
+                began = self._lost_at or now - ELECTION_TIMEOUT_SECONDS
+                yield _Interval(Cause.NO_OWNER, began, now + TAKEOVER_SECONDS)
+            self._leader = _host_of(line.node)
             self._lost_at = None
-        elif _loses(line, self._leader):
+        elif _shows_loss(line, self._leader):
             self._lost_at = self._lost_at or now
-        elif _shows(line, self._leader):
-            # One entry had lost its link; the leader has worked on.
+        elif _shows_activity(line, self._leader):
+            # Only one entry had lost its link; the leader kept working.
             self._lost_at = None
 
-    def end(self) -> collections.abc.Iterator[_Span]:
-        """Give the stretch that no leader has ended."""
+    def finish(self) -> collections.abc.Iterator[_Interval]:
+        """Yield the interval that no new leader has ended."""
         if self._lost_at is not None:
-            yield _Span(Cause.NO_OWNER, self._lost_at, math.inf)
+            yield _Interval(Cause.NO_OWNER, self._lost_at, math.inf)
 
 
-def _loses(line: log_lines.Line, leader: str) -> bool:
-    """Tell whether a line tells that the leader's process is gone."""
+def _shows_loss(line: log_lines.Line, leader: str) -> bool:
+    """Tell whether a line shows the loss of the leader."""
     if not leader:
         return False
     if line.event == _Event.DEPENDENCY and not line.fields.get('is_up'):
-        return _host(str(line.fields.get('address', ''))) == leader
+        return _host_of(str(line.fields.get('address', ''))) == leader
     is_restart = line.event == _Event.STARTED and 'control' in line.node
-    return is_restart and _host(line.node) == leader
+    return is_restart and _host_of(line.node) == leader
 
 
-def _shows(line: log_lines.Line, leader: str) -> bool:
-    """Tell whether a line shows that the leader works."""
+def _shows_activity(line: log_lines.Line, leader: str) -> bool:
+    """Tell whether a line shows that the leader is active."""
     if line.event == _Event.DEPENDENCY:
-        return _host(str(line.fields.get('address', ''))) == leader
-    return line.event in _OWNERS_WORK and _host(line.node) == leader
+        return _host_of(str(line.fields.get('address', ''))) == leader
+    return line.event in _OWNER_EVENTS and _host_of(line.node) == leader
 
 
-def _span_of(
+def _intervals_of(
     line: log_lines.Line,
     now: float,
-) -> collections.abc.Iterator[_Span]:
+) -> collections.abc.Iterator[_Interval]:
     if line.event == _Event.STARTED:
-        yield _Span(Cause.STARTING, now - 1, now + START_SECONDS, line.node)
+        yield _Interval(
+            Cause.STARTING, now - 1, now + STARTUP_SECONDS, line.node
+        )
     if line.event == _Event.HELD:
-        yield _Span(Cause.HELD, now - RELEASE_SECONDS, now + RELEASE_SECONDS)
+        yield _Interval(
+            Cause.HELD, now - HOLD_MARGIN_SECONDS, now + HOLD_MARGIN_SECONDS
+        )
     if line.event == _Event.PLAN:
-        yield _Span(Cause.UNEVEN, now - SHIFT_SECONDS, now + SWITCH_SECONDS)
+        yield _Interval(
+            Cause.UNEVEN, now - DEMAND_SHIFT_SECONDS, now + MAP_SWITCH_SECONDS
+        )
     if line.event != _Event.MAP:
         return
-    held = line.number('arm_ms')
-    if held > HELD_MS:
-        yield _Span(Cause.HELD, now - held / MILLISECONDS, now)
-    yield _Span(Cause.LONG_STEPS, now - SHIFT_SECONDS, now + SHIFT_SECONDS)
+    arm_ms = line.number('arm_ms')
+    if arm_ms > SLOW_ARM_MS:
+        yield _Interval(Cause.HELD, now - arm_ms / MILLISECONDS, now)
+    yield _Interval(
+        Cause.LONG_STEPS, now - DEMAND_SHIFT_SECONDS, now + DEMAND_SHIFT_SECONDS
+    )
 
 
-def _host(node: str) -> str:
-    """Return the host of a node's name or of an address."""
+def _host_of(node: str) -> str:
+    """Return the host in a node's name or an address."""
     return node.partition('/')[0].partition(':')[0]
--- a/tamarackthread/cli/request_trace.py
+++ b/tamarackthread/cli/request_trace.py
@@ -1,4 +1,4 @@
-"""Put together what the logs of many processes say of one request."""
+"""Trace one request through the logs of many processes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tamarackthread.shared import log_events
 
 _Event = log_events.Event
-# What a process believes; the newest of each key before a request is shown.
-_BELIEFS = frozenset(
+# Events that report the state of a process.
+_STATE_EVENTS = frozenset(
     (
         _Event.CONFIGURATION.value,
         _Event.TARGET.value,
@@ -27,63 +27,61 @@
 
 
 @attrs.frozen
-class Story:
-    """One request's lines in order, and what was believed before them.
+class RequestTrace:
+    """The lines of a request and the state that its processes then had.
 
-    ``unreadable`` counts lines of the files that are no JSON of ours.
+    ``unreadable`` counts the malformed lines.
     """
 
     lines: tuple[log_lines.Line, ...]
-    beliefs: tuple[log_lines.Line, ...]
+    state_lines: tuple[log_lines.Line, ...]
     unreadable: int
 
 
-def tell(
+def collect(
     request_id: str,
     texts: collections.abc.Iterable[str],
-) -> Story:
-    """Find a request's story in the lines of many processes.
-
-    Of beliefs those are kept that its own processes held when they decided:
-    the newest of each subject, of targets only those that the request met.
-    """
+) -> RequestTrace:
+    """Collect the lines of a request and the state before its last line."""
+    # Limited to the processes and targets that handled the request; of each
+    # state, only the newest line counts.
     parsed = log_lines.read({'': texts})
-    every = parsed.lines
+    all_lines = parsed.lines
     unreadable = len(parsed.unreadable)
-    own = [line for line in every if line.request_id == request_id]
-    if not own:
-        return Story((), (), unreadable)
-    nodes = {line.node for line in own}
-    met = {line.fields.get('target') for line in own}
-    beliefs: dict[tuple[str, ...], log_lines.Line] = {}
-    for line in every:
-        if line.time > own[-1].time:
+    own_lines = [line for line in all_lines if line.request_id == request_id]
+    if not own_lines:
+        return RequestTrace((), (), unreadable)
+    nodes = {line.node for line in own_lines}
+    targets = {line.fields.get('target') for line in own_lines}
+    state_lines: dict[tuple[str, ...], log_lines.Line] = {}
+    for line in all_lines:
+        if line.time > own_lines[-1].time:
             break
-        if line.node in nodes and _is_belief(line, met):
-            beliefs[line.subject] = line
-    held = tuple(sorted(beliefs.values(), key=_time))
-    return Story(tuple(own), held, unreadable)
+        if line.node in nodes and _is_relevant_state(line, targets):
+            state_lines[line.state_key] = line
+    sorted_state = tuple(sorted(state_lines.values(), key=_time_of))
+    return RequestTrace(tuple(own_lines), sorted_state, unreadable)
 
 
-def describe(story: Story) -> collections.abc.Iterator[str]:
-    """Write a story as lines for people."""
+def format_lines(trace: RequestTrace) -> collections.abc.Iterator[str]:
+    """Format a trace as text."""
     yield 'believed:'
-    for line in story.beliefs:
+    for line in trace.state_lines:
         yield f'  {line.time} {line.node} {line.text}'
     yield 'decided:'
-    for line in story.lines:
+    for line in trace.lines:
         yield f'  {line.time} {line.node} {line.text}'
-        inputs = [f'{name}={held}' for name, held in line.fields.items()]
+        inputs = [f'{name}={field}' for name, field in line.fields.items()]
         if inputs:
             yield f'      {" ".join(inputs)}'
 
 
-def _is_belief(line: log_lines.Line, met: set[typing.Any]) -> bool:
+def _is_relevant_state(line: log_lines.Line, targets: set[typing.Any]) -> bool:
     if line.event == _Event.TARGET:
         named = (line.fields.get('target'), *line.fields.get('targets', ()))
-        return not met.isdisjoint(named)
-    return line.event in _BELIEFS
+        return not targets.isdisjoint(named)
+    return line.event in _STATE_EVENTS
 
 
-def _time(line: log_lines.Line) -> str:
+def _time_of(line: log_lines.Line) -> str:
     return line.time
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -31,7 +31,7 @@
 class StoryCase(unittest.TestCase):
     def test_beliefs_of_the_moment(self):
         """A story shows what its process believed then, not later or elsewhere."""
-        told = request_trace.tell(
+        told = request_trace.collect(
             'r1',
             [
                 line('05', 'a', 'configuration', version=9),
@@ -47,14 +47,16 @@
             ],
         )
         self.assertEqual(['03', '04'], [one.time for one in told.lines])
-        self.assertEqual(['00', '02'], [one.time for one in told.beliefs])
-        self.assertEqual('leaving', told.beliefs[1].fields['state'])
+        self.assertEqual(['00', '02'], [one.time for one in told.state_lines])
+        self.assertEqual('leaving', told.state_lines[1].fields['state'])
         self.assertEqual(1, told.unreadable)
-        self.assertIn('code=TT7209', '\n'.join(request_trace.describe(told)))
+        self.assertIn(
+            'code=TT7209', '\n'.join(request_trace.format_lines(told))
+        )
 
     def test_targets_told_together(self):
         """What an entry learned of many targets in one line counts for each."""
-        told = request_trace.tell(
+        told = request_trace.collect(
             'r1',
             [
                 line('01', 'a', 'target', targets=['t1', 't2'], state='ready'),
@@ -62,7 +64,7 @@
                 line('03', 'a', 'try_failed', 'r1', target='t2'),
             ],
         )
-        self.assertEqual(['01'], [one.time for one in told.beliefs])
+        self.assertEqual(['01'], [one.time for one in told.state_lines])
 
     def test_line_of_a_process(self):
         """A line carries node, request, event and inputs."""
@@ -77,7 +79,7 @@
             )
         writer.flush()
         writer.close()
-        told = request_trace.tell('r7', stream.getvalue().splitlines())
+        told = request_trace.collect('r7', stream.getvalue().splitlines())
         self.assertEqual('10.0.0.1/entry', told.lines[0].node)
         self.assertEqual({'code': 'X'}, told.lines[0].fields)
 
