--- a/tamarackthread/cli/client.py
+++ b/tamarackthread/cli/client.py
@@ -74,7 +74,7 @@
         self._timeout_seconds = timeout_seconds
         self._preferred_address = self._control[0]
 
-    async def ask(self, request: messages.Request) -> messages.Reply:
+    async def send_to_leader(self, request: messages.Request) -> messages.Reply:
         """Return the first reply; raise the error that the leader replied."""
         return await _RetriedRequest(self, request).run()
 
@@ -93,7 +93,7 @@
         while more:
             after = documents[-1].name if documents else ''
             read = messages.ReadRequest(kind=kind, after=after)
-            reply = await self.ask(messages.Request(documents=read))
+            reply = await self.send_to_leader(messages.Request(documents=read))
             documents.extend(reply.documents.documents)
             more = bool(reply.documents.more)
         return documents
@@ -116,13 +116,13 @@
             based_on=change.based_on,
             body=change.body,
         )
-        reply = await self.ask(messages.Request(change=request))
+        reply = await self.send_to_leader(messages.Request(change=request))
         return reply.change
 
     async def status(self, revision: int = 0) -> messages.StatusReply:
         """Report which nodes have a revision in force; 0 is the newest."""
         request = messages.StatusRequest(revision=revision)
-        reply = await self.ask(messages.Request(status=request))
+        reply = await self.send_to_leader(messages.Request(status=request))
         return reply.status
 
     async def wait(self, revision: int) -> messages.StatusReply:
@@ -145,7 +145,7 @@
         while len(records) < limit:
             count = min(limit - len(records), AUDIT_PAGE_SIZE)
             request = messages.AuditRequest(after=after, limit=count)
-            reply = await self.ask(messages.Request(audit=request))
+            reply = await self.send_to_leader(messages.Request(audit=request))
             if not reply.audit.records:
                 break
             records.extend(reply.audit.records)
@@ -172,7 +172,7 @@
         """List or change the members of a replicated group."""
         # Only the leader knows the state of all members, so its list is
         # preferred to that of the control host that replied.
-        reply = await self.ask(messages.Request(member=request))
+        reply = await self.send_to_leader(messages.Request(member=request))
         for member in reply.member.members or ():
             if member.leader and request.action == LIST_MEMBERS:
                 return await self._members_from_leader(
@@ -189,7 +189,7 @@
             actor=self._author.actor,
             cancel=cancel,
         )
-        reply = await self.ask(messages.Request(drain=request))
+        reply = await self.send_to_leader(messages.Request(drain=request))
         return reply.done.value
 
     async def zones(
@@ -197,7 +197,7 @@
     ) -> list[messages.SiteZone]:
         """Evacuate or restore the named zone, if any; list all zones."""
         request.author = f'{self._author.actor} at {self._author.origin}'
-        reply = await self.ask(messages.Request(site_zone=request))
+        reply = await self.send_to_leader(messages.Request(site_zone=request))
         return reply.site_zone.zones
 
     async def _read_documents(
@@ -207,7 +207,7 @@
         history: bool,
     ) -> list[messages.Document]:
         read = messages.ReadRequest(kind=kind, name=name, history=history)
-        reply = await self.ask(messages.Request(documents=read))
+        reply = await self.send_to_leader(messages.Request(documents=read))
         return reply.documents.documents
 
     async def _members_from_leader(
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -82,9 +82,12 @@
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a table, or all documents as JSON."""
         found = await operator.list_documents(self._kind)
-        rows = [(held.name, held.version, held.revision) for held in found]
+        rows = [
+            (document.name, document.version, document.revision)
+            for document in found
+        ]
         self.print_result(
-            [render.document_values(held) for held in found],
+            [render.document_values(document) for document in found],
             render.table(('name', 'version', 'revision'), rows),
         )
         return exit_codes.ExitCode.DONE
@@ -154,7 +157,7 @@
         history = await changes.versions(operator, self._kind, name)
         if not history:
             raise failures.DocumentNotFound(f'{self._kind} {name}')
-        values = [render.document_values(held) for held in history]
+        values = [render.document_values(document) for document in history]
         self.print_result(values, '\n'.join(_format_history(history)))
         return exit_codes.ExitCode.DONE
 
@@ -254,14 +257,14 @@
     history: list[messages.Document],
 ) -> typing.Iterator[str]:
     before = ''
-    for held in history:
-        note = '' if held.body else ' (deleted)'
-        yield f'version {held.version}, revision {held.revision}{note}'
+    for document in history:
+        note = '' if document.body else ' (deleted)'
+        yield f'version {document.version}, revision {document.revision}{note}'
         shown = document_files.unified_diff(
-            before, held.body, 'before', 'after'
+            before, document.body, 'before', 'after'
         )
         yield from shown.splitlines()[2:]
-        before = held.body
+        before = document.body
 
 
 def for_kind(kind: str) -> list[DocumentCommand]:
--- a/tamarackthread/cli/commands/members.py
+++ b/tamarackthread/cli/commands/members.py
@@ -53,8 +53,8 @@
         if chosen:
             return [chosen]
         groups = {
-            documents.parse(held.kind, held.body).group
-            for held in await operator.list_documents('shard')
+            documents.parse(shard.kind, shard.body).group
+            for shard in await operator.list_documents('shard')
         }
         return [CONFIG_GROUP, *sorted(groups)]
 
--- a/tamarackthread/cli/log_lines.py
+++ b/tamarackthread/cli/log_lines.py
@@ -119,8 +119,8 @@
         request_id=str(row.get('request_id', '')),
         level=str(row.get('level', '')),
         fields={
-            name: held
-            for name, held in row.items()
+            name: value
+            for name, value in row.items()
             if name not in _COMMON_FIELDS
         },
     )
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Prove that lost calls are found in logs, with what they waited for."""
+"""Test that lost calls and their causes are found in logs."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         self.found = losses.report(self.parsed)
 
     def test_causes(self):
-        """Each lost call is told with what went on while it waited."""
+        """Each lost call has the cause that was active while it waited."""
         causes = [loss.cause for loss in self.found.losses]
         self.assertEqual(
             [
@@ -48,24 +48,20 @@
         self.assertEqual(0.125, self.found.unattributed_share)
 
     def test_wait_is_the_pause(self):
-        """A stream that came at once waited in its longest pause only."""
+        """A stream with a prompt first chunk waited in its longest pause."""
         paused = self.found.losses[2]
         self.assertAlmostEqual(9.5, paused.began)
         self.assertAlmostEqual(9.9, paused.ended)
 
     def test_sums(self):
-        """Losses are summed by each of their fields, the largest first."""
+        """Lost calls are grouped by a field, the largest group first."""
         rows = self.found.by('service')
         self.assertEqual([('s', 4), ('q', 4)], _names(rows))
         by_kind = dict(_names(self.found.by('kind')))
         self.assertEqual({'late': 5, 'refused': 1, 'failed': 2}, by_kind)
 
     def test_link_of_one_entry(self):
-        """A leader that one entry has lost, and that works on, is not missed.
-
-        Links that lose packets cut an entry off for a moment.  Told as a loss
-        of the leader, every late call until the next one would have that cause.
-        """
+        """A link lost by one entry must not count as the loss of the leader."""
         lines = tuple(
             attrs.evolve(line, node='10.0.0.1/control', event='plan')
             if line.event == 'leader' and line.node == '10.0.0.2/control'
@@ -77,7 +73,7 @@
         self.assertNotIn(losses.Cause.NO_OWNER, causes)
 
     def test_leader_never_replaced(self):
-        """Without a next leader the owner is missed until the end."""
+        """Without a new leader the interval lasts until the end."""
         texts = {ENTRY: pathlib.Path(ENTRY).read_text().splitlines()}
         first = self.parsed.lines[1]
         lines = tuple(
@@ -93,7 +89,7 @@
 
 class CommandCase(unittest.TestCase):
     def test_table_and_hostile_lines(self):
-        """Cut and foreign lines are named by their place, the rest is read."""
+        """Malformed lines are reported by location and the others are read."""
         code, out, err = _run(ENTRY, CONTROL, HOSTILE)
         self.assertEqual(0, code)
         self.assertIn('9 calls lost', out)
@@ -102,15 +98,15 @@
         self.assertNotIn('hostile.log:1:', err)
 
     def test_json(self):
-        """Scripts get one object with every sum."""
+        """The JSON output is one object with every group."""
         code, out, _ = _run('--json', ENTRY, CONTROL)
-        told = json.loads(out)
+        values = json.loads(out)
         self.assertEqual(0, code)
-        self.assertEqual(8, told['calls'])
-        self.assertEqual(set(losses.DIMENSIONS), set(told['by']))
+        self.assertEqual(8, values['calls'])
+        self.assertEqual(set(losses.DIMENSIONS), set(values['by']))
 
     def test_nothing_to_read(self):
-        """No file, a missing one and one without lines are refused by code."""
+        """A missing file and one without log lines fail with their codes."""
         with tempfile.NamedTemporaryFile() as empty:
             code, _, err = _run(empty.name)
         self.assertEqual(1, code)
@@ -120,7 +116,7 @@
         self.assertIn('TT2105', err)
 
     def test_picture(self):
-        """The day is drawn into a picture."""
+        """The logs are drawn as a PNG file."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'day.png'
             code = day_picture.main([str(path), ENTRY, CONTROL])
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""Prove what operators see when they race, lose answers and undo."""
+"""Test operators' changes: conflicts, lost replies and rollbacks."""
 
 import asyncio
 import contextlib
@@ -46,38 +46,28 @@
         self.listener.close()
         await asyncio.sleep(0)
 
-    def make_operator(self, *others, patience=20):
+    def make_operator(self, *others, timeout_seconds=20):
         control = (*others, self.address)
-        return client.Operator(self.peers, control, AUTHOR, patience)
+        return client.Operator(self.peers, control, AUTHOR, timeout_seconds)
 
 
 class ChangeCase(ControlCase):
     async def test_racing_operators_get_one_winner_and_a_difference(self):
-        """The second of two operators sees what the first one changed.
-
-        Both read version 1 and change the same field.  The first change is
-        version 2; the second names version 1 as its base, so it must not
-        undo the first unseen.
-        """
+        """A change from an outdated version must not overwrite a newer one."""
         await changes.apply(self.operator, edit('{}'))
         first = edit('{"drain":{"seconds":60}}', 1)
         second = edit('{"drain":{"seconds":90}}', 1)
-        won = await changes.apply(self.operator, first)
-        lost = await changes.apply(self.operator, second)
-        self.assertEqual(won.outcome, changes.Outcome.ACCEPTED)
-        self.assertEqual(lost.outcome, changes.Outcome.CONFLICT)
-        self.assertIn('-    "seconds": 60', lost.difference)
-        self.assertIn('+    "seconds": 90', lost.difference)
+        accepted = await changes.apply(self.operator, first)
+        conflict = await changes.apply(self.operator, second)
+        self.assertEqual(accepted.outcome, changes.Outcome.ACCEPTED)
+        self.assertEqual(conflict.outcome, changes.Outcome.CONFLICT)
+        self.assertIn('-    "seconds": 60', conflict.difference)
+        self.assertIn('+    "seconds": 90', conflict.difference)
         held = await self.operator.document('profile', 'dawn')
         self.assertEqual((held.version, held.body), (2, first.body))
 
     async def test_lost_answer_is_asked_for_again_with_the_same_id(self):
-        """The operator sees one accepted change after two lost answers.
-
-        Control applies the change and the link breaks before the answer,
-        twice.  The client sends the same change id again, and control
-        answers as it did first, so there is one version and not three.
-        """
+        """A change whose reply is lost is retried without a second version."""
         self.control.answers_to_lose = 2
         result = await changes.apply(self.operator, edit('{}'))
         self.assertEqual(result.outcome, changes.Outcome.ACCEPTED)
@@ -91,16 +81,12 @@
         self.assertEqual(set(sent), {result.change_id})
 
     async def test_unknown_outcome_names_the_id_to_repeat(self):
-        """The operator is told that the change may be in force.
-
-        Every answer is lost until patience ends.  Repeated with the id that
-        the message names, the change gets its first answer.
-        """
+        """The error after a timeout has the id to retry the change safely."""
         self.control.answers_to_lose = 1000
-        hasty = self.make_operator(patience=1)
+        operator = self.make_operator(timeout_seconds=1)
         caught = self.assertRaises(failures.ChangeOutcomeUnknown)
         with caught:
-            await changes.apply(hasty, edit('{}'))
+            await changes.apply(operator, edit('{}'))
         words = str(caught.exception).split()
         change_id = words[words.index('--change-id') + 1]
         self.control.answers_to_lose = 0
@@ -109,9 +95,11 @@
 
     async def test_unreachable_control_means_that_nothing_changed(self):
         self.listener.close()
-        hasty = self.make_operator(patience=0.2)
+        operator = self.make_operator(timeout_seconds=0.2)
         with self.assertRaises(failures.ControlUnreachable):
-            await hasty.change(client.Change('1', 'profile', 'dawn', 0, '{}'))
+            await operator.change(
+                client.Change('1', 'profile', 'dawn', 0, '{}')
+            )
 
     async def test_leader_that_is_named_is_asked_next(self):
         follower = fake_control.FakeControl(leader=self.address)
@@ -178,11 +166,18 @@
         self.key.write_bytes(KEY)
 
     async def run_command(self, *words, patience='20'):
-        """Run a command line in a thread; return its code and output."""
-        way = ('--control', self.address, '--key-file', str(self.key))
-        return await self.run_plain(*words, *way, '--patience', patience)
+        """Run a command against the control host; return code and output."""
+        connection_options = (
+            '--control',
+            self.address,
+            '--key-file',
+            str(self.key),
+        )
+        return await self.run_main(
+            *words, *connection_options, '--patience', patience
+        )
 
-    async def run_plain(self, *words):
+    async def run_main(self, *words):
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = await asyncio.to_thread(application.main, words)
@@ -194,22 +189,17 @@
         return str(path)
 
     async def test_show_edit_apply_and_conflict(self):
-        """The operator's file from version 1 conflicts with version 2.
-
-        ``show`` writes the version into the file's first line; another
-        operator's change comes in between; ``apply`` then exits with 3 and
-        prints what differs.
-        """
+        """A file shown before another operator's change is a conflict."""
         await changes.apply(self.operator, edit('{}'))
         code, shown, _ = await self.run_command('profile', 'show', 'dawn')
         self.assertEqual((code, shown), (0, '// profile dawn version 1\n{}\n'))
         await changes.apply(self.operator, edit('{"drain":{"seconds":5}}', 1))
         edited = self.file(shown.replace('{}', '{"resume": {}, // mine\n}'))
-        code, said, _ = await self.run_command(
+        code, output, _ = await self.run_command(
             'profile', 'apply', 'dawn', edited
         )
         self.assertEqual(code, codes.ExitCode.CONFLICT)
-        self.assertIn('-    "seconds": 5', said)
+        self.assertIn('-    "seconds": 5', output)
         code, _, _ = await self.run_command('profile', 'diff', 'dawn', edited)
         self.assertEqual(code, codes.ExitCode.DIFFERENT)
 
@@ -217,11 +207,11 @@
         path = self.file(
             '// my profile\n{"drain": {"seconds": "2m"},\n "x": 1}'
         )
-        code, _, said = await self.run_command('profile', 'apply', 'd', path)
+        code, _, output = await self.run_command('profile', 'apply', 'd', path)
         self.assertEqual(code, codes.ExitCode.INVALID)
-        self.assertIn(f'{path}:2:12: TT2007', said)
-        self.assertIn('write 120', said)
-        self.assertIn(f'{path}:3:2: TT2004', said)
+        self.assertIn(f'{path}:2:12: TT2007', output)
+        self.assertIn('write 120', output)
+        self.assertIn(f'{path}:3:2: TT2004', output)
 
     async def test_json_reads_are_json(self):
         await changes.apply(self.operator, edit('{}'))
@@ -253,14 +243,14 @@
                 ('profile', 'apply', 'p', path, '--wait'),
             ),
         ):
-            in_vain = code == codes.ExitCode.NOT_IN_FORCE
-            patience = '1' if in_vain else '20'
+            times_out = code == codes.ExitCode.NOT_IN_FORCE
+            patience = '1' if times_out else '20'
             found = await self.run_command(*words, patience=patience)
             self.assertEqual(found[0], code, (words, found))
         self.listener.close()
         found = await self.run_command('status', patience='0.2')
         self.assertEqual(found[0], codes.ExitCode.UNREACHABLE)
-        self.assertEqual((await self.run_plain('entry'))[0], 2)
+        self.assertEqual((await self.run_main('entry'))[0], 2)
 
     async def test_drain_names_the_actor_and_can_be_taken_back(self):
         body = (
@@ -271,14 +261,14 @@
         await self.operator.change(announced)
         for more, cancel in (((), False), (('--cancel',), True)):
             words = ('target', 'drain', 't1', '--actor', 'eve', *more)
-            code, said, _ = await self.run_command(*words)
+            code, output, _ = await self.run_command(*words)
             self.assertEqual(code, codes.ExitCode.DONE)
-            self.assertIn('revision 41', said)
+            self.assertIn('revision 41', output)
             drained = self.control.asked[-1].drain
             self.assertEqual((drained.actor, drained.cancel), ('eve', cancel))
 
     async def test_wrong_key_is_named(self):
         self.key.write_bytes(b'quite another key')
-        code, _, said = await self.run_command('status', patience='1')
+        code, _, output = await self.run_command('status', patience='1')
         self.assertEqual(code, codes.ExitCode.UNREACHABLE)
-        self.assertIn(errors.GreetingRefused.code, said)
+        self.assertIn(errors.GreetingRefused.code, output)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Prove that settings are checked in one report and reloaded with care."""
+"""Test that settings are validated completely and reloaded safely."""
 
 import json
 import pathlib
@@ -22,7 +22,7 @@
 )
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-SOUND = types.MappingProxyType(
+VALID = types.MappingProxyType(
     {
         'role': 'entry',
         'node': {'id': 'e1', 'region': 'east', 'zone': 'a'},
@@ -52,11 +52,11 @@
         (self.path.parent / 'key').write_bytes(b'k' * 32)
 
     def write(self, body=None, **changed):
-        text = body or json.dumps({**SOUND, **changed})
+        text = body or json.dumps({**VALID, **changed})
         self.path.write_text(text, encoding='utf-8')
 
     def found(self):
-        """List line, column and code of each finding."""
+        """List the line, column and code of each finding."""
         rows = []
         for found in settings_checks.check(self.path):
             line, column = found.place.rsplit(':', 2)[1:]
@@ -88,8 +88,8 @@
             settings.load(self.path)
         self.assertEqual(len(caught.exception.findings), 8)
 
-    def test_syntax_has_a_place(self):
-        for body, place in (
+    def test_syntax_error_has_a_position(self):
+        for body, position in (
             ('{\n "role" 1}', (2, 9)),
             ('{\n "role": "entry"', (2, 17)),
             ('{"role": 5s}', (1, 11)),
@@ -97,7 +97,7 @@
             ('[' * 50_000 + ']' * 50_000, (1, 1)),
         ):
             self.write(body)
-            self.assertEqual(self.found(), [(*place, 'TT2002')], body[:20])
+            self.assertEqual(self.found(), [(*position, 'TT2002')], body[:20])
         self.path.unlink()
         self.assertEqual(self.found(), [(1, 1, 'TT2001')])
 
@@ -124,14 +124,14 @@
             self.write(**changed)
             self.assertEqual([row[2] for row in self.found()], codes, changed)
 
-    def test_sound_file_gives_defaults_and_paths_of_its_folder(self):
-        self.write(json.dumps(dict(SOUND)).replace('{', '{ // note\n', 1))
+    def test_valid_file_gives_defaults_and_paths_of_its_folder(self):
+        self.write(json.dumps(dict(VALID)).replace('{', '{ // note\n', 1))
         loaded = settings.load(self.path)
         self.assertEqual(loaded.link, generated.Link())
         folder = self.path.parent
         self.assertEqual(loaded.security.key_files, (str(folder / 'key'),))
 
-    def test_samples_in_the_pages_are_sound(self):
+    def test_samples_in_the_pages_are_valid(self):
         page = (ROOT / 'docs' / 'SETTINGS.md').read_text(encoding='utf-8')
         samples = page.split('```json\n')[1:]
         self.assertEqual(len(samples), 3)
@@ -143,25 +143,25 @@
             self.path.write_text(sample.partition('```')[0], encoding='utf-8')
             document_files.read(self.path, 'profile', 'sample')
 
-    def test_no_input_breaks_the_check(self):
-        chance = random.Random(11)
+    def test_no_input_crashes_the_check(self):
+        rng = random.Random(11)
         values = (None, 5, -1, 'x', [], {}, [1], {'a': 1}, True, '1.2.3.4:5')
 
-        def bend(value):
-            if chance.random() < 0.15:
-                return chance.choice(values)
+        def mutate(value):
+            if rng.random() < 0.15:
+                return rng.choice(values)
             if isinstance(value, dict):
-                return {key: bend(part) for key, part in value.items()}
+                return {key: mutate(part) for key, part in value.items()}
             if isinstance(value, list):
-                return [bend(part) for part in value]
+                return [mutate(part) for part in value]
             return value
 
-        sound = jsonc.parse(BROKEN.replace('"level": "loud"', '')).value
+        valid = jsonc.parse(BROKEN.replace('"level": "loud"', '')).value
         for _ in range(500):
-            self.write(json.dumps(bend({**SOUND, **(sound or {})})))
+            self.write(json.dumps(mutate({**VALID, **(valid or {})})))
             settings_checks.check(self.path)
 
-    def test_reload_takes_what_may_change_and_names_the_rest(self):
+    def test_reload_applies_dynamic_settings_and_logs_the_rest(self):
         self.write()
         source = live.Source(settings.load(self.path))
         entry = source.settings.entry
@@ -178,17 +178,12 @@
         self.assertEqual(source.current.cache_folder, '')
         self.assertEqual(entry.body_limit_bytes, 5000)
         self.assertEqual(entry.call_limit, generated.Entry().call_limit)
-        said = ' '.join(logged.watcher.output)
-        self.assertIn('TT2013 cache_folder', said)
-        self.assertIn('TT2013 entry.call_limit', said)
+        log_text = ' '.join(logged.watcher.output)
+        self.assertIn('TT2013 cache_folder', log_text)
+        self.assertIn('TT2013 entry.call_limit', log_text)
 
     def test_bad_file_leaves_the_old_settings_in_force(self):
-        """The process goes on as before and the log says why.
-
-        An operator saves half an edit and sends SIGHUP, or names a key file
-        that is not there.  Taking over only what is readable would leave a
-        mix that nobody wrote.
-        """
+        """A reload of invalid settings must not apply a part of them."""
         self.write()
         old = settings.load(self.path)
         source = live.Source(old)
@@ -214,18 +209,14 @@
         self.assertEqual(list(keys), [b'n' * 32, b'k' * 32])
 
 
-class QuickLoadCase(unittest.TestCase):
+class FastLoadCase(unittest.TestCase):
     def setUp(self):
         scratch = self.enterContext(tempfile.TemporaryDirectory())
         self.path = pathlib.Path(scratch) / 'settings.json'
 
-    def test_running_needs_no_checker(self):
-        """A process that runs holds a parser and a schema library for nothing.
-
-        They are 6 MB of each process, and a third of its start, for which
-        callers wait when all processes start at once.
-        """
-        self.path.write_text(f'// sound\n{json.dumps(dict(SOUND))}')
+    def test_loading_imports_no_validator(self):
+        """Loading valid settings does not import the validation libraries."""
+        self.path.write_text(f'// sound\n{json.dumps(dict(VALID))}')
         found = _run_python(
             'import sys; from tamarackthread.shared import settings;'
             f'settings.load({str(self.path)!r});'
@@ -233,8 +224,8 @@
         )
         self.assertEqual('[]', found)
 
-    def test_never_laxer(self):
-        """What is taken without the checker has no finding by the checker."""
+    def test_fast_path_accepts_only_valid_settings(self):
+        """Settings that the fast path accepts have no findings."""
         rng = random.Random(7)
         taken = 0
         for _ in range(400):
@@ -245,13 +236,13 @@
             self.assertEqual([], settings_checks.check(self.path))
         self.assertGreater(taken, 20)
 
-    def test_traps(self):
-        """Python reads these and JSON does not, or reads them otherwise."""
-        sound = json.dumps(dict(SOUND))
+    def test_input_that_only_python_accepts(self):
+        """Input that only Python's lenient JSON parser accepts is rejected."""
+        valid = json.dumps(dict(VALID))
         for text in (
-            sound.replace('{', '{"role": "entry",', 1),
-            f'{sound[:-1]}, "link": {{"timeout_seconds": NaN}}}}',
-            f'{sound[:-1]}, "link": {{"timeout_seconds": 1e999}}}}',
+            valid.replace('{', '{"role": "entry",', 1),
+            f'{valid[:-1]}, "link": {{"timeout_seconds": NaN}}}}',
+            f'{valid[:-1]}, "link": {{"timeout_seconds": 1e999}}}}',
         ):
             self.path.write_text(text)
             with self.assertRaises(findings.InvalidError):
@@ -259,19 +250,21 @@
 
 
 def _run_python(code):
-    played = subprocess.run(  # noqa: S603  our own module
+    completed = subprocess.run(  # noqa: S603  our own module
         (sys.executable, '-c', code), capture_output=True, check=True, text=True
     )
-    return played.stdout.strip()
+    return completed.stdout.strip()
 
 
 def _mutated(rng):
-    """Change one character, or one value, of sound settings."""
+    """Return valid settings, mostly with a few characters replaced."""
     text = json.dumps(
-        {**SOUND, 'link': {'heartbeat_seconds': 0.25, 'timeout_seconds': 1}}
+        {**VALID, 'link': {'heartbeat_seconds': 0.25, 'timeout_seconds': 1}}
     )
     if rng.random() < 0.2:
         return text
-    place = rng.randrange(len(text))
-    fresh = rng.choice(['', ' ', '"', '0', '-', 'x', '1e9', 'null', ',', '}'])
-    return text[:place] + fresh + text[place + rng.randrange(3) :]
+    position = rng.randrange(len(text))
+    replacement = rng.choice(
+        ['', ' ', '"', '0', '-', 'x', '1e9', 'null', ',', '}']
+    )
+    return text[:position] + replacement + text[position + rng.randrange(3) :]
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""Prove that a request's story can be told from the logs of many processes."""
+"""Test the trace of a request through the logs of many processes."""
 
 import io
 import json
@@ -15,7 +15,7 @@
 
 
 def line(time, node, event, request_id='', **fields):
-    """Write a line as a process does, with something before it."""
+    """Format a log line with a prefix."""
     body = {
         'time': time,
         'node': node,
@@ -28,10 +28,10 @@
     return f'  1.0 host {json.dumps(body)}'
 
 
-class StoryCase(unittest.TestCase):
-    def test_beliefs_of_the_moment(self):
-        """A story shows what its process believed then, not later or elsewhere."""
-        told = request_trace.collect(
+class RequestTraceCase(unittest.TestCase):
+    def test_state_before_the_request(self):
+        """A trace has no state of a later time or of another process."""
+        trace = request_trace.collect(
             'r1',
             [
                 line('05', 'a', 'configuration', version=9),
@@ -46,17 +46,17 @@
                 'words of another program',
             ],
         )
-        self.assertEqual(['03', '04'], [one.time for one in told.lines])
-        self.assertEqual(['00', '02'], [one.time for one in told.state_lines])
-        self.assertEqual('leaving', told.state_lines[1].fields['state'])
-        self.assertEqual(1, told.unreadable)
+        self.assertEqual(['03', '04'], [one.time for one in trace.lines])
+        self.assertEqual(['00', '02'], [one.time for one in trace.state_lines])
+        self.assertEqual('leaving', trace.state_lines[1].fields['state'])
+        self.assertEqual(1, trace.unreadable)
         self.assertIn(
-            'code=TT7209', '\n'.join(request_trace.format_lines(told))
+            'code=TT7209', '\n'.join(request_trace.format_lines(trace))
         )
 
-    def test_targets_told_together(self):
-        """What an entry learned of many targets in one line counts for each."""
-        told = request_trace.collect(
+    def test_several_targets_in_one_line(self):
+        """A line about several targets counts for each of them."""
+        trace = request_trace.collect(
             'r1',
             [
                 line('01', 'a', 'target', targets=['t1', 't2'], state='ready'),
@@ -64,10 +64,10 @@
                 line('03', 'a', 'try_failed', 'r1', target='t2'),
             ],
         )
-        self.assertEqual(['01'], [one.time for one in told.state_lines])
+        self.assertEqual(['01'], [one.time for one in trace.state_lines])
 
     def test_line_of_a_process(self):
-        """A line carries node, request, event and inputs."""
+        """A line that the logger writes has its node, request and fields."""
         stream = io.StringIO()
         writer = logs.start(
             settings.Logs(json=True), stream, node='10.0.0.1/entry'
@@ -79,14 +79,14 @@
             )
         writer.flush()
         writer.close()
-        told = request_trace.collect('r7', stream.getvalue().splitlines())
-        self.assertEqual('10.0.0.1/entry', told.lines[0].node)
-        self.assertEqual({'code': 'X'}, told.lines[0].fields)
+        trace = request_trace.collect('r7', stream.getvalue().splitlines())
+        self.assertEqual('10.0.0.1/entry', trace.lines[0].node)
+        self.assertEqual({'code': 'X'}, trace.lines[0].fields)
 
 
 class LogsPageCase(unittest.TestCase):
     def test_page_and_code(self):
-        """The page names every event, and every event is told somewhere."""
+        """Every event is on the page and is logged somewhere."""
         page = (ROOT / 'docs' / 'LOGS.md').read_text()
         code = ''.join(
             path.read_text()
@@ -99,13 +99,15 @@
                 self.assertRegex(code, rf'Event\.{event.name}\b')
 
     def test_fields(self):
-        """Each field that the code gives to an event is on the page."""
+        """Each field that the code logs with an event is on the page."""
         page = (ROOT / 'docs' / 'LOGS.md').read_text()
-        ledger = ROOT / 'tamarackthread' / 'entry' / 'direct' / 'call_log.py'
-        running = ledger.with_name('call_runner.py')
-        text = ledger.read_text() + running.read_text()
-        told = re.findall(r'^ {8,12}(\w+)=[^=]*,$', text, re.MULTILINE)
-        fields = set(told).intersection(re.findall(r'\w+_ms|\w+_calls', text))
+        call_log = ROOT / 'tamarackthread' / 'entry' / 'direct' / 'call_log.py'
+        call_runner = call_log.with_name('call_runner.py')
+        text = call_log.read_text() + call_runner.read_text()
+        keywords = re.findall(r'^ {8,12}(\w+)=[^=]*,$', text, re.MULTILINE)
+        fields = set(keywords).intersection(
+            re.findall(r'\w+_ms|\w+_calls', text)
+        )
         self.assertTrue(fields)
         for field in fields:
             with self.subTest(field=field):
