--- a/tamarackthread/cli/changes.py
+++ b/tamarackthread/cli/changes.py
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Edit:
-    """A change of one document; an empty body deletes the document."""
+    """An edit of one document; an empty body deletes the document."""
 
     kind: str
     name: str
@@ -123,8 +123,8 @@
 ) -> list[messages.Document]:
     """List the stored versions of a document, the oldest first."""
     documents = await operator.versions(kind, name)
-    found = {document.version: document for document in documents}
-    return [found[version] for version in sorted(found)]
+    by_version = {document.version: document for document in documents}
+    return [by_version[version] for version in sorted(by_version)]
 
 
 def _base_version(edit: Edit, current: messages.Document | None) -> int:
@@ -148,8 +148,8 @@
         ) from exc
     if reply.status == messages.ChangeStatus.INVALID:
         raise findings.InvalidError(
-            findings.Finding(found.place or '$', found.code, found.text)
-            for found in reply.findings
+            findings.Finding(finding.place or '$', finding.code, finding.text)
+            for finding in reply.findings
         )
     if reply.status == messages.ChangeStatus.CONFLICT:
         return _conflict(change, reply)
--- a/tamarackthread/cli/commands/base.py
+++ b/tamarackthread/cli/commands/base.py
@@ -78,8 +78,8 @@
         try:
             return int(self.run_command())
         except findings.InvalidError as exc:
-            for found in exc.findings:
-                self.print_error(str(found))
+            for finding in exc.findings:
+                self.print_error(str(finding))
             return int(exit_codes.ExitCode.INVALID)
         except failures.CommandFailed as exc:
             self.print_error(failures.describe(exc))
@@ -104,16 +104,16 @@
         """Parse an integer option; raise ``OptionInvalid`` if it is invalid."""
         value = self.option(name)
         try:
-            found = int(value)
+            number = int(value)
         except (TypeError, ValueError):
             raise failures.OptionInvalid(
                 f'--{name} takes a whole number, not "{value}"',
             ) from None
-        if found < minimum:
+        if number < minimum:
             raise failures.OptionInvalid(
                 f'--{name} must be at least {minimum}',
             )
-        return found
+        return number
 
 
 class OperatorCommand(BaseCommand, abc.ABC):
--- a/tamarackthread/cli/commands/check.py
+++ b/tamarackthread/cli/commands/check.py
@@ -25,17 +25,19 @@
 
     def run_command(self) -> exit_codes.ExitCode:
         """Print the findings of all files."""
-        found = []
+        file_findings = []
         for name in self.argument('file'):
-            found.extend(settings_checks.check(name))
+            file_findings.extend(settings_checks.check(name))
         if self.option('json'):
             self.print_line(
-                render.as_json([attrs.asdict(one) for one in found])
+                render.as_json(
+                    [attrs.asdict(finding) for finding in file_findings]
+                )
             )
         else:
-            for one in found:
-                self.print_line(str(one))
-        if found:
+            for finding in file_findings:
+                self.print_line(str(finding))
+        if file_findings:
             return exit_codes.ExitCode.INVALID
         if not self.option('json'):
             self.print_line('no findings')
--- a/tamarackthread/cli/commands/documents.py
+++ b/tamarackthread/cli/commands/documents.py
@@ -46,7 +46,7 @@
 
 
 class DocumentCommand(base.OperatorCommand, abc.ABC):
-    """A command for one kind of documents."""
+    """A command for the documents of one kind."""
 
     verb = ''
     summary = ''
@@ -66,10 +66,10 @@
         name: str,
     ) -> messages.Document:
         """Read a document; raise ``DocumentNotFound`` if there is none."""
-        found = await operator.document(self._kind, name)
-        if found is None:
+        document = await operator.document(self._kind, name)
+        if document is None:
             raise failures.DocumentNotFound(f'{self._kind} {name}')
-        return found
+        return document
 
 
 class ListCommand(DocumentCommand):
@@ -81,13 +81,13 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print a table, or all documents as JSON."""
-        found = await operator.list_documents(self._kind)
+        listed = await operator.list_documents(self._kind)
         rows = [
             (document.name, document.version, document.revision)
-            for document in found
+            for document in listed
         ]
         self.print_result(
-            [render.document_values(document) for document in found],
+            [render.document_values(document) for document in listed],
             render.table(('name', 'version', 'revision'), rows),
         )
         return exit_codes.ExitCode.DONE
@@ -106,12 +106,13 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print the document in force."""
-        found = await self.find(operator, self.argument('name'))
+        document = await self.find(operator, self.argument('name'))
         if self.option('effective'):
-            whole = documents.parse(found.kind, found.body)
-            found.body = json.dumps(structure.to_body(whole))
+            parsed = documents.parse(document.kind, document.body)
+            document.body = json.dumps(structure.to_body(parsed))
         self.print_result(
-            render.document_values(found), document_files.format_file(found)
+            render.document_values(document),
+            document_files.format_file(document),
         )
         return exit_codes.ExitCode.DONE
 
--- a/tamarackthread/cli/commands/losses.py
+++ b/tamarackthread/cli/commands/losses.py
@@ -45,38 +45,38 @@
             self.print_error(f'and {omitted} more')
         if not parsed.lines:
             raise failures.LogsEmpty('no line of any file is a log line')
-        found = losses.report(parsed)
+        report = losses.report(parsed)
         if self.option('json'):
-            self.print_line(json.dumps(report_values(found)))
+            self.print_line(json.dumps(report_values(report)))
         else:
-            self._print_tables(found)
+            self._print_tables(report)
         return exit_codes.ExitCode.DONE
 
     def _read_files(self) -> dict[str, collections.abc.Iterable[str]]:
         return {name: base.read_lines(name) for name in self.argument('files')}
 
-    def _print_tables(self, found: losses.Report) -> None:
+    def _print_tables(self, report: losses.Report) -> None:
         self.print_line(
-            f'{len(found.losses)} calls lost, '
-            f'{found.unattributed_share:.0%} of them not attributed'
+            f'{len(report.losses)} calls lost, '
+            f'{report.unattributed_share:.0%} of them not attributed'
         )
         for dimension in losses.DIMENSIONS:
             self.print_line('')
             self.print_line(f'{dimension:52} calls  seconds')
-            for row in found.by(dimension)[:MAX_TABLE_ROWS]:
+            for row in report.by(dimension)[:MAX_TABLE_ROWS]:
                 self.print_line(
                     f'{row.name:52} {row.calls:5}  {row.seconds:7.1f}'
                 )
 
 
-def report_values(found: losses.Report) -> dict[str, typing.Any]:
+def report_values(report: losses.Report) -> dict[str, typing.Any]:
     """Convert a report to JSON values."""
     return {
-        'calls': len(found.losses),
-        'unattributed_share': round(found.unattributed_share, 4),
-        'unreadable': [str(location) for location in found.unreadable],
+        'calls': len(report.losses),
+        'unattributed_share': round(report.unattributed_share, 4),
+        'unreadable': [str(location) for location in report.unreadable],
         'by': {
-            dimension: [attrs.asdict(row) for row in found.by(dimension)]
+            dimension: [attrs.asdict(row) for row in report.by(dimension)]
             for dimension in losses.DIMENSIONS
         },
     }
--- a/tamarackthread/cli/commands/zones.py
+++ b/tamarackthread/cli/commands/zones.py
@@ -22,18 +22,18 @@
 
     async def act(self, operator: client.Operator) -> exit_codes.ExitCode:
         """Print the state of all zones after the request."""
-        found = await operator.zones(self.request())
+        zones = await operator.zones(self.request())
         values = [
             {
                 'name': zone.name,
                 'evacuated': bool(zone.is_evacuated),
                 'changes': zone.revision,
             }
-            for zone in found
+            for zone in zones
         ]
         rows = [
             [zone.name, render.yes_no(zone.is_evacuated), str(zone.revision)]
-            for zone in found
+            for zone in zones
         ]
         self.print_result(values, render.table(_HEADERS, rows))
         return exit_codes.ExitCode.DONE
--- a/tamarackthread/cli/document_files.py
+++ b/tamarackthread/cli/document_files.py
@@ -53,9 +53,9 @@
     broken: list[schema_errors.Violation] = []
     if text.positions:
         broken.extend(documents.violations(kind, text.value))
-    found = settings_checks.locate(str(path), text, broken)
-    if found:
-        raise findings.InvalidError(found)
+    file_findings = settings_checks.locate(str(path), text, broken)
+    if file_findings:
+        raise findings.InvalidError(file_findings)
     return DocumentFile(
         canonical_json(text.value), _header_version(content, kind, name)
     )
--- a/tamarackthread/cli/log_lines.py
+++ b/tamarackthread/cli/log_lines.py
@@ -47,8 +47,8 @@
 
     def number(self, name: str) -> float:
         """Return a numeric field, 0 if it is missing or not a number."""
-        found = self.fields.get(name)
-        return float(found) if isinstance(found, int | float) else 0
+        value = self.fields.get(name)
+        return float(value) if isinstance(value, int | float) else 0
 
 
 @attrs.frozen
@@ -79,16 +79,16 @@
     """Parse lines of files, each a JSON object after an optional prefix."""
     # Lines without an object are skipped.  Malformed ones are reported, with
     # ``require_time`` also those whose time cannot be parsed.
-    found: list[Line] = []
+    lines: list[Line] = []
     unreadable: list[Location] = []
     for location, text in _find_objects(files):
         line = parse(text)
         if line is None or (require_time and math.isnan(line.seconds)):
             unreadable.append(location)
             continue
-        found.append(line)
-    found.sort(key=_time_of)
-    return ParsedLogs(tuple(found), tuple(unreadable))
+        lines.append(line)
+    lines.sort(key=_time_of)
+    return ParsedLogs(tuple(lines), tuple(unreadable))
 
 
 def _find_objects(
--- a/tamarackthread/cli/losses.py
+++ b/tamarackthread/cli/losses.py
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class Row:
-    """Count and total wait in seconds of the lost calls of one group."""
+    """The count and total wait in seconds of a group of lost calls."""
 
     name: str
     calls: int
@@ -181,13 +181,15 @@
         for line in parsed.lines
         if line.event == _Event.TRY_FAILED
     )
-    found = []
+    losses = []
     for line in parsed.lines:
         kind = _KIND_BY_EVENT.get(line.event)
         if kind is None or not _is_lost(kind, line):
             continue
-        found.append(_build_loss(kind, line, start, intervals, failed_attempts))
-    return Report(tuple(found), parsed.unreadable)
+        losses.append(
+            _build_loss(kind, line, start, intervals, failed_attempts)
+        )
+    return Report(tuple(losses), parsed.unreadable)
 
 
 def _is_lost(kind: Kind, line: log_lines.Line) -> bool:
@@ -264,14 +266,14 @@
     lines: collections.abc.Iterable[log_lines.Line],
     start: float,
 ) -> list[_Interval]:
-    found: list[_Interval] = []
+    intervals: list[_Interval] = []
     leader_tracker = _LeaderTracker()
     for line in lines:
         now = line.seconds - start
-        found.extend(leader_tracker.process(line, now))
-        found.extend(_intervals_of(line, now))
-    found.extend(leader_tracker.finish())
-    return found
+        intervals.extend(leader_tracker.process(line, now))
+        intervals.extend(_intervals_of(line, now))
+    intervals.extend(leader_tracker.finish())
+    return intervals
 
 
 class _LeaderTracker:
--- a/tamarackthread/cli/render.py
+++ b/tamarackthread/cli/render.py
@@ -43,11 +43,11 @@
 
 def utc_time(unix_ms: int) -> str:
     """Format Unix milliseconds as an ISO 8601 time in UTC."""
-    found = datetime.datetime.fromtimestamp(
+    time = datetime.datetime.fromtimestamp(
         unix_ms / MILLISECONDS,
         datetime.UTC,
     )
-    return found.isoformat(timespec='milliseconds').replace('+00:00', 'Z')
+    return time.isoformat(timespec='milliseconds').replace('+00:00', 'Z')
 
 
 def document_values(document: messages.Document) -> dict[str, typing.Any]:
@@ -108,9 +108,9 @@
 
 def status_text(status: messages.StatusReply, revision: int) -> str:
     """Format how many nodes have a revision in force, and the laggards."""
-    asked = revision or status.revision
+    requested = revision or status.revision
     lines = [
-        f'revision {asked} in force on {status.in_force} '
+        f'revision {requested} in force on {status.in_force} '
         f'of {status.nodes} nodes',
         f'everywhere: {yes_no(bool(status.in_force_everywhere))}',
         f'newest revision {status.revision}, leader {status.leader}, '
