--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -185,9 +185,9 @@
             host='h',
             prefix='/',
             kind=configuration.Kind.STREAM,
-            shares=(configuration.Share(SERVICE, 1),),
+            shares=(configuration.TrafficShare(SERVICE, 1),),
             timeout=TIMEOUT_SECONDS,
-            aim=self._site.first,
+            latency_goal=self._site.first,
         )
         return calls.Call(
             request=calls.CallRequest(
--- a/tamarackthread/cli/client.py
+++ b/tamarackthread/cli/client.py
@@ -13,7 +13,7 @@
 from tamarackthread.cli import failures
 from tamarackthread.control import failures as control_failures
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import addresses, errors, peers
+from tamarackthread.shared import addresses, errors, link_pool
 
 DEFAULT_TIMEOUT_SECONDS = 10.0
 ATTEMPT_TIMEOUT_SECONDS = 3.0
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        peer_links: peers.Peers,
+        peer_links: link_pool.LinkPool,
         control: collections.abc.Sequence[str],
         author: Author,
         timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
--- a/tamarackthread/cli/connection.py
+++ b/tamarackthread/cli/connection.py
@@ -16,11 +16,11 @@
 from tamarackthread.shared import (
     addresses,
     identity,
-    peers,
+    link_pool,
     process,
     settings,
 )
-from tamarackthread.shared.site import places
+from tamarackthread.shared.site import host_addresses
 
 SETTINGS_VARIABLE = 'TAMARACKTHREAD_SETTINGS'
 
@@ -55,7 +55,7 @@
         zone=loaded.node.zone,
         incarnation=process.new_incarnation(),
     )
-    peer_links = peers.Peers(process.link_options(loaded, own))
+    peer_links = link_pool.LinkPool(process.link_options(loaded, own))
     try:
         yield client.Operator(
             peer_links,
@@ -93,7 +93,7 @@
 
 def _control_addresses(loaded: generated.Settings) -> tuple[str, ...]:
     if loaded.site is not None:
-        return tuple(places.link_addresses(loaded.site))
+        return tuple(host_addresses.link_addresses(loaded.site))
     if loaded.control_addresses or loaded.control is None:
         return loaded.control_addresses
     members = loaded.control.members
--- a/tamarackthread/control/election.py
+++ b/tamarackthread/control/election.py
@@ -9,9 +9,9 @@
 from tamarackthread.control import (
     bootstrap,
     failures,
+    member_role,
     membership,
     replica,
-    role,
     voting,
 )
 from tamarackthread.generated.messages import ttypes as messages
@@ -86,7 +86,7 @@
 
 
 async def _win_vote(state: replica.Replica) -> bool:
-    if state.role.state != role.FOLLOWER or not _can_stand(state):
+    if state.role.state != member_role.FOLLOWER or not _can_stand(state):
         return False
     # A heartbeat may have arrived during the pre-vote.  The leader's lease
     # then depends on this member, and its own vote would break it.
@@ -101,7 +101,7 @@
     granted = False
     if state.hard.term == term:
         granted = await _collect_votes(state, _build_request(state, term))
-    if state.hard.term != term or state.role.state != role.CANDIDATE:
+    if state.hard.term != term or state.role.state != member_role.CANDIDATE:
         return False
     if not granted:
         state.step_down('election lost')
--- a/tamarackthread/control/replica.py
+++ b/tamarackthread/control/replica.py
@@ -7,17 +7,17 @@
 import logging
 
 from tamarackthread.control import (
+    dependencies,
     election_timer,
     hard_state,
     leader_term,
     log,
     member_history,
+    member_role,
     membership,
-    role,
     segments,
     snapshots,
 )
-from tamarackthread.control import parts as building
 from tamarackthread.generated.messages import ttypes as messages
 
 _log = logging.getLogger('tamarackthread.control.replica')
@@ -30,7 +30,7 @@
     check the term again before acting on earlier reads.
     """
 
-    def __init__(self, parts: building.Parts) -> None:
+    def __init__(self, parts: dependencies.Dependencies) -> None:
         """Start empty until ``load``."""
         self._parts = parts
         self._hard = hard_state.HardState(parts.files)
@@ -42,7 +42,7 @@
         self._snapshots = snapshots.SnapshotStore(parts.files)
         self._members = member_history.MemberHistory(parts)
         self._timer = election_timer.ElectionTimer(parts.times, parts.rng)
-        self._role = role.Role()
+        self._role = member_role.MemberRole()
         self._leader_term: leader_term.LeaderTerm | None = None
         self._leader = ''
         self._commit_index = 0
@@ -50,7 +50,7 @@
         self._committed = asyncio.Event()
 
     @property
-    def parts(self) -> building.Parts:
+    def parts(self) -> dependencies.Dependencies:
         """Return the parts that this member is built on."""
         return self._parts
 
@@ -85,7 +85,7 @@
         return self._timer
 
     @property
-    def role(self) -> role.Role:
+    def role(self) -> member_role.MemberRole:
         """Return the role: follower, candidate or leader."""
         return self._role
 
@@ -218,7 +218,7 @@
 
     def follow(self, leader: str) -> None:
         """Follow the leader of this term and reset the election timer."""
-        if self._role.state != role.FOLLOWER:
+        if self._role.state != member_role.FOLLOWER:
             self.step_down(f'{leader} was elected')
         self._leader = leader
         self._timer.record_contact()
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -32,9 +32,9 @@
     feed,
     identity,
     link,
+    link_pool,
     listener,
     parents,
-    peers,
 )
 from tests import test_targets
 
@@ -113,7 +113,7 @@
             self.address,
             self._starts,
         )
-        self.links = peers.Peers(place)
+        self.links = link_pool.LinkPool(place)
         self.group = group_membership.GroupMembership(
             self.own,
             place.identity,
@@ -125,12 +125,12 @@
         known = feed.ConfigFeed(
             self.links,
             place.identity,
-            parents.AnyParent([], random.Random(1)),
+            parents.RandomParentSelector([], random.Random(1)),
             1,
         )
         handler = role.AgentHandler(None, FakeReporter(), known, self.group)
         self.listener = listener.Listener(place, handler)
-        await self.listener.start_on(bound)
+        await self.listener.start_on_socket(bound)
         await self.group.start()
 
     async def kill(self):
