--- a/tamarackthread/cli/commands/check.py
+++ b/tamarackthread/cli/commands/check.py
@@ -23,18 +23,22 @@
     ]
     options: typing.ClassVar = [base.JSON_OPTION]
 
-    def perform(self) -> exit_codes.ExitCode:
+    def run_command(self) -> exit_codes.ExitCode:
         """Print the findings of all files."""
-        found = []
+        file_findings = []
         for name in self.argument('file'):
-            found.extend(settings_checks.check(name))
+            file_findings.extend(settings_checks.check(name))
         if self.option('json'):
-            self.say(render.as_json([attrs.asdict(one) for one in found]))
+            self.print_line(
+                render.as_json(
+                    [attrs.asdict(finding) for finding in file_findings]
+                )
+            )
         else:
-            for one in found:
-                self.say(str(one))
-        if found:
+            for finding in file_findings:
+                self.print_line(str(finding))
+        if file_findings:
             return exit_codes.ExitCode.INVALID
         if not self.option('json'):
-            self.say('no findings')
+            self.print_line('no findings')
         return exit_codes.ExitCode.DONE
--- a/tamarackthread/cli/commands/losses.py
+++ b/tamarackthread/cli/commands/losses.py
@@ -1,4 +1,4 @@
-"""Tell where a day's calls were lost, from the logs of all processes."""
+"""Report lost calls and their causes from the logs of all processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tamarackthread.cli import exit_codes, failures, log_lines, losses
 from tamarackthread.cli.commands import base
 
-# Rows of each table that people read; ``--json`` has all of them.
-MOST_ROWS = 12
-MOST_PLACES = 20
+# Limits of the text output; ``--json`` has everything.
+MAX_TABLE_ROWS = 12
+MAX_UNREADABLE_SHOWN = 20
 
 
 class LossesCommand(base.BaseCommand):
-    """Print lost calls by cause, second, service and more."""
+    """Print lost calls by cause, second, service and other fields."""
 
     name = 'losses'
     description = 'Tell which calls were late, refused or failed, and why.'
@@ -33,46 +33,50 @@
         base.JSON_OPTION,
     ]
 
-    def perform(self) -> exit_codes.ExitCode:
-        """Print the report; refuse files in which no line is ours."""
-        reading = log_lines.read(self._texts(), by_clock=True)
-        for place in reading.unreadable[:MOST_PLACES]:
-            self.complain(f'{place}: {failures.LineUnreadable.code} is no line')
-        left = len(reading.unreadable) - MOST_PLACES
-        if left > 0:
-            self.complain(f'and {left} more')
-        if not reading.lines:
+    def run_command(self) -> exit_codes.ExitCode:
+        """Print the report; raise ``LogsEmpty`` without any log line."""
+        parsed = log_lines.read(self._read_files(), require_time=True)
+        for location in parsed.unreadable[:MAX_UNREADABLE_SHOWN]:
+            self.print_error(
+                f'{location}: {failures.LineUnreadable.code} is not a log line'
+            )
+        omitted = len(parsed.unreadable) - MAX_UNREADABLE_SHOWN
+        if omitted > 0:
+            self.print_error(f'and {omitted} more')
+        if not parsed.lines:
             raise failures.LogsEmpty('no line of any file is a log line')
-        found = losses.report(reading)
+        report = losses.report(parsed)
         if self.option('json'):
-            self.say(json.dumps(as_object(found)))
+            self.print_line(json.dumps(report_values(report)))
         else:
-            self._tell(found)
+            self._print_tables(report)
         return exit_codes.ExitCode.DONE
 
-    def _texts(self) -> dict[str, collections.abc.Iterable[str]]:
-        return {name: base.lines_of(name) for name in self.argument('files')}
+    def _read_files(self) -> dict[str, collections.abc.Iterable[str]]:
+        return {name: base.read_lines(name) for name in self.argument('files')}
 
-    def _tell(self, found: losses.Report) -> None:
-        self.say(
-            f'{len(found.losses)} calls lost, '
-            f'{found.unattributed_share:.0%} of them not attributed'
+    def _print_tables(self, report: losses.Report) -> None:
+        self.print_line(
+            f'{len(report.losses)} calls lost, '
+            f'{report.unattributed_share:.0%} of them not attributed'
         )
         for dimension in losses.DIMENSIONS:
-            self.say('')
-            self.say(f'{dimension:52} calls  seconds')
-            for row in found.by(dimension)[:MOST_ROWS]:
-                self.say(f'{row.name:52} {row.calls:5}  {row.seconds:7.1f}')
+            self.print_line('')
+            self.print_line(f'{dimension:52} calls  seconds')
+            for row in report.by(dimension)[:MAX_TABLE_ROWS]:
+                self.print_line(
+                    f'{row.name:52} {row.calls:5}  {row.seconds:7.1f}'
+                )
 
 
-def as_object(found: losses.Report) -> dict[str, typing.Any]:
-    """Put a report into one object for scripts."""
+def report_values(report: losses.Report) -> dict[str, typing.Any]:
+    """Convert a report to JSON values."""
     return {
-        'calls': len(found.losses),
-        'unattributed_share': round(found.unattributed_share, 4),
-        'unreadable': [str(place) for place in found.unreadable],
+        'calls': len(report.losses),
+        'unattributed_share': round(report.unattributed_share, 4),
+        'unreadable': [str(location) for location in report.unreadable],
         'by': {
-            dimension: [attrs.asdict(row) for row in found.by(dimension)]
+            dimension: [attrs.asdict(row) for row in report.by(dimension)]
             for dimension in losses.DIMENSIONS
         },
     }
