--- a/bench/engines/lockstep.py
+++ b/bench/engines/lockstep.py
@@ -155,7 +155,7 @@
         await asyncio.sleep(ANSWER_SECONDS)
         row = int(rank.address)
         self._rest += self.stall_seconds(
-            self._engine.shape.sets * self._engine.shape.places
+            self._engine.shape.sets * self._engine.shape.placements
         )
         return self._version, tuple(held[row] for held in self._map)
 
--- a/bench/engines/lockstep_day.py
+++ b/bench/engines/lockstep_day.py
@@ -184,7 +184,7 @@
             name='r',
             host='h',
             prefix='/',
-            kind=configuration.Kind.STREAM,
+            kind=configuration.RouteKind.STREAM,
             shares=(configuration.TrafficShare(SERVICE, 1),),
             timeout=TIMEOUT_SECONDS,
             latency_goal=self._site.first,
@@ -234,7 +234,7 @@
         return group_maps.plan(
             self._group.placement_in_force,
             self._group.demand.tolist(),
-            rebalancing.Bounds(shape.places, shape.places),
+            rebalancing.Bounds(shape.placements, shape.placements),
             paces,
         )
 
--- a/bench/engines/pace.py
+++ b/bench/engines/pace.py
@@ -24,7 +24,7 @@
     chunk: int = 512
     expert_share: float = 0.85
     shape: configuration.ExpertLayout = configuration.ExpertLayout(
-        sets=8, experts=252, places=5, spare=2, copy_seconds=0.005
+        sets=8, experts=252, placements=5, max_new=2, copy_seconds=0.005
     )
 
 
@@ -35,7 +35,7 @@
     stride=8,
     per_call=0.001562,
     shape=configuration.ExpertLayout(
-        sets=16, experts=258, places=3, spare=2, copy_seconds=0.0024
+        sets=16, experts=258, placements=3, max_new=2, copy_seconds=0.0024
     ),
 )
 
@@ -47,6 +47,6 @@
     per_call=0.00218,
     tokens_per_second=61400.0,
     shape=configuration.ExpertLayout(
-        sets=8, experts=252, places=5, spare=2, copy_seconds=0.0142
+        sets=8, experts=252, placements=5, max_new=2, copy_seconds=0.0142
     ),
 )
--- a/bench/experiments/groups.py
+++ b/bench/experiments/groups.py
@@ -64,7 +64,7 @@
 
 def _engine(ranks: int, sets: int, experts: int, copy: float) -> pace.Engine:
     shape = configuration.ExpertLayout(
-        sets=sets, experts=experts, places=5, spare=2, copy_seconds=copy
+        sets=sets, experts=experts, placements=5, max_new=2, copy_seconds=copy
     )
     return pace.Engine(ranks=ranks, slots=10, stride=7, shape=shape)
 
--- a/bench/experiments/logs.py
+++ b/bench/experiments/logs.py
@@ -203,7 +203,7 @@
                 name=service,
                 host=HOST,
                 prefix=prefix,
-                kind=configuration.Kind.IDEMPOTENT,
+                kind=configuration.RouteKind.IDEMPOTENT,
                 shares=(configuration.TrafficShare(service, 1),),
                 timeout=5,
                 latency_goal=1,
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -94,7 +94,7 @@
             return await self._plan_staged(state, tokens, paces)
         for min_gain in (rebalancing.COARSE_MIN_GAIN, rebalancing.MIN_GAIN):
             bounds = rebalancing.Bounds(
-                state.shape.places, state.shape.spare, min_gain
+                state.shape.placements, state.shape.max_new, min_gain
             )
             new_map = await self._work.run(
                 group_maps.plan, state.placement, tokens, bounds, paces
@@ -114,7 +114,7 @@
         paces: group_maps.Paces,
     ) -> tuple[ranks.GroupMap, float]:
         """Plan a map whose copies take less time than it saves."""
-        bounds = rebalancing.Bounds(state.shape.places, state.shape.spare)
+        bounds = rebalancing.Bounds(state.shape.placements, state.shape.max_new)
         new_map = await self._work.run(
             group_planning.plan,
             state.placement,
--- a/tamarackthread/control/site/maps/owner.py
+++ b/tamarackthread/control/site/maps/owner.py
@@ -275,8 +275,8 @@
             self._states[group.name] = state
         state.shape = service.experts
         state.gap = service.gap
-        if service.passes is not None:
-            state.min_step = service.passes.empty
+        if service.step_timing is not None:
+            state.min_step = service.step_timing.empty_seconds
         return state
 
     async def _switch(
--- a/tamarackthread/control/site/maps/readings.py
+++ b/tamarackthread/control/site/maps/readings.py
@@ -66,7 +66,7 @@
     group: switching.Group,
 ) -> list[ranks.Placement | None]:
     """Read the experts of each rank, in batches that bound the stall."""
-    numbers = state.shape.sets * state.shape.places
+    numbers = state.shape.sets * state.shape.placements
     batch_size = state.max_parallel_reads(client.stall_seconds(numbers))
     found: list[ranks.Placement | None] = []
     for members in _batches(group.members, batch_size):
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -181,15 +181,17 @@
     def learn(self, config: configuration.Configuration) -> None:
         """Create and update queues from a configuration."""
         for service in config.services:
-            if service.passes is None:
+            if service.step_timing is None:
                 continue
-            settings = (service.passes, config.min_gap(service.name))
+            settings = (service.step_timing, config.min_gap(service.name))
             if not settings[1] or self._settings.get(service.name) == settings:
                 continue
             self._settings[service.name] = settings
             self._set_limit(
                 service.name,
-                concurrency.LatencyLimit(settings[1], service.passes.empty),
+                concurrency.LatencyLimit(
+                    settings[1], service.step_timing.empty_seconds
+                ),
             )
 
     def _set_limit(
--- a/tamarackthread/entry/direct/call_runner.py
+++ b/tamarackthread/entry/direct/call_runner.py
@@ -167,7 +167,7 @@
         return self._budget.spend(call.service)
 
     def _may_repeat(self, call: calls.Call) -> bool:
-        return call.route.may_repeat and self._poison.may_repeat(call)
+        return call.route.is_retryable and self._poison.may_repeat(call)
 
     async def _send(
         self,
@@ -180,7 +180,7 @@
         if progress.last_event >= 0:
             last_event_id = str(progress.last_event)
         async with self._client.send(call, target, last_event_id) as answer:
-            is_stream = call.route.kind is configuration.Kind.STREAM
+            is_stream = call.route.kind is configuration.RouteKind.STREAM
             if is_stream and answer.head.status == 200:
                 await self._relay(call, answer, progress, out)
                 self._record_outcome(target, is_good=True)
@@ -202,7 +202,7 @@
         status: int,
     ) -> bool:
         """Tell whether an error response may be retried at another target."""
-        if status < MIN_ERROR_STATUS or not call.route.may_repeat:
+        if status < MIN_ERROR_STATUS or not call.route.is_retryable:
             return False
         if len(progress.sent) + 1 >= call.route.attempts:
             return False
--- a/tamarackthread/entry/direct/routing_table.py
+++ b/tamarackthread/entry/direct/routing_table.py
@@ -54,7 +54,7 @@
             raise failures.RouteUnknown(f'{host}{path}')
         owner = self._owners.get(key)
         if owner is None:
-            if self._config.organisations and not route.is_open:
+            if self._config.organisations and not route.allows_anonymous:
                 raise failures.KeyUnknown
             return RouteMatch(route, '', route.priority)
         priority = route.priority
--- a/tamarackthread/entry/direct/target_client.py
+++ b/tamarackthread/entry/direct/target_client.py
@@ -187,7 +187,7 @@
 
     def _pool(self, call: calls.Call) -> aiohttp.ClientSession:
         session = self._pooled
-        if call.route.kind is configuration.Kind.ONCE:
+        if call.route.kind is configuration.RouteKind.ONCE:
             session = self._unpooled
         if session is None:
             raise errors.CodedError('target client is not started')
--- a/tamarackthread/platform/configuration.py
+++ b/tamarackthread/platform/configuration.py
@@ -18,9 +18,9 @@
 _Item = typing.TypeVar('_Item')
 _KINDS = types.MappingProxyType(
     {
-        'idempotent': site.Kind.IDEMPOTENT,
-        'non_idempotent': site.Kind.ONCE,
-        'streaming': site.Kind.STREAM,
+        'idempotent': site.RouteKind.IDEMPOTENT,
+        'non_idempotent': site.RouteKind.ONCE,
+        'streaming': site.RouteKind.STREAM,
     },
 )
 _PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
@@ -89,7 +89,7 @@
         latency_goal=float(row.get('target-latency-ms') or 0) / MILLISECONDS,
         attempts=max(1, int(row.get('attempts') or 1)),
         priority=int(row.get('priority') or 0),
-        is_open=bool(row.get('allow-anonymous')),
+        allows_anonymous=bool(row.get('allow-anonymous')),
         is_resumable=bool(row.get('stream-resumption')),
         gap=float(row.get('gap-target-ms') or 0) / MILLISECONDS,
     )
@@ -111,18 +111,18 @@
     return site.Service(
         name=_string(row['name']),
         experts=_experts(engine),
-        passes=_passes(engine),
+        step_timing=_step_timing(engine),
         cold_rate=float(row.get('cold-per-s') or 0),
     )
 
 
-def _passes(engine: _Row) -> site.StepTiming | None:
+def _step_timing(engine: _Row) -> site.StepTiming | None:
     """Parse the duration of a pass, ``stride`` times that of a step."""
     if not engine.get('step_ms'):
         return None
     steps = int(engine.get('stride') or 1)
     return site.StepTiming(
-        empty=steps * float(engine['step_ms']) / MILLISECONDS
+        empty_seconds=steps * float(engine['step_ms']) / MILLISECONDS
     )
 
 
@@ -132,8 +132,8 @@
     return site.ExpertLayout(
         sets=int(engine['sets']),
         experts=int(engine['experts']),
-        places=int(engine['placements']),
-        spare=int(engine['spare']),
+        placements=int(engine['placements']),
+        max_new=int(engine['spare']),
         copy_seconds=_copy_seconds(engine),
         slots=int(engine.get('slots') or 0),
     )
--- a/tamarackthread/shared/site/configuration.py
+++ b/tamarackthread/shared/site/configuration.py
@@ -8,7 +8,7 @@
 import attrs
 
 
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """Whether the calls of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
@@ -33,36 +33,36 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     shares: tuple[TrafficShare, ...]
     timeout: float
     latency_goal: float
     attempts: int = 1
     priority: int = 0
-    is_open: bool = False
+    allows_anonymous: bool = False
     is_resumable: bool = False
     gap: float = 0
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a call may run more than once; a resumed stream may,
         because it continues where it broke.
         """
-        if self.kind is Kind.STREAM:
+        if self.kind is RouteKind.STREAM:
             return self.is_resumable
-        return self.kind is Kind.IDEMPOTENT
+        return self.kind is RouteKind.IDEMPOTENT
 
 
 @attrs.frozen(kw_only=True)
 class ExpertLayout:
-    """Bounds of an expert map: ``places`` experts on a rank for each of its
-    ``sets`` of layers, ``spare`` of them new; ``slots`` calls, 0 if unknown.
+    """Bounds of an expert map: ``placements`` on a rank for each of its
+    ``sets`` of layers, ``max_new`` of them new; ``slots`` calls, 0 if unknown.
     """
 
     sets: int
     experts: int
-    places: int
-    spare: int
+    placements: int
+    max_new: int
     copy_seconds: float = 0
     slots: int = 0
 
@@ -71,7 +71,7 @@
 class StepTiming:
     """Step time of a service; ``empty`` is in seconds, without any call."""
 
-    empty: float
+    empty_seconds: float
 
 
 @attrs.frozen(kw_only=True)
@@ -82,7 +82,7 @@
 
     name: str
     experts: ExpertLayout | None = None
-    passes: StepTiming | None = None
+    step_timing: StepTiming | None = None
     gap: float = 0
     cold_rate: float = 0
 
--- a/tests/direct_case.py
+++ b/tests/direct_case.py
@@ -24,9 +24,9 @@
 from tamarackthread.shared.site import announcements, configuration
 
 HOST = 'h.example'
-ONCE = configuration.Kind.ONCE
-STREAM = configuration.Kind.STREAM
-IDEMPOTENT = configuration.Kind.IDEMPOTENT
+ONCE = configuration.RouteKind.ONCE
+STREAM = configuration.RouteKind.STREAM
+IDEMPOTENT = configuration.RouteKind.IDEMPOTENT
 RESET = struct.pack('ii', 1, 0)
 ANSWER = (
     'HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Signature: s.{name}\r\n'
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -43,7 +43,7 @@
         name='r',
         host='h',
         prefix='/',
-        kind=configuration.Kind.STREAM,
+        kind=configuration.RouteKind.STREAM,
         shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=timeout,
         latency_goal=latency_goal,
@@ -325,7 +325,7 @@
 def _configuration(gap):
     route = attrs.evolve(_route(), gap=gap)
     service = configuration.Service(
-        name=SERVICE, passes=configuration.StepTiming(empty=EMPTY)
+        name=SERVICE, step_timing=configuration.StepTiming(empty_seconds=EMPTY)
     )
     return configuration.Configuration(
         version=int(gap * 100), routes=(route,), services=(service,)
@@ -337,7 +337,7 @@
         name='r',
         host='h',
         prefix='/',
-        kind=configuration.Kind.STREAM,
+        kind=configuration.RouteKind.STREAM,
         shares=(configuration.TrafficShare(SERVICE, 1),),
         timeout=8.0,
         latency_goal=0.5,
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -38,7 +38,7 @@
 class RestCase(direct.DirectCase):
     async def test_resting_target_gets_no_call(self):
         """Guards against calls to a target that has asked for rest."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         resting = await self.add(asking_for_rest(300))
         sound = await self.add(direct.whole('yes'), zone='far')
         for _ in range(CALLS):
@@ -47,7 +47,7 @@
 
     async def test_all_rest(self):
         """Guards against callers that wait, or return, while all rest."""
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
         resting = [await self.add(asking_for_rest(30)) for _ in range(2)]
         self.assertEqual(503, (await self.ask())[0])
         status, body, headers = await self.ask()
@@ -58,7 +58,7 @@
 
     async def test_answer_of_another_target(self):
         """Guards against rest for a target whose address another one has."""
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
 
         async def another(target, head, writer):
             writer.write(
@@ -90,7 +90,7 @@
 class LeavingCase(direct.DirectCase):
     async def test_leaving_target_gets_no_call(self):
         """Guards against calls to a target whose answers say it leaves."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         near = await self.add(naming('Server-Leaving: 1', 'last'))
         await self.add(direct.whole('yes'), zone='far')
         answers = [(await self.ask())[1] for _ in range(CALLS)]
@@ -100,7 +100,7 @@
 
     async def test_last_target_leaves(self):
         """Guards against refusals while only a target that leaves is there."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         await self.add(naming('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
@@ -111,7 +111,7 @@
 
     async def test_later_start(self):
         """Guards against holding a later start for one that leaves."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         await self.add(naming('Server-Leaving: 1', 'last'))
         await self.ask()
         left = self.known.get('t1').announcement
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -284,7 +284,7 @@
         It is told that the call did not run, and no further target sees it; the
         call of another caller is answered.
         """
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
         fake = await self.add(direct_case.dropping)
         status, _, _ = await self.ask(body=b'bad')
         self.assertEqual(502, status)
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -314,7 +314,10 @@
                 routes=self.tables.current.config.routes,
                 services=(
                     configuration.Service(
-                        name='s', passes=configuration.StepTiming(empty=0.03)
+                        name='s',
+                        step_timing=configuration.StepTiming(
+                            empty_seconds=0.03
+                        ),
                     ),
                 ),
             )
@@ -366,7 +369,8 @@
             organisations=organisations,
             services=(
                 configuration.Service(
-                    name='s', passes=configuration.StepTiming(empty=0.03)
+                    name='s',
+                    step_timing=configuration.StepTiming(empty_seconds=0.03),
                 ),
             ),
         )
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -36,8 +36,8 @@
 SHARED = configuration.ExpertLayout(
     sets=SETS,
     experts=EXPERTS,
-    places=PLACES,
-    spare=SPARE,
+    placements=PLACES,
+    max_new=SPARE,
     copy_seconds=COPY_SECONDS,
 )
 
--- a/tests/test_large_maps.py
+++ b/tests/test_large_maps.py
@@ -66,7 +66,7 @@
     """
 
     SHAPE = configuration.ExpertLayout(
-        sets=1, experts=4, places=3, spare=2, slots=6
+        sets=1, experts=4, placements=3, max_new=2, slots=6
     )
 
     def test_full_group_needs_balancing(self):
--- a/tests/test_lossy_ranks.py
+++ b/tests/test_lossy_ranks.py
@@ -83,7 +83,7 @@
 
 def _group_state():
     return group_state.GroupState(
-        configuration.ExpertLayout(sets=2, experts=8, places=2, spare=1),
+        configuration.ExpertLayout(sets=2, experts=8, placements=2, max_new=1),
         gap=0.15,
     )
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -71,9 +71,9 @@
         parsed = platform_configuration.PlatformReader().read(_body())
         route = parsed.routes[0]
         self.assertEqual(7, parsed.version)
-        self.assertEqual(configuration.Kind.STREAM, route.kind)
+        self.assertEqual(configuration.RouteKind.STREAM, route.kind)
         self.assertEqual(2.5, route.timeout)
-        self.assertTrue(route.may_repeat)
+        self.assertTrue(route.is_retryable)
         self.assertEqual(
             ('a', 'b'), tuple(share.service for share in route.shares)
         )
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -196,7 +196,7 @@
 class LimitedCase(direct.DirectCase):
     async def test_limited_target(self):
         """Guards against calls beyond the limit that an answer has named."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         limited = await self.add(
             test_backpressure.naming('Server-Limit: 0.5', 'slow')
         )
--- a/tests/test_read_stalls.py
+++ b/tests/test_read_stalls.py
@@ -17,7 +17,9 @@
 class LargeGroup(ranks.Ranks):
     """129 ranks with thousands of counts; reading one stalls all for 5 ms."""
 
-    SHAPE = configuration.ExpertLayout(sets=16, experts=258, places=3, spare=2)
+    SHAPE = configuration.ExpertLayout(
+        sets=16, experts=258, placements=3, max_new=2
+    )
     SIZE = 129
 
     def __init__(self):
--- a/tests/test_site_maps.py
+++ b/tests/test_site_maps.py
@@ -34,7 +34,7 @@
 # at two steps.
 REGRESSION_SEEDS = (1659, 9799)
 SHAPE = configuration.ExpertLayout(
-    sets=1, experts=8, places=4, spare=2, copy_seconds=0.1
+    sets=1, experts=8, placements=4, max_new=2, copy_seconds=0.1
 )
 
 
--- a/tests/test_step_times.py
+++ b/tests/test_step_times.py
@@ -5,7 +5,7 @@
 from tamarackthread.control.site.maps import group_state, ranks, switching
 from tamarackthread.shared.site import configuration
 
-SHAPE = configuration.ExpertLayout(sets=1, experts=8, places=4, spare=2)
+SHAPE = configuration.ExpertLayout(sets=1, experts=8, placements=4, max_new=2)
 EMPTY = 0.02
 STEP = 0.06
 
