--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -28,7 +28,7 @@
 class CooldownCase(direct.DirectCase):
     async def test_no_calls_during_cooldown(self):
         """Guards against calls to a target during its cooldown."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         cooling = await self.add(refuse_with_retry_after(300))
         healthy = await self.add(direct.whole('yes'), zone='far')
         for _ in range(CALLS):
@@ -37,7 +37,7 @@
 
     async def test_all_cooling_down(self):
         """Guards against waits and early retries while all targets cool down."""
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
         cooling = [
             await self.add(refuse_with_retry_after(30)) for _ in range(2)
         ]
@@ -50,7 +50,7 @@
 
     async def test_answer_of_another_target(self):
         """Guards against signals from another target at the same address."""
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
 
         async def other_target(target, head, writer):
             writer.write(
@@ -82,7 +82,7 @@
 class LeavingCase(direct.DirectCase):
     async def test_leaving_target_gets_no_call(self):
         """Guards against calls to a target that announces its shutdown."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         near = await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         await self.add(direct.whole('yes'), zone='far')
         answers = [(await self.ask())[1] for _ in range(CALLS)]
@@ -92,7 +92,7 @@
 
     async def test_last_target_leaves(self):
         """Guards against refusals while only a leaving target is left."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         self.assertEqual([200, 200], [(await self.ask())[0] for _ in range(2)])
         loop = asyncio.get_running_loop()
@@ -103,7 +103,7 @@
 
     async def test_later_start(self):
         """Guards against treating a restarted target as leaving."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         await self.add(answer_with_header('Server-Leaving: 1', 'last'))
         await self.ask()
         left = self.known.get('t1').announcement
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -273,7 +273,7 @@
 class CallerCase(direct_case.DirectCase):
     async def test_refused_unrun(self):
         """Guards against sending a known poison call to one more target."""
-        self.serve(configuration.Kind.ONCE)
+        self.serve(configuration.RouteKind.ONCE)
         fake = await self.add(direct_case.dropping)
         status, _, _ = await self.ask(body=b'bad')
         self.assertEqual(502, status)
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -197,7 +197,7 @@
 class LimitedCase(direct.DirectCase):
     async def test_limited_target(self):
         """Guards against calls beyond the limit set by an answer."""
-        self.serve(configuration.Kind.IDEMPOTENT)
+        self.serve(configuration.RouteKind.IDEMPOTENT)
         limited = await self.add(
             test_backpressure.answer_with_header('Server-Limit: 0.5', 'slow')
         )
