--- a/tests/test_claim_group.py
+++ b/tests/test_claim_group.py
@@ -70,7 +70,7 @@
         await self.group.stop()
 
 
-def ask(key=KEY, claim=b'first', digest=b'd'):
+def claim_request(key=KEY, claim=b'first', digest=b'd'):
     return messages.ClaimRequest(
         key=key,
         claim=claim,
@@ -79,7 +79,7 @@
     )
 
 
-def complete(fence):
+def finish_request(fence):
     return messages.ClaimFinish(
         key=KEY,
         fence=fence,
@@ -96,13 +96,15 @@
     async def test_claims_survive_a_restart(self):
         """No claim is lost in a restart, from the snapshot or from the log."""
         async with Member(self.folder, 'control-0/1') as service:
-            granted = (await service.claim(ask())).claim
-            await service.finish(complete(granted.fence))
+            granted = (await service.claim(claim_request())).claim
+            await service.finish(finish_request(granted.fence))
             for number in range(20):
-                await service.claim(ask(key=bytes([number]) * 16))
+                await service.claim(claim_request(key=bytes([number]) * 16))
         async with Member(self.folder, 'control-0/2') as service:
-            retried = (await service.claim(ask(claim=b'second'))).claim
-            new = (await service.claim(ask(key=b'fresh'))).claim
+            retried = (
+                await service.claim(claim_request(claim=b'second'))
+            ).claim
+            new = (await service.claim(claim_request(key=b'fresh'))).claim
             found = await service.lookup(
                 messages.ClaimLookup(key=bytes([7]) * 16, wait_ms=0)
             )
@@ -112,8 +114,8 @@
 
     async def test_refusals_have_their_codes(self):
         async with Member(self.folder, 'control-0/1') as service:
-            await service.claim(ask())
+            await service.claim(claim_request())
             with self.assertRaises(claim_errors.ClaimKeyReused):
-                await service.claim(ask(claim=b'other', digest=b'e'))
+                await service.claim(claim_request(claim=b'other', digest=b'e'))
             with self.assertRaises(claim_errors.ClaimInvalid):
-                await service.claim(ask(key=b'k' * 17))
+                await service.claim(claim_request(key=b'k' * 17))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -12,7 +12,7 @@
 KEY = b'k' * 16
 
 
-def ask(claim=b'first', key=KEY, digest=b'd', **more):
+def claim_operation(claim=b'first', key=KEY, digest=b'd', **more):
     return messages.ClaimOperation(
         claim=messages.ClaimRequest(
             shard='s',
@@ -26,7 +26,7 @@
     )
 
 
-def end(state, fence, key=KEY, **more):
+def finish_operation(state, fence, key=KEY, **more):
     return messages.ClaimOperation(
         finish=messages.ClaimFinish(
             shard='s',
@@ -74,9 +74,9 @@
 
     def test_only_a_retry_by_the_holder_is_granted(self):
         """Only a retry with the same claim id gets the grant of a key."""
-        first = self.apply(ask(b'first'))
-        retried = self.apply(ask(b'first'))
-        other = self.apply(ask(b'other'))
+        first = self.apply(claim_operation(b'first'))
+        retried = self.apply(claim_operation(b'first'))
+        other = self.apply(claim_operation(b'other'))
         self.assertTrue(first.granted)
         self.assertEqual((retried.granted, retried.fence), (True, first.fence))
         self.assertFalse(other.granted)
@@ -84,19 +84,23 @@
         self.assertEqual(other.claim, b'first')
 
     def test_key_for_another_request_is_a_mismatch(self):
-        self.apply(ask(digest=b'starter feed'))
-        reused = self.apply(ask(b'other', digest=b'sow feed'))
+        self.apply(claim_operation(digest=b'starter feed'))
+        reused = self.apply(claim_operation(b'other', digest=b'sow feed'))
         self.assertTrue(reused.mismatch)
         self.assertEqual(reused.code, claim_errors.ClaimKeyReused.code)
 
     def test_complete_gives_the_answer_and_stays(self):
-        fence = self.apply(ask()).fence
+        fence = self.apply(claim_operation()).fence
         header = messages.Header(name='a', value='b')
         done = {'status': 201, 'headers': [header], 'body': b'booked'}
-        self.assertTrue(self.apply(end(State.COMPLETE, fence, **done)).granted)
+        self.assertTrue(
+            self.apply(finish_operation(State.COMPLETE, fence, **done)).granted
+        )
         for late in (State.UNKNOWN, State.RELEASED, State.RUNNING):
-            self.assertFalse(self.apply(end(late, fence, move=1)).granted)
-        reply = self.apply(ask(b'other'))
+            self.assertFalse(
+                self.apply(finish_operation(late, fence, move=1)).granted
+            )
+        reply = self.apply(claim_operation(b'other'))
         self.assertFalse(reply.granted)
         self.assertEqual(
             (reply.state, reply.status, reply.body, reply.headers),
@@ -104,27 +108,31 @@
         )
 
     def test_outcome_is_stored_without_a_large_response(self):
-        fence = self.apply(ask()).fence
+        fence = self.apply(claim_operation()).fence
         body = b'x' * (claims.MAX_ANSWER_BYTES + 1)
-        self.apply(end(State.COMPLETE, fence, status=200, body=body))
-        reply = self.apply(ask(b'other'))
+        self.apply(
+            finish_operation(State.COMPLETE, fence, status=200, body=body)
+        )
+        reply = self.apply(claim_operation(b'other'))
         self.assertEqual((reply.state, reply.status), (State.COMPLETE, 0))
 
     def test_release_grants_again_under_a_higher_fence(self):
-        first = self.apply(ask(b'first'))
-        self.apply(end(State.RELEASED, first.fence))
-        second = self.apply(ask(b'second'))
+        first = self.apply(claim_operation(b'first'))
+        self.apply(finish_operation(State.RELEASED, first.fence))
+        second = self.apply(claim_operation(b'second'))
         self.assertTrue(second.granted)
         self.assertGreater(second.fence, first.fence)
-        late = self.apply(end(State.COMPLETE, first.fence, status=200))
+        late = self.apply(
+            finish_operation(State.COMPLETE, first.fence, status=200)
+        )
         self.assertFalse(late.granted)
         self.assertEqual(late.state, State.GRANTED)
 
     def test_unknown_may_still_become_certain(self):
-        fence = self.apply(ask()).fence
-        self.apply(end(State.UNKNOWN, fence))
-        self.assertFalse(self.apply(ask(b'other')).granted)
-        late = self.apply(end(State.COMPLETE, fence, status=200))
+        fence = self.apply(claim_operation()).fence
+        self.apply(finish_operation(State.UNKNOWN, fence))
+        self.assertFalse(self.apply(claim_operation(b'other')).granted)
+        late = self.apply(finish_operation(State.COMPLETE, fence, status=200))
         self.assertTrue(late.granted)
 
     def test_malformed_command_gets_a_reply(self):
@@ -133,7 +141,7 @@
         self.assertEqual(results.replies, [])
         empty = self.apply(messages.ClaimOperation())
         self.assertEqual(empty.code, claim_errors.ClaimInvalid.code)
-        short = ask()
+        short = claim_operation()
         short.claim.keep_ms = KEEP - 1
         refused = self.apply(short)
         self.assertEqual(refused.code, claim_errors.ClaimInvalid.code)
@@ -142,10 +150,10 @@
 class MoveCase(unittest.TestCase):
     def setUp(self):
         self.apply = Driver()
-        self.fence = self.apply(ask(handover=handover('a'))).fence
+        self.fence = self.apply(claim_operation(handover=handover('a'))).fence
 
     def move(self, number, target):
-        ended = end(
+        ended = finish_operation(
             State.RUNNING, self.fence, move=number, handover=handover(target)
         )
         return self.apply(ended)
@@ -164,13 +172,13 @@
     def test_proof_of_an_earlier_target_releases_nothing(self):
         """A "not run" proof of an earlier target does not release a claim."""
         self.move(1, 'b')
-        stale = self.apply(end(State.RELEASED, self.fence, move=0))
+        stale = self.apply(finish_operation(State.RELEASED, self.fence, move=0))
         self.assertFalse(stale.granted)
         self.assertEqual(stale.state, State.RUNNING)
-        self.assertFalse(self.apply(ask(b'other')).granted)
+        self.assertFalse(self.apply(claim_operation(b'other')).granted)
 
     def test_no_handover_after_a_release(self):
-        self.apply(end(State.RELEASED, self.fence, move=0))
+        self.apply(finish_operation(State.RELEASED, self.fence, move=0))
         self.assertFalse(self.move(1, 'b').granted)
 
 
@@ -181,65 +189,70 @@
     def test_each_state_is_kept_for_its_time(self):
         for state in (None, State.UNKNOWN, State.COMPLETE):
             key = bytes([state or 0]) * 16
-            fence = self.apply(ask(key=key)).fence
+            fence = self.apply(claim_operation(key=key)).fence
             if state is not None:
-                self.apply(end(state, fence, key=key, status=200))
+                self.apply(finish_operation(state, fence, key=key, status=200))
             self.apply.stamp += KEEP - 1
-            self.assertFalse(self.apply(ask(b'other', key=key)).granted)
+            self.assertFalse(
+                self.apply(claim_operation(b'other', key=key)).granted
+            )
             self.apply.stamp += 1
-            after = self.apply(ask(b'other', key=key))
+            after = self.apply(claim_operation(b'other', key=key))
             self.assertTrue(after.granted)
             self.assertGreater(after.fence, fence)
 
     def test_outcome_is_kept_from_its_own_time(self):
-        fence = self.apply(ask()).fence
+        fence = self.apply(claim_operation()).fence
         self.apply.stamp += KEEP - 1
-        self.apply(end(State.COMPLETE, fence, status=200))
+        self.apply(finish_operation(State.COMPLETE, fence, status=200))
         self.apply.stamp += KEEP - 1
-        self.assertFalse(self.apply(ask(b'other')).granted)
+        self.assertFalse(self.apply(claim_operation(b'other')).granted)
 
     def test_clock_of_a_new_leader_expires_nothing(self):
         """A new leader's unrelated clock does not expire claims early."""
-        self.apply(ask())
+        self.apply(claim_operation())
         self.apply.proposer = 'two'
         self.apply.stamp += 1000 * KEEP
-        self.assertFalse(self.apply(ask(b'other')).granted)
+        self.assertFalse(self.apply(claim_operation(b'other')).granted)
         self.apply.proposer = 'one'
         self.apply.stamp = KEEP - 1
-        self.assertFalse(self.apply(ask(b'other')).granted)
+        self.assertFalse(self.apply(claim_operation(b'other')).granted)
         self.assertEqual(self.apply.machine.clock_ms, 0)
 
     def test_clock_never_goes_back(self):
-        self.apply(ask())
+        self.apply(claim_operation())
         self.apply.stamp = 500
-        self.apply(ask())
+        self.apply(claim_operation())
         self.apply.stamp = 100
-        self.apply(ask())
+        self.apply(claim_operation())
         self.apply.stamp = 500
-        self.apply(ask())
+        self.apply(claim_operation())
         self.assertEqual(self.apply.machine.clock_ms, 500)
 
 
 class BoundCase(unittest.TestCase):
     def test_full_shard_refuses_and_evicts_nothing(self):
         apply = Driver(claims=2)
-        apply(ask(key=b'a'), ask(key=b'b'))
-        refused = apply(ask(key=b'c'))
+        apply(claim_operation(key=b'a'), claim_operation(key=b'b'))
+        refused = apply(claim_operation(key=b'c'))
         self.assertEqual(refused.code, claim_errors.ClaimsFull.code)
-        self.assertFalse(apply(ask(b'other', key=b'a')).granted)
+        self.assertFalse(apply(claim_operation(b'other', key=b'a')).granted)
         apply.stamp += KEEP
-        self.assertTrue(apply(ask(key=b'c')).granted)
+        self.assertTrue(apply(claim_operation(key=b'c')).granted)
         self.assertEqual(len(apply.machine), 1)
 
     def test_full_shard_drops_responses_before_outcomes(self):
         apply = Driver(record_bytes=1250)
-        fences = [apply(ask(key=key)).fence for key in (b'a', b'b')]
+        fences = [apply(claim_operation(key=key)).fence for key in (b'a', b'b')]
         body = b'x' * 500
         for key, fence in zip((b'a', b'b'), fences, strict=True):
-            done = end(State.COMPLETE, fence, key=key, status=200, body=body)
+            done = finish_operation(
+                State.COMPLETE, fence, key=key, status=200, body=body
+            )
             self.assertTrue(apply(done).granted)
         statuses = [
-            apply(ask(b'other', key=name)).status for name in (b'a', b'b')
+            apply(claim_operation(b'other', key=name)).status
+            for name in (b'a', b'b')
         ]
         self.assertEqual(statuses, [200, 0])
         self.assertLessEqual(apply.machine.record_bytes, 1250)
@@ -256,8 +269,10 @@
             fence = fences.get(key, 0)
             operation = rng.choice(
                 [
-                    ask(bytes([rng.randrange(3)]), key=key),
-                    end(rng.choice(list(State)), fence, key=key, move=0),
+                    claim_operation(bytes([rng.randrange(3)]), key=key),
+                    finish_operation(
+                        rng.choice(list(State)), fence, key=key, move=0
+                    ),
                 ],
             )
             stamp = reference.stamp + rng.randrange(KEEP // 20)
@@ -281,10 +296,10 @@
 
     def test_empty_restore_starts_anew(self):
         driver = Driver()
-        driver(ask())
+        driver(claim_operation())
         driver.machine.restore(b'')
         self.assertEqual(len(driver.machine), 0)
-        self.assertEqual(driver(ask()).fence, 1)
+        self.assertEqual(driver(claim_operation()).fence, 1)
 
 
 class KeyCase(unittest.TestCase):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -202,11 +202,11 @@
             manager = self.manager()
             await manager.request(self.ask('a'))
             await asyncio.sleep(1.01)
-            taking = asyncio.ensure_future(manager.request(self.ask('b')))
+            granting = asyncio.ensure_future(manager.request(self.ask('b')))
             await asyncio.sleep(0)
             renewal = await manager.request(self.ask('a', 1))
             self.assertFalse(renewal.granted)
-            self.assertTrue((await taking).granted)
+            self.assertTrue((await granting).granted)
 
         feed_net.run_paused(scenario)
 
