--- a/tamarackthread/control/feed_source.py
+++ b/tamarackthread/control/feed_source.py
@@ -7,14 +7,14 @@
 import collections.abc
 
 from tamarackthread.control import configuration, group, leadership
-from tamarackthread.shared import catalogue, feed, parents, relay, signal
+from tamarackthread.shared import catalogue, feed, feed_server, parents, signal
 
 MAX_APPLIED_REVISIONS = 4096
 # Allows for nodes whose clocks run slower.
 DRIFT_RATIO = 1.05
 
 
-class LeaderParent(parents.Parents):
+class LeaderParent(parents.ParentSelector):
     """Choose the leader as feed parent, or none while this host leads."""
 
     def __init__(
@@ -36,7 +36,7 @@
         return self._address_of(leader) or None
 
 
-class ControlSource(relay.Source):
+class ControlSource(feed_server.Source):
     """Serve the machine as leader, else the feed, as the machine may lag."""
 
     def __init__(
@@ -81,19 +81,19 @@
             return 0
         return self._upstream.renewals
 
-    def grant(self) -> relay.Grant:
+    def grant(self) -> feed_server.Grant:
         """Grant a full lease as leader, else the rest of the leader's lease."""
         if not self._leadership.leads():
             return self._upstream.grant()
-        return relay.Grant(
+        return feed_server.Grant(
             remaining=self._lease_seconds,
             age=0,
             revision=self._machine.documents.revision,
         )
 
-    def take_report(self) -> None:
+    def schedule_report(self) -> None:
         """Make the feed report to its parent; the leader has none."""
-        self._upstream.take_report()
+        self._upstream.schedule_report()
 
     def old_leases_end(self, revision: int) -> float:
         """Return when the leases granted before a revision have expired.
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -32,10 +32,10 @@
     documents,
     errors,
     feed,
+    feed_server,
+    link_pool,
     listener,
-    peers,
     process,
-    relay,
 )
 
 # Feed children in total and per zone; these relay to the rest of their zone.
@@ -58,15 +58,15 @@
         self._control = settings.control
         self._node = settings.node.id
         self._folder = folder.DataFolder(self._control.data_folder)
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         self._rng = random.Random()
-        self._links = peers.Peers(self._place.options)
+        self._links = link_pool.LinkPool(self._place.options)
         self._groups: dict[str, consensus.Consensus] = {}
         self._machine = configuration.Configuration(self._control.audit_records)
         self._config = self._build_group(request_handler.CONFIG, self._machine)
         self._leadership = leadership.Leadership(self._config)
         self._feed = self._build_feed()
-        self._leadership.on_other_leader(self._feed.retry_now)
+        self._leadership.on_other_leader(self._feed.reselect_parent)
         self._source = feed_source.ControlSource(
             self._leadership,
             self._machine,
@@ -84,7 +84,7 @@
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until SIGTERM or a group's failure, which is raised after a drain."""
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         for group in self._groups.values():
             await group.start()
         self._feed.start()
@@ -96,7 +96,7 @@
         if announce is not None:
             announce({'link': address})
         _log.info('control: listening on %s', address)
-        stop_requested = loop.create_task(process.stop_asked())
+        stop_requested = loop.create_task(process.wait_for_stop_signal())
         group_failed = loop.create_task(self._wait_for_failure())
         await asyncio.wait(
             (stop_requested, group_failed),
@@ -144,7 +144,7 @@
         for kind, writer in self._writers.items():
             sweep = target_documents.LivenessSweep(
                 self._machine,
-                self._feed.below,
+                self._feed.descendants,
                 writer,
                 kind,
                 self._control.timing.target_lease_seconds,
@@ -157,10 +157,10 @@
         handler = request_handler.RequestHandler(
             self._groups,
             self._build_claims(),
-            relay.FeedServer(
+            feed_server.FeedServer(
                 self._source,
-                self._feed.below,
-                relay.Limits(MAX_CHILDREN, MAX_CHILDREN_PER_ZONE),
+                self._feed.descendants,
+                feed_server.Limits(MAX_CHILDREN, MAX_CHILDREN_PER_ZONE),
                 self._rng,
             ),
         )
@@ -172,7 +172,7 @@
                     machine=self._machine,
                     leading=self._leadership,
                     origin=self._source,
-                    below=self._feed.below,
+                    below=self._feed.descendants,
                     proposer=self._proposer,
                     targets=target_documents.TargetDocuments(
                         self._machine,
--- a/tamarackthread/control/operations.py
+++ b/tamarackthread/control/operations.py
@@ -17,7 +17,7 @@
     target_documents,
 )
 from tamarackthread.generated.messages import ttypes as messages
-from tamarackthread.shared import errors, peers, subtree
+from tamarackthread.shared import errors, link_pool, subtree
 
 DRAIN_NOTICE_SECONDS = 1.0
 _log = logging.getLogger('tamarackthread.control')
@@ -34,7 +34,7 @@
     proposer: config_proposer.ConfigProposer
     targets: target_documents.TargetDocuments
     entries: entry_registry.EntryRegistry
-    links: peers.Peers
+    links: link_pool.LinkPool
     own_node: str
 
 
--- a/tamarackthread/control/site/site_directory.py
+++ b/tamarackthread/control/site/site_directory.py
@@ -14,7 +14,7 @@
     announcements,
     configuration,
     document,
-    following,
+    feed_client,
     zones,
 )
 
@@ -22,7 +22,7 @@
 _log = logging.getLogger('tamarackthread.control')
 
 
-class SiteDirectory(following.Pupil):
+class SiteDirectory(feed_client.Subscriber):
     """Merge the announcements to this host with those of the other hosts.
 
     A target announces itself to one host at a time, so only together do the
@@ -65,9 +65,9 @@
     def learn_target(self, announcement: announcements.Announcement) -> None:
         """Record an announcement unless a later one is known."""
         current = self._announcements.get(announcement.target)
-        if not announcement.follows(current):
+        if not announcement.supersedes(current):
             return
-        merged = announcement.after(current)
+        merged = announcement.inherit_start(current)
         if merged.state == announcements.State.READY:
             others = self._others_at(merged)
             if any(_is_superseded(merged, other) for other in others):
@@ -144,7 +144,7 @@
                 return ()
             self._services = tuple(
                 attrs.evolve(
-                    service, gap=self._configuration.gap_of(service.name)
+                    service, gap=self._configuration.min_gap(service.name)
                 )
                 for service in self._configuration.services
             )
--- a/tamarackthread/entry/direct/admission_control.py
+++ b/tamarackthread/entry/direct/admission_control.py
@@ -176,14 +176,14 @@
         self._targets = all_targets
         self._entries = entries
         self._queues: dict[str, AdmissionQueue] = {}
-        self._settings: dict[str, tuple[configuration.Passes, float]] = {}
+        self._settings: dict[str, tuple[configuration.StepTiming, float]] = {}
 
     def learn(self, config: configuration.Configuration) -> None:
         """Create and update queues from a configuration."""
         for service in config.services:
             if service.passes is None:
                 continue
-            settings = (service.passes, config.gap_of(service.name))
+            settings = (service.passes, config.min_gap(service.name))
             if not settings[1] or self._settings.get(service.name) == settings:
                 continue
             self._settings[service.name] = settings
@@ -254,7 +254,7 @@
 def _admission_order(
     call: calls.Call, first_at: float
 ) -> tuple[bool, int, float]:
-    """Sort by whether the aim can be met, then by priority, then by age."""
-    aim_at = call.arrived_at + call.route.aim
+    """Sort by whether the latency goal can be met, then by priority, then by age."""
+    goal_at = call.arrived_at + call.route.latency_goal
     # By age alone every call would be late once some are.
-    return first_at > aim_at, call.priority, aim_at
+    return first_at > goal_at, call.priority, goal_at
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -27,13 +27,13 @@
     claim_keys,
     errors,
     feed,
+    feed_server,
     link,
+    link_pool,
     listener,
     metrics,
     parents,
-    peers,
     process,
-    relay,
 )
 
 LAPSED_RETRY_SECONDS = 1.0
@@ -48,7 +48,9 @@
 
     def __init__(self, source: feed.ConfigFeed) -> None:
         """Serve the configuration of this entry's feed."""
-        self._relay = relay.FeedServer(source, source.below, relay.Limits())
+        self._relay = feed_server.FeedServer(
+            source, source.descendants, feed_server.Limits()
+        )
 
     async def on_request(
         self,
@@ -68,7 +70,7 @@
         """Build the components; ``run`` starts them."""
         self._settings = settings
         self._limits = settings.entry
-        self._place = process.take_place(settings)
+        self._place = process.bind_links(settings)
         rng = random.Random()
         self._directory = directory.Directory()
         self._fleet = fleet.Fleet(
@@ -77,12 +79,12 @@
             self._directory,
             rng,
         )
-        self._peers = peers.Peers(self._place.options, self._fleet)
+        self._peers = link_pool.LinkPool(self._place.options, self._fleet)
         self._fleet.set_peers(self._peers)
         self._feed = feed.ConfigFeed(
             self._peers,
             self._place.options.identity,
-            parents.AnyParent(settings.control_addresses, rng),
+            parents.RandomParentSelector(settings.control_addresses, rng),
             settings.feed.wait_seconds,
         )
         self._metrics = metrics.Metrics(settings.statsd)
@@ -140,7 +142,7 @@
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then drain the open calls."""
-        address = await self._listener.start_on(self._place.bound)
+        address = await self._listener.start_on_socket(self._place.bound)
         self._feed.subscribe(self._apply_configuration)
         self._feed.start()
         loop = asyncio.get_running_loop()
@@ -154,7 +156,7 @@
         if announce is not None:
             announce({'link': address, 'http': http})
         _log.info('entry: serves callers on %s', http)
-        await process.stop_asked()
+        await process.wait_for_stop_signal()
         await self._stop()
         for task in tasks:
             task.cancel()
@@ -194,7 +196,7 @@
         self._frontend.fail_readiness()
         await asyncio.sleep(self._limits.health_grace_seconds)
         self._frontend.refuse_calls()
-        await process.drained(
+        await process.wait_until_idle(
             self._frontend.wait_idle(),
             self._limits.drain_seconds,
             _log,
--- a/tests/test_claim_group.py
+++ b/tests/test_claim_group.py
@@ -75,7 +75,7 @@
         key=key,
         claim=claim,
         digest=digest,
-        keep_ms=claim_times.MIN_KEEP_MS,
+        keep_ms=claim_times.MIN_TTL_MS,
     )
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import claim_errors, claim_keys, claim_times, wire
 
-KEEP = claim_times.MIN_KEEP_MS
+KEEP = claim_times.MIN_TTL_MS
 State = messages.ClaimState
 KEY = b'k' * 16
 
@@ -326,14 +326,14 @@
         used = set()
         for number in range(200):
             key = f'order-{number}'
-            near = claim_keys.shard_of('o', key, shards, 'east')
+            near = claim_keys.select_shard('o', key, shards, 'east')
             self.assertEqual(near.region, 'east')
             self.assertEqual(
-                near, claim_keys.shard_of('o', key, backwards, 'east')
+                near, claim_keys.select_shard('o', key, backwards, 'east')
             )
-            used.add(claim_keys.shard_of('o', key, shards, 'north').name)
+            used.add(claim_keys.select_shard('o', key, shards, 'north').name)
         self.assertEqual(len(used), 4)
 
     def test_no_shard_is_refused(self):
         with self.assertRaises(claim_errors.ShardUnknown):
-            claim_keys.shard_of('o', 'k', [], 'east')
+            claim_keys.select_shard('o', 'k', [], 'east')
--- a/tests/test_documents_fetched.py
+++ b/tests/test_documents_fetched.py
@@ -7,7 +7,7 @@
 from tamarackthread.generated import settings
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import errors, identity
-from tamarackthread.shared.site import document, following
+from tamarackthread.shared.site import document, feed_client
 from tests import policy_case
 
 ZONES = ('east', 'west', 'north')
@@ -24,7 +24,7 @@
     """Links of one entry to six control hosts in three availability zones."""
 
     def __init__(self):
-        self.own = identity.Identity(
+        self.own_identity = identity.Identity(
             node='e1', role=messages.Role.ENTRY, zone='east', address='e1:7'
         )
         self.machines = {host: machine.SiteMachine() for host in HOSTS}
@@ -43,7 +43,7 @@
             peer=types.SimpleNamespace(
                 zone=ZONES[place],
                 role=messages.Role.ENTRY,
-                address=self.own.address,
+                address=self.own_identity.address,
             )
         )
 
@@ -71,7 +71,7 @@
         self.machines[host].apply(version, held.encode())
 
 
-class Pupil(following.Pupil):
+class Pupil(feed_client.Subscriber):
     """Keep the newest version."""
 
     def __init__(self):
@@ -150,7 +150,7 @@
         net = Net()
         pupil = Pupil()
         site = settings.Site(seeds=HOSTS, link_port=7)
-        follower = following.Follower(site, net, pupil)
+        follower = feed_client.FeedClient(site, net, pupil)
         self.following = asyncio.create_task(follower.run())
         net.accept(1)
         await asyncio.sleep(3)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,12 +9,12 @@
 import types
 import unittest
 
-from tamarackthread.cli import edited
+from tamarackthread.cli import document_files
 from tamarackthread.generated import settings as generated
 from tamarackthread.shared import (
     findings,
     jsonc,
-    live,
+    live_settings,
     reload,
     security,
     settings,
@@ -141,7 +141,7 @@
         page = (ROOT / 'docs' / 'PROFILES.md').read_text(encoding='utf-8')
         for sample in page.split('```json\n')[1:]:
             self.path.write_text(sample.partition('```')[0], encoding='utf-8')
-            edited.read(self.path, 'profile', 'sample')
+            document_files.read(self.path, 'profile', 'sample')
 
     def test_no_input_breaks_the_check(self):
         chance = random.Random(11)
@@ -163,7 +163,7 @@
 
     def test_reload_takes_what_may_change_and_names_the_rest(self):
         self.write()
-        source = live.Source(settings.load(self.path))
+        source = live_settings.Source(settings.load(self.path))
         entry = source.settings.entry
         reloader = reload.Reloader(str(self.path), source)
         self.write(
@@ -191,7 +191,7 @@
         """
         self.write()
         old = settings.load(self.path)
-        source = live.Source(old)
+        source = live_settings.Source(old)
         reloader = reload.Reloader(str(self.path), source)
         for changed in (
             {'logs': {'level': 'loud'}},
@@ -204,7 +204,7 @@
 
     def test_replaced_key_signs_from_the_next_greeting_on(self):
         self.write()
-        source = live.Source(settings.load(self.path))
+        source = live_settings.Source(settings.load(self.path))
         keys = security.read_keys(source.settings.security.key_files)
         (self.path.parent / 'new').write_bytes(b'n' * 32)
         self.write(security={'key_files': ['new', 'key']})
