--- a/tamarackthread/control/config_proposer.py
+++ b/tamarackthread/control/config_proposer.py
@@ -59,13 +59,15 @@
         reply = await self._propose(messages.ConfigCommand(decision=request))
         return reply.decision
 
-    def lease_keeper(
+    def lease_manager(
         self,
         machine: configuration.Configuration,
-    ) -> leases.LeaseKeeper:
+    ) -> leases.LeaseManager:
         """Create the lease keeper that tracks lease times on this host."""
         clock = asyncio.get_running_loop().time
-        return leases.LeaseKeeper(lambda: machine.table, self.lease, clock)
+        return leases.LeaseManager(
+            lambda: machine.lease_table, self.lease, clock
+        )
 
     async def _propose(
         self,
--- a/tamarackthread/control/entry_registry.py
+++ b/tamarackthread/control/entry_registry.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from tamarackthread.control import configuration, targets
+from tamarackthread.control import configuration, target_documents
 from tamarackthread.generated import documents as generated
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import documents
@@ -21,7 +21,7 @@
     def __init__(
         self,
         machine: configuration.Configuration,
-        writer: targets.DocumentWriter,
+        writer: target_documents.DocumentWriter,
     ) -> None:
         """Write through ``writer``; read committed documents of ``machine``."""
         self._machine = machine
@@ -40,7 +40,7 @@
             incarnation=announcement.incarnation or 0,
         )
         body = json.dumps(attrs.asdict(entry), separators=(',', ':'))
-        for _ in range(targets.TRIES):
+        for _ in range(target_documents.MAX_ATTEMPTS):
             latest = self._machine.documents.latest(
                 documents.ENTRY,
                 announcement.entry,
@@ -55,4 +55,4 @@
                 node,
             ):
                 return self._machine.documents.revision
-        raise targets.TargetBusy(announcement.entry)
+        raise target_documents.TargetBusy(announcement.entry)
