--- a/tamarackthread/control/consensus.py
+++ b/tamarackthread/control/consensus.py
@@ -9,14 +9,14 @@
 import random
 
 from tamarackthread.control import (
-    applying,
+    applier,
+    dependencies,
     disk,
     election,
     failures,
     following,
     installing,
     leading,
-    parts,
     proposing,
     reconfiguration,
     replica,
@@ -53,7 +53,7 @@
         empty for a host that joins an existing one.
         """
         self._state = replica.Replica(
-            parts.Parts(
+            dependencies.Dependencies(
                 group=group,
                 node=node,
                 machine=machine,
@@ -64,7 +64,7 @@
                 bootstrap=dict(members),
             )
         )
-        self._applier = applying.Applier(self._state)
+        self._applier = applier.Applier(self._state)
         self._installer = installing.Installer(
             self._state, self._applier.restore
         )
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -22,7 +22,7 @@
 )
 from tamarackthread.generated import settings as generated
 from tamarackthread.policy import cold_start, known_entries
-from tamarackthread.shared import log_events, peers, process
+from tamarackthread.shared import link_pool, log_events, process
 from tamarackthread.shared.site import (
     configuration,
     site_metrics,
@@ -49,10 +49,10 @@
         generator = random.Random()
         loop = asyncio.get_running_loop()
         self._place = process.bind_links(settings)
-        self._links = peers.Peers(
+        self._links = link_pool.LinkPool(
             self._place.options,
-            most_backoff=host_addresses.MAX_BACKOFF_SECONDS,
-            dial_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
+            max_backoff_seconds=host_addresses.MAX_BACKOFF_SECONDS,
+            dial_timeout_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
         )
         entries = known_entries.KnownEntries(
             self._place.options.identity.address,
--- a/tamarackthread/shared/site/source_selection.py
+++ b/tamarackthread/shared/site/source_selection.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tamarackthread.shared import peers
+from tamarackthread.shared import link_pool
 
 # Wait for the preferred host to have a new version, then for each further one.
 FETCH_SECONDS = 0.3
@@ -31,7 +31,7 @@
 class SourceSelector:
     """Order control hosts: own zone first, then by a hash of both addresses."""
 
-    def __init__(self, links: peers.Peers) -> None:
+    def __init__(self, links: link_pool.LinkPool) -> None:
         """Use ``links`` to look up the zones of hosts."""
         self._links = links
         self._states: dict[str, SourceState] = {}
@@ -69,7 +69,7 @@
         has_timed_out = (
             timed_out_at is not None and now - timed_out_at < PENALTY_SECONDS
         )
-        own = self._links.own
+        own = self._links.own_identity
         link = self._links.current(address)
         is_far = link is None or link.peer.zone != own.zone
         text = f'{own.node} {own.address} {address}'.encode()
