--- a/bench/fuzzing/parsers.py
+++ b/bench/fuzzing/parsers.py
@@ -240,12 +240,12 @@
 def _compare_cuts(rng: random.Random, sent: bytes) -> None:
     whole = events.EventSplitter()
     expected = whole.feed(sent)
-    cutter = events.EventSplitter()
+    splitter = events.EventSplitter()
     pieces = bytearray()
     start = 0
     while start < len(sent):
         end = start + rng.randint(1, 9)
-        pieces += cutter.feed(sent[start:end])
+        pieces += splitter.feed(sent[start:end])
         start = end
-    if (bytes(pieces), cutter.count) != (expected, whole.count):
+    if (bytes(pieces), splitter.count) != (expected, whole.count):
         raise CutsDiffer(repr(sent))
--- a/tamarackthread/agent/role.py
+++ b/tamarackthread/agent/role.py
@@ -102,12 +102,12 @@
         assert settings.agent is not None
         self._settings = settings
         self._own = settings.agent
-        self._place = process.bind_links(settings)
+        self._link_binding = process.bind_links(settings)
         self._stopping = False
-        self._peers = link_pool.LinkPool(self._place.options)
+        self._peers = link_pool.LinkPool(self._link_binding.options)
         self._feed = feed.ConfigFeed(
             self._peers,
-            self._place.options.identity,
+            self._link_binding.options.identity,
             parents.RandomParentSelector(
                 settings.control_addresses, random.Random()
             ),
@@ -121,7 +121,7 @@
         )
         self._group = group_membership.GroupMembership(
             self._own,
-            self._place.options.identity,
+            self._link_binding.options.identity,
             self._peers,
             control_client.LinkControlClient(
                 self._peers,
@@ -138,13 +138,13 @@
             self._reporter,
             claims.ClaimGate(
                 self._own.target_id,
-                self._place.options.identity.incarnation,
+                self._link_binding.options.identity.incarnation,
             ),
             self._group.urgent,
         )
         self._announced = announcer.AnnouncedTarget(
             self._own,
-            self._place.options.identity,
+            self._link_binding.options.identity,
         )
         self._announcer = announcer.Announcer(
             self._announced,
@@ -154,7 +154,7 @@
             self._own.heartbeat_seconds,
         )
         self._listener = listener.Listener(
-            self._place.options,
+            self._link_binding.options,
             AgentHandler(
                 self._gate,
                 self._reporter,
@@ -167,7 +167,7 @@
         """Run until asked to stop, then drain."""
         await self._client.start()
         await self._group.start()
-        address = await self._listener.start_on_socket(self._place.bound)
+        address = await self._listener.start_on_socket(self._link_binding.bound)
         self._feed.subscribe(self._apply_documents)
         self._feed.start()
         loop = asyncio.get_running_loop()
@@ -191,7 +191,7 @@
         if found is None or self._stopping:
             return
         details = documents.parse(documents.TARGET, found.body)
-        own = self._place.options.identity
+        own = self._link_binding.options.identity
         if details.incarnation == own.incarnation:
             self._gate.set_leaving(leaving=details.leaving)
 
--- a/tamarackthread/control/host.py
+++ b/tamarackthread/control/host.py
@@ -58,9 +58,9 @@
         self._control = settings.control
         self._node = settings.node.id
         self._folder = folder.DataFolder(self._control.data_folder)
-        self._place = process.bind_links(settings)
+        self._link_binding = process.bind_links(settings)
         self._rng = random.Random()
-        self._links = link_pool.LinkPool(self._place.options)
+        self._links = link_pool.LinkPool(self._link_binding.options)
         self._groups: dict[str, consensus.Consensus] = {}
         self._machine = configuration.Configuration(self._control.audit_records)
         self._config = self._build_group(request_handler.CONFIG, self._machine)
@@ -80,14 +80,16 @@
         }
         self._sweeps = self._build_sweeps()
         self._handler = self._build_handler()
-        self._listener = listener.Listener(self._place.options, self._handler)
+        self._listener = listener.Listener(
+            self._link_binding.options, self._handler
+        )
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until SIGTERM or the failure of a group, then drain and stop.
 
         Raises the failure of the group.
         """
-        address = await self._listener.start_on_socket(self._place.bound)
+        address = await self._listener.start_on_socket(self._link_binding.bound)
         for group in self._groups.values():
             await group.start()
         self._feed.start()
@@ -134,7 +136,7 @@
     def _build_feed(self) -> feed.ConfigFeed:
         return feed.ConfigFeed(
             self._links,
-            self._place.options.identity,
+            self._link_binding.options.identity,
             feed_source.LeaderParent(
                 self._config, self._address_of, self._node
             ),
@@ -199,7 +201,7 @@
         return handler
 
     def _build_claims(self) -> dict[str, claim_service.ClaimService]:
-        incarnation = self._place.options.identity.incarnation
+        incarnation = self._link_binding.options.identity.incarnation
         services = {}
         for name in shards.group_names(self._control.claim_shards):
             machine = claims.ClaimsMachine()
--- a/tamarackthread/control/site/host.py
+++ b/tamarackthread/control/site/host.py
@@ -110,10 +110,10 @@
         self._node = settings.node.id
         self._drain_seconds = settings.control.drain_seconds
         self._folder = folder.DataFolder(settings.control.data_folder)
-        self._place = process.bind_links(settings)
-        self._address = self._place.options.identity.address
+        self._link_binding = process.bind_links(settings)
+        self._address = self._link_binding.options.identity.address
         self._links = link_pool.LinkPool(
-            self._place.options,
+            self._link_binding.options,
             max_backoff_seconds=host_addresses.MAX_BACKOFF_SECONDS,
             dial_timeout_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
         )
@@ -136,14 +136,14 @@
             self._peer_addresses,
         )
         self._http_server = http_server
-        self._metrics_page = site_metrics.MetricsServer()
+        self._metrics_server = site_metrics.MetricsServer()
         self._ranks = rank_client
         directory = site_directory.SiteDirectory(self._machine, reader)
         self._directory = directory
         self._targets = target_file.TargetFile(
             disk.FolderDisk(self._folder.group_path(TARGETS_FOLDER))
         )
-        self._follower = feed_client.FeedClient(
+        self._feed_client = feed_client.FeedClient(
             self._site, self._links, directory, self._address
         )
         self._owner_loop = owner_loop.OwnerLoop(
@@ -159,23 +159,23 @@
             outlives_lease=self._site.engines_check_fences,
         )
         self._listener = listener.Listener(
-            self._place.options,
+            self._link_binding.options,
             handler.SiteHandler(
                 self._group,
                 feed.Feed(
                     self._machine,
                     self._registry,
                     self._member_addresses,
-                    self._place.options.identity.incarnation,
+                    self._link_binding.options.identity.incarnation,
                 ),
-                loads.Loads(self._place.options.identity.incarnation),
+                loads.Loads(self._link_binding.options.identity.incarnation),
                 self._evacuation,
             ),
         )
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then hand over leadership and stop."""
-        address = await self._listener.start_on_socket(self._place.bound)
+        address = await self._listener.start_on_socket(self._link_binding.bound)
         await self._group.start()
         for announcement in await self._targets.load():
             self._registry.restore(announcement)
@@ -183,12 +183,12 @@
         http = await self._http_server.open(
             self._site.http_address, self._api, self._registry, self._evacuation
         )
-        await self._metrics_page.start(self._site.metrics_address)
+        await self._metrics_server.start(self._site.metrics_address)
         loop = asyncio.get_running_loop()
         working = [
             loop.create_task(self._joiner.run()),
             loop.create_task(self._registry.run()),
-            loop.create_task(self._follower.run()),
+            loop.create_task(self._feed_client.run()),
             loop.create_task(self._owner_loop.run()),
             loop.create_task(self._targets.run(self._all_targets)),
         ]
@@ -284,7 +284,7 @@
                 self._listener.stop_accepting()
                 await self._group.stop()
         await self._http_server.close()
-        await self._metrics_page.stop()
+        await self._metrics_server.stop()
         await self._ranks.close()
         await self._targets.close()
         self._listener.close()
--- a/tamarackthread/entry/attempt.py
+++ b/tamarackthread/entry/attempt.py
@@ -58,7 +58,7 @@
         self._point = outcomes.CallStage.CONNECTING
         self._call: stream.Stream | None = None
         self._preempted = False
-        self._cutter = events.EventSplitter()
+        self._splitter = events.EventSplitter()
 
     @property
     def handed_over(self) -> bool:
@@ -136,16 +136,16 @@
         await self._finish()
 
     async def _forward(self, received: bytes) -> None:
-        before = self._cutter.count
-        complete_events = self._cutter.feed(received)
+        before = self._splitter.count
+        complete_events = self._splitter.feed(received)
         if not complete_events:
             return
         await self._sink.write(complete_events)
-        events = self._cutter.count - before
+        events = self._splitter.count - before
         if events:
             self._ticket.advance(events)
         self._progress.events += events
-        self._progress.is_complete = self._cutter.done
+        self._progress.is_complete = self._splitter.done
 
     async def _relay_plain(
         self,
@@ -171,8 +171,8 @@
 
     async def _finish(self) -> None:
         self._progress.is_complete = True
-        if self._cutter.rest:
-            await self._sink.write(self._cutter.rest)
+        if self._splitter.rest:
+            await self._sink.write(self._splitter.rest)
         await self._sink.finish()
 
     def _check_end(self, call: stream.Stream) -> None:
--- a/tamarackthread/entry/direct/role.py
+++ b/tamarackthread/entry/direct/role.py
@@ -48,15 +48,15 @@
         self._own = settings.entry
         generator = random.Random()
         loop = asyncio.get_running_loop()
-        self._place = process.bind_links(settings)
+        self._link_binding = process.bind_links(settings)
         self._links = link_pool.LinkPool(
-            self._place.options,
+            self._link_binding.options,
             max_backoff_seconds=host_addresses.MAX_BACKOFF_SECONDS,
             dial_timeout_seconds=host_addresses.DIAL_TIMEOUT_SECONDS,
         )
         entries = known_entries.KnownEntries(
-            self._place.options.identity.address,
-            lambda: self._follower.entries,
+            self._link_binding.options.identity.address,
+            lambda: self._feed_client.entries,
         )
         cold_limits = cold_start.ColdStartLimits(
             entries, self._site.cold_allowance, self._site.cold_slack
@@ -69,12 +69,12 @@
             entries,
         )
         self._call_log = call_log.CallLog()
-        self._metrics_page = site_metrics.MetricsServer()
+        self._metrics_server = site_metrics.MetricsServer()
         tables = routing_table.CurrentTable()
         admission = admission_control.AdmissionControl(
-            self._targets, lambda: len(self._follower.entries)
+            self._targets, lambda: len(self._feed_client.entries)
         )
-        self._follower = feed_client.FeedClient(
+        self._feed_client = feed_client.FeedClient(
             self._site,
             self._links,
             feed_handler.FeedHandler(
@@ -85,8 +85,8 @@
         self._load_exchange = load_exchange.LoadExchange(
             self._targets,
             self._links,
-            lambda: self._follower.followed,
-            lambda: self._follower.entries,
+            lambda: self._feed_client.followed,
+            lambda: self._feed_client.entries,
             admission.refill,
             poison,
         )
@@ -99,7 +99,7 @@
                 self._target_client,
                 retry_budgets.RetryBudgets(
                     self._site,
-                    lambda: len(self._follower.entries),
+                    lambda: len(self._feed_client.entries),
                     loop.time,
                 ),
                 admission,
@@ -118,14 +118,14 @@
         await self._target_client.start()
         loop = asyncio.get_running_loop()
         working = [
-            loop.create_task(self._follower.run()),
+            loop.create_task(self._feed_client.run()),
             loop.create_task(self._targets.run()),
             loop.create_task(self._load_exchange.run()),
             loop.create_task(self._call_log.run()),
         ]
         http = await self._frontend.start(self._site.callers_address)
         ready = await self._frontend.start_readiness(self._site.http_address)
-        await self._metrics_page.start(self._site.metrics_address)
+        await self._metrics_server.start(self._site.metrics_address)
         if announce is not None:
             announce({'http': http, 'ready': ready})
         log_events.emit(
@@ -170,7 +170,7 @@
                 self._frontend.open_calls,
             )
         await self._frontend.stop()
-        await self._metrics_page.stop()
+        await self._metrics_server.stop()
         await self._target_client.close()
 
 
--- a/tamarackthread/entry/role.py
+++ b/tamarackthread/entry/role.py
@@ -70,7 +70,7 @@
         """Build the components; ``run`` starts them."""
         self._settings = settings
         self._limits = settings.entry
-        self._place = process.bind_links(settings)
+        self._link_binding = process.bind_links(settings)
         rng = random.Random()
         self._directory = directory.Directory()
         self._fleet = fleet.Fleet(
@@ -79,17 +79,19 @@
             self._directory,
             rng,
         )
-        self._peers = link_pool.LinkPool(self._place.options, self._fleet)
+        self._peers = link_pool.LinkPool(
+            self._link_binding.options, self._fleet
+        )
         self._fleet.set_peers(self._peers)
         self._feed = feed.ConfigFeed(
             self._peers,
-            self._place.options.identity,
+            self._link_binding.options.identity,
             parents.RandomParentSelector(settings.control_addresses, rng),
             settings.feed.wait_seconds,
         )
         self._metrics = metrics.Metrics(settings.statsd)
         self._announcer = announcer.Announcer(
-            announcer.AnnouncedEntry(self._place.options.identity),
+            announcer.AnnouncedEntry(self._link_binding.options.identity),
             self._peers,
             self._feed,
             tuple(settings.control_addresses),
@@ -136,13 +138,13 @@
             self._metrics,
         )
         self._listener = listener.Listener(
-            self._place.options,
+            self._link_binding.options,
             EntryHandler(self._feed),
         )
 
     async def run(self, announce: process.Announce | None) -> None:
         """Run until asked to stop, then drain the open calls."""
-        address = await self._listener.start_on_socket(self._place.bound)
+        address = await self._listener.start_on_socket(self._link_binding.bound)
         self._feed.subscribe(self._apply_configuration)
         self._feed.start()
         loop = asyncio.get_running_loop()
