--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -35,7 +35,11 @@
         self.portions = buckets.Portions()
         known = directory.Directory()
         known.apply(
-            [loopback.document('organisation', 'o', {'requests_per_second': 100})],
+            [
+                loopback.document(
+                    'organisation', 'o', {'requests_per_second': 100}
+                )
+            ],
         )
         self.leaser = rate_leases.RateLeaser(
             'e',
