--- a/tamarackthread/policy/allocator.py
+++ b/tamarackthread/policy/allocator.py
@@ -27,7 +27,7 @@
     flight: target_load.InFlightCall
 
     def advance(self, progress: migration.Progress, now: float) -> None:
-        """Record the progress of the stream."""
+        """Record the first token and the stream's mean seconds per event."""
         self.target.load.first_token(self.flight, now)
         self.target.load.observe_pace(progress.pace, now)
 
@@ -70,12 +70,12 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class AllocatorSettings:
-    """Configure the slots of each target that are for urgent calls."""
+    """Configure the slots of each target for urgent and resumed calls."""
 
-    # Fraction of the slots, rounded up, that other calls can't use.
+    # Fraction of the slots, rounded up, only for calls that bypass the queue.
 
     reserved_share: float = 0
-    # Urgent calls allowed beyond the slots.
+    # Calls allowed beyond the slots if they bypass the queue.
     urgent_extra: int = 2
 
 
@@ -146,7 +146,7 @@
         return best
 
     def service_rate(self, now: float) -> float:
-        """Estimate from the slots and the hold time of own calls."""
+        """Estimate from this entry's part of the slots and its calls' duration."""
         total: float = 0
         for view in self._targets:
             if view.load.accepts_calls:
@@ -221,8 +221,11 @@
 
 
 def _is_over_ramp_limit(view: routing.TargetView) -> bool:
-    """Tell whether a target that ramps up after ejection has its full share."""
-    # Weighted sampling doesn't limit the only target with free slots.
+    """Tell whether a target that ramps up after ejection has used up its share
+    of the slots that it guarantees to this entry.
+    """
+    # Needed since the weights of the routing policy don't limit a target that
+    # is the only one with free slots.
     if view.share >= 1:
         return False
     return view.load.own_calls >= max(
--- a/tamarackthread/policy/concurrency.py
+++ b/tamarackthread/policy/concurrency.py
@@ -15,8 +15,8 @@
 # How long past loads are kept: longer than any acceptable pass, as the load
 # at a pass's start is looked up at its end.
 HISTORY_SECONDS = 1.0
-# Fraction of the allowed gap for a median pass; the rest is headroom for the
-# slowest passes and the network.
+# Fraction of the allowed gap between two pieces of a stream that a median pass
+# may take; the rest is headroom for the slowest passes and the network.
 GAP_SHARE = 0.8
 # Lower bound for the time that calls add to a pass.
 MIN_ADDED_SECONDS = 0.001
@@ -58,7 +58,7 @@
     ranks: int
     # Calls that all ranks together run at once.
     slots: int
-    # Slowdown of the slowest rank; 2 means twice its usual time.
+    # Slowdown factor of the slowest rank; 2 means twice its usual time.
     pace: float = 1
     own: int = 0
 
@@ -67,7 +67,9 @@
     """Limit how many calls the ranks of a group may have in total."""
 
     def __init__(self, gap: float, empty: float) -> None:
-        """Keep passes under ``gap`` seconds; an empty one takes ``empty``."""
+        """Allow ``gap`` seconds between two pieces of a stream; a pass without
+        calls takes ``empty`` seconds.
+        """
         self._limit = gap * GAP_SHARE
         self._empty = empty
         self._passes = MovingMedian()
@@ -107,7 +109,8 @@
     def record_pass(self, seconds: float, now: float) -> None:
         """Record the seconds between two pieces of one stream."""
         super().record_pass(seconds, now)
-        # With the current load, each admitted call would raise the limit.
+        # The load when the pass began: with the current load, calls admitted
+        # since would lower the measured time per call and raise the limit.
         load = self._load_at(now - seconds)
         if load is None:
             return
@@ -123,7 +126,8 @@
         headroom = self._limit - self._empty * load.pace
         if not added_per_call or headroom <= 0:
             return slots
-        # If not even one call a rank fits, calls aren't what slows passes.
+        # If even one call a rank is too many, fewer calls can't keep passes
+        # within the gap, so that only the slots limit them.
         fitting = headroom / added_per_call
         return slots if fitting < load.ranks else min(fitting, slots)
 
--- a/tamarackthread/policy/group_planning.py
+++ b/tamarackthread/policy/group_planning.py
@@ -10,6 +10,7 @@
 
 from tamarackthread.policy import rebalancing
 
+# The map of each set of layers.
 GroupMap = tuple[rebalancing.SetMap, ...]
 Tokens = collections.abc.Sequence[collections.abc.Sequence[float]]
 Slowdowns = collections.abc.Sequence[float]
@@ -19,9 +20,9 @@
 class MapCost:
     """Estimate how long a map switch takes and how long the map is useful."""
 
-    # For each copy of the rank with the most copies.
+    # For each expert copied to the rank that gets the most.
     copy_seconds: float
-    # For a switch without copies.
+    # For a switch that copies no experts.
     switch_seconds: float
     # Expected time until demand changes.
     stable_seconds: float
@@ -34,8 +35,8 @@
     def relative_step_time(
         self, before: float, after: float, copies: int
     ) -> float:
-        """Return step time until demand changes, relative to balanced ranks;
-        ``before`` and ``after`` are the skews of the old and the new map.
+        """Return the sum of skew times seconds until demand changes; ``before``
+        and ``after`` are the skews of the old and the new map.
         """
         delay = self.delay(copies)
         return before * delay + after * (self.stable_seconds - delay)
@@ -43,7 +44,9 @@
 
 @attrs.define(eq=False)
 class RankCopyBudget(rebalancing.CopyBudget):
-    """Count the copies of each rank over all sets, up to ``limit``."""
+    """Count the experts copied to each rank over all sets of layers; a rank may
+    get up to ``limit``.
+    """
 
     by_rank: list[int]
     limit: int = 0
