--- a/tamarackthread/entry/direct/eligibility.py
+++ b/tamarackthread/entry/direct/eligibility.py
@@ -9,8 +9,8 @@
 from tamarackthread.policy import cold_start, known_entries, rate_limit
 from tamarackthread.shared.site import groups, zones
 
-# Targets of a restored zone count as cold for this long, since any may have
-# turned cold after its last announcement.
+# Targets of a restored zone count as cold (limited to few calls to warm up) for
+# this long, since any may have turned cold after its last announcement.
 RESTORED_COLD_SECONDS = 10.0
 
 # Within this time, a target that drains still gets the calls that no other
@@ -99,7 +99,7 @@
     def set_demand(
         self, service: str, demand: rate_limit.Demand | None
     ) -> None:
-        """Set this entry's share of a service's calls."""
+        """Set the share of a service's calls that arrives at this entry."""
         self._demands[service] = demand or rate_limit.SOLE_ENTRY
 
     def is_in_service(self, target: instances.TargetInstance) -> bool:
@@ -107,7 +107,9 @@
         return not (target.is_draining or self._is_evacuated(target))
 
     def is_group_open(self, target: instances.TargetInstance) -> bool:
-        """Tell whether a target's group makes passes, as far as known."""
+        """Tell whether a target's group runs forward passes; an unknown group
+        counts as running.
+        """
         return self._groups.is_open(target.group)
 
     def has_capacity(
@@ -121,7 +123,9 @@
     def is_last_resort(
         self, target: instances.TargetInstance, now: float
     ) -> bool:
-        """Tell whether a target that drains may get a call as a last resort."""
+        """Tell whether a draining target may get a call that no other can take:
+        briefly after a response told of the drain, if no announcement has.
+        """
         if target.announcement.is_leaving or not target.draining_since:
             return False
         if self._is_evacuated(target):
@@ -139,6 +143,7 @@
         demand = self._demands.get(
             target.announcement.service, rate_limit.SOLE_ENTRY
         )
+        # This entry counts as the only one: 1 entry, position 0.
         share = rate_limit.EntryShare(demand, 1, 0)
         if self._entries is not None:
             share = rate_limit.EntryShare(
--- a/tamarackthread/entry/direct/failures.py
+++ b/tamarackthread/entry/direct/failures.py
@@ -1,4 +1,4 @@
-"""Define the coded errors of direct calls."""
+"""Define the coded errors of calls that an entry sends directly to targets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class KeyUnknown(errors.CodedError):
-    """Key is missing or belongs to no organisation."""
+    """API key is missing or belongs to no organisation."""
 
     code = 'TT7203'
     status = 401
 
 
 class CallInvalid(errors.CodedError):
-    """Request lacks a header that every call needs."""
+    """Request lacks the header with the call id."""
 
     code = 'TT7204'
     status = 400
@@ -93,7 +93,7 @@
 
 
 class CallCrashes(errors.CodedError):
-    """Call has crashed several targets and is sent to no other."""
+    """Call was running when several targets failed; it is sent to no other."""
 
     code = 'TT7213'
     status = 503
--- a/tamarackthread/entry/directory.py
+++ b/tamarackthread/entry/directory.py
@@ -26,7 +26,9 @@
 
 
 class Directory:
-    """Index documents for lookups by calls."""
+    """Index documents for lookups by calls; an entry is a process that accepts
+    calls, and a profile the settings that services share.
+    """
 
     def __init__(self) -> None:
         """Start without documents."""
@@ -92,7 +94,9 @@
         return profile or generated.Profile()
 
     def shards(self, members: tuple[str, ...]) -> tuple[claim_keys.Shard, ...]:
-        """Return the claim shards with these control hosts as members."""
+        """Return the claim shards.  All get the same ``members``, the addresses
+        of the control hosts, as any of them can find a shard's leader.
+        """
         return tuple(
             claim_keys.Shard(details.group, details.region, members)
             for details in self._shards.values()
--- a/tamarackthread/entry/keyed_claim.py
+++ b/tamarackthread/entry/keyed_claim.py
@@ -69,7 +69,7 @@
         claimant: claim_client.Claimant,
         rules: generated.Claims,
     ) -> None:
-        """Claim the key at the first handover only."""
+        """Claim nothing yet; the first ``record_handover`` does."""
         self._owner = owner
         self._claimant = claimant
         self._rules = rules
@@ -79,7 +79,9 @@
 
     @property
     def is_in_doubt(self) -> bool:
-        """Return whether another request with this key may have run."""
+        """Return whether this claim was requested without a grant, so that an
+        earlier request with the same key may have run.
+        """
         return self._is_requested and self._grant is None
 
     def wrap_sink(self, sink: responses.Sink) -> responses.Sink:
@@ -118,7 +120,8 @@
         reply: messages.ClaimReply | None = None,
     ) -> messages.ClaimReply | None:
         """Return a complete response or a grant from a takeover, or raise."""
-        # Without a reply, this entry's own claim has lost its link.
+        # Without ``reply``, the link was lost under this entry's own grant.  As
+        # ``granted``, the resolver would return it without a takeover.
         if reply is None:
             assert self._grant is not None
             reply = self._grant
@@ -143,13 +146,15 @@
 
     async def fail(self, failure: errors.CodedError) -> None:
         """Record a failure and set its ``ran`` for the whole key."""
-        # Told 'not run', the caller would repeat the call under a new key.
         if failure.ran != messages.Ran.NOT_RUN:
             self._owner.metrics.count(metrics.Counter.CLAIM_UNKNOWN)
             self.abandon(handed_over=True)
             return
+        # The claim is of another request and must not be released.
         if isinstance(failure, claim_errors.ClaimKeyReused):
             return
+        # After 'not run', a caller may repeat the call under a new key, so that
+        # is reported only if no try with this key may have run.
         try:
             async with asyncio.timeout(RELEASE_SECONDS):
                 is_free = await self._release()
