--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -1,4 +1,4 @@
-"""Request leases and decisions from control."""
+"""Request leases from control and record decisions on map switches there."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         self,
         request: messages.DecisionRequest,
     ) -> messages.DecisionReply:
-        """Record a decision unless one exists; return the recorded one.  An
-        empty decision only reads; id 0 reads the group's latest.
+        """Record a map switch's stage unless its id is taken; return the recorded
+        one.  An empty ``decision`` only reads; ``switch_id`` 0 means the latest.
         """
 
     async def fence(self, name: str) -> int:
@@ -103,6 +103,7 @@
             except errors.CodedError as exc:
                 last_error = f'{address}: {exc.code} {exc}'
             self._addresses.append(self._addresses.pop(0))
+            # One pause in each round of all hosts.
             if attempt % len(self._addresses) == 0:
                 await asyncio.sleep(_RETRY_SECONDS)
         raise order_errors.ControlUnreachable(last_error)
--- a/tamarackthread/agent/owner.py
+++ b/tamarackthread/agent/owner.py
@@ -29,8 +29,8 @@
 
 @attrs.frozen
 class OwnerSettings:
-    """``order_seconds`` is the timeout of one order; a takeover waits
-    ``grace_seconds`` for orders in flight if engines don't check fencing.
+    """``order_seconds`` is the timeout of one order.  Unless engines check fencing
+    numbers, a new owner waits ``grace_seconds`` for its predecessor's orders.
     """
 
     group: str
@@ -93,6 +93,8 @@
         """Wait until this process is the owner."""
         while not self.is_owner:
             await self._ready.wait()
+            # ``wait`` may return at once; lets ``run`` clear the event first if
+            # the lease has expired.
             await asyncio.sleep(0)
             if not self._lease.is_held:
                 await asyncio.sleep(self._settings.retry_seconds)
@@ -206,7 +208,8 @@
         that delayed orders of the previous owner are refused.
         """
         try:
-            # Before fencing, because ranks may be holding for the outcome.
+            # Before fencing, since armed ranks wait at the switch's step until
+            # they get its outcome.
             await self._abort_open_switch()
             await self._fence_ranks()
         except order_errors.NotOwner:
--- a/tamarackthread/control/site/evacuation.py
+++ b/tamarackthread/control/site/evacuation.py
@@ -30,7 +30,7 @@
         site: machine.SiteMachine,
         zone_names: collections.abc.Collection[str],
     ) -> None:
-        """Propose to ``group``, whose state machine is ``site``."""
+        """Propose to the consensus group, whose state machine is ``site``."""
         self._group = group
         self._site = site
         self._zone_names = frozenset(zone_names)
@@ -63,7 +63,9 @@
         )
 
     async def list_zones(self) -> list[zones.Zone]:
-        """List all zones of the site; raise ``ChangeUnsettled`` if unsure."""
+        """List all zones of the site, as of now; raise ``ChangeUnsettled`` if a
+        quorum does not confirm the read in time.
+        """
         until = asyncio.get_running_loop().time() + committing.TIMEOUT_SECONDS
         await self._read_barrier(until)
         return [self._site.zones.get(name) for name in sorted(self._zone_names)]
--- a/tamarackthread/control/site/maps/group_discovery.py
+++ b/tamarackthread/control/site/maps/group_discovery.py
@@ -10,8 +10,8 @@
 
 # With 10 % of answers lost, about 0.1 % of ranks stay silent after three attempts.
 MAX_ATTEMPTS = 3
-# More attempts for a held group: its callers wait, and one silent rank means that
-# all are asked again.
+# More attempts for a held group: its callers wait, and if one rank stays silent,
+# the reports of all are discarded.
 HELD_MAX_ATTEMPTS = 6
 _Row = tuple[ranks.Rank, ranks.RankReport]
 _Answer = typing.TypeVar('_Answer')
@@ -67,7 +67,7 @@
     members: list[ranks.Rank],
     answers: list[ranks.RankReport | None],
 ) -> list[switching.Group]:
-    """List the groups of which all ranks report the same, open epoch."""
+    """List the groups of which all ranks report the same epoch as open."""
     by_epoch: dict[tuple[str, int], dict[int, _Row]] = {}
     for member, report in zip(members, answers, strict=True):
         if report is None:
--- a/tamarackthread/control/site/maps/switching.py
+++ b/tamarackthread/control/site/maps/switching.py
@@ -1,5 +1,9 @@
 """Switch all ranks of a group to a new map at the same step.
 
+A map assigns experts to ranks.  A step is a forward pass of all ranks; an epoch
+is the lifetime of a group with the same ranks; an armed rank has been ordered
+to change maps at a given step.
+
 No step may run with two maps.  Two rules ensure that:
 
 1. Before any rank is armed, the group is held at the step of the switch and
@@ -39,14 +43,15 @@
 # Attempts to prepare a rank that is still armed for the last switch, whose step
 # lies a few steps ahead.
 PREPARE_TRIES = 20
-# Reads of a rank's report, and the pause between them, until it shows that the
-# copies of a map are complete.
+# Reads of a rank's report, and the pause between them, to learn whether a map is
+# prepared after a retry of the order was refused.
 REPORT_READS = 8
 REPORT_PAUSE_SECONDS = 0.08
 # Maps sent concurrently.  Sent to all ranks of a large group at once, they would
 # fill the owner's link for longer than the timeout and be sent again.
 MAX_PARALLEL_PREPARES = 32
-# Maximum age of the step in a report.
+# Maximum age of a report.  Recovery waits for this long after fencing, so that
+# the next reports show all earlier orders.
 REPORT_LAG_SECONDS = 0.3
 _DISARMED = frozenset((ranks.Outcome.DONE, ranks.Outcome.REFUSED))
 _log = logging.getLogger('tamarackthread.control')
@@ -137,7 +142,7 @@
         version: int,
         placement: ranks.GroupMap,
     ) -> bool:
-        """Have every rank copy its new experts; return whether all agreed."""
+        """Order all ranks to copy their new experts; return if all accepted."""
         order = self._order(
             ranks.PREPARE, group, version=version, placement=placement
         )
@@ -252,7 +257,9 @@
         step: int,
         holding: tuple[ranks.Rank, ...],
     ) -> bool:
-        """Let a group begin the step at which the ranks ``holding`` hold it."""
+        """Let a group begin the step at which the ranks ``holding`` hold it; return
+        whether any of them has accepted the release.
+        """
         order = self._order(ranks.GO, group, step=step)
         outcomes = await asyncio.gather(
             *(self._send_until_answered(rank, order) for rank in holding)
--- a/tamarackthread/platform/ranks.py
+++ b/tamarackthread/platform/ranks.py
@@ -12,9 +12,9 @@
 
 # Encoded orders to cache: those in flight to one or two groups.
 CACHED_ORDERS = 4
-# A group pauses ``REST_SECONDS`` per ``REST_NUMBERS`` values read remotely.
-REST_SECONDS = 0.0005
-REST_NUMBERS = 400
+# A group stalls ``STALL_SECONDS`` per ``STALL_VALUES`` values read of a rank.
+STALL_SECONDS = 0.0005
+STALL_VALUES = 400
 _OPERATIONS = types.MappingProxyType(
     {
         ranks.PREPARE: 'prepare',
@@ -45,7 +45,7 @@
             return None
 
     async def counts(self, rank: ranks.Rank, sets: int) -> ranks.Counts | None:
-        """Read the calls per expert, ``None`` if unavailable."""
+        """Read how often each expert was chosen, ``None`` if unavailable."""
         body = await self._get(rank, wire.COUNTS)
         try:
             return None if body is None else _counts(body, sets)
@@ -61,8 +61,8 @@
             return None
 
     def stall_seconds(self, numbers: int) -> float:
-        """Return the pause of a group while ``numbers`` values are read."""
-        return numbers * REST_SECONDS / REST_NUMBERS
+        """Return how long a group stalls while ``numbers`` values are read."""
+        return numbers * STALL_SECONDS / STALL_VALUES
 
     async def order(
         self,
@@ -95,6 +95,7 @@
 
 
 def _report(body: _Body) -> ranks.RankReport:
+    """Parse a status; ``size`` may be beside ``group`` instead of in it."""
     group = fields.json_object(body, 'group')
     armed = body.get('armed')
     return ranks.RankReport(
@@ -154,8 +155,7 @@
 
 @functools.lru_cache(CACHED_ORDERS)
 def _encoded(asked: ranks.Order) -> bytes:
-    """Encode an order; cached, because all ranks of a group get the same."""
-    # Without spaces, to shorten maps.
+    """Encode compactly; cached, as all ranks of a group get the same order."""
     return json.dumps(_order(asked), separators=(',', ':')).encode()
 
 
