--- a/tamarackthread/cli/losses.py
+++ b/tamarackthread/cli/losses.py
@@ -1,6 +1,5 @@
-"""Attribute late, refused and failed calls to causes found in the logs.
-
-The cause is the first of ``_CAUSES`` that overlaps the time the call waited.
+"""Attribute late, refused and failed calls to causes: by the error code, else to
+the first of ``_CAUSES`` in the logs that overlaps the time the call waited.
 """
 
 from __future__ import annotations
@@ -23,7 +22,8 @@
 HOLD_MARGIN_SECONDS = 0.5
 # Time without heartbeats before the leader's peers start an election.
 ELECTION_TIMEOUT_SECONDS = 1.2
-# Time until a new owner of the maps has made and applied a plan.
+# Time until a new owner of the maps (the control host that plans them) has made
+# and applied a plan.
 TAKEOVER_SECONDS = 0.7
 # Time from a shift of demand to its plan, and from the plan to the end of
 # its switch of maps.
@@ -66,7 +66,8 @@
         _Event.CALL_BROKEN.value: Kind.BROKEN,
     }
 )
-# Causes of the error codes of the request path (see docs/ERRORS.md).
+# Error codes that imply a cause.  Calls with any other code are attributed by the
+# time they waited, and so are passed deadlines if that finds a cause.
 _CAUSE_BY_CODE = types.MappingProxyType(
     {
         'TT7201': Cause.NO_CONFIGURATION,
@@ -346,6 +347,7 @@
     arm_ms = line.number('arm_ms')
     if arm_ms > SLOW_ARM_MS:
         yield _Interval(Cause.HELD, now - arm_ms / MILLISECONDS, now)
+    # Around a switch, demand does not fit the map, which makes steps long.
     yield _Interval(
         Cause.LONG_STEPS, now - DEMAND_SHIFT_SECONDS, now + DEMAND_SHIFT_SECONDS
     )
--- a/tamarackthread/control/leader_term.py
+++ b/tamarackthread/control/leader_term.py
@@ -29,6 +29,7 @@
         """Reset the progress if the peer answers from another disk."""
         if disk_id == self.disk_id:
             return
+        # The first reply tells the disk; ``next_index`` is still valid then.
         if self.disk_id:
             self.next_index = last_index + 1
         self.disk_id = disk_id
@@ -99,12 +100,14 @@
 
     @property
     def is_released(self) -> bool:
-        """Return whether the voters were released from the lease."""
+        """Return whether voters may elect a leader before the lease expires."""
         return self._is_released
 
     @property
     def lease_promised_until(self) -> float:
-        """Return the latest lease expiry reported to a caller, in loop time."""
+        """Return the latest expiry, in loop time, that
+        ``Consensus.lease_remaining`` has returned; a handover waits for it.
+        """
         return self._lease_promised_until
 
     @property
@@ -117,7 +120,7 @@
         self._is_handing_over = True
 
     def release(self) -> None:
-        """Stop heartbeats, which would renew the lease at the voters."""
+        """Release the leader lease; stops heartbeats, which would renew it."""
         self._is_released = True
 
     def end(self) -> None:
@@ -141,7 +144,7 @@
             waiter.set_result(result)
 
     def promise_lease(self, until: float) -> None:
-        """Record a lease expiry that was reported to a caller."""
+        """Record an expiry that ``Consensus.lease_remaining`` returns."""
         self._lease_promised_until = max(self._lease_promised_until, until)
 
     def wake_peers(self) -> None:
@@ -169,8 +172,8 @@
 
     def lease_until(self, members: membership.Membership, now: float) -> float:
         """Return the expiry of the leader lease, in loop time."""
-        # Voters reject candidates for ``election_min`` after a heartbeat.  The
-        # lease is counted from sending and is shorter by the clock drift.
+        # Voters reject candidates for ``election_min`` after a heartbeat; the
+        # lease counts from its sending and is shorter than that by the drift.
         if self._is_handing_over:
             return -math.inf
         return self.quorum_acked_at(members, now) + self._times.lease
--- a/tamarackthread/control/reconfiguration.py
+++ b/tamarackthread/control/reconfiguration.py
@@ -56,8 +56,8 @@
 
 def join(state: replica.Replica, node: str, address: str) -> None:
     """Add a host at its request, replacing an unresponsive voter if any."""
-    # A host replaced for good stays a voter.  Adding its successor beside it
-    # would leave a quorum that tolerates one failure less.
+    # A host that is lost for good is still a voter.  With a new voter beside it
+    # instead of in its place, the group would tolerate one failure less.
     if state.leader_term is None:
         raise failures.NotLeader(leader=state.leader)
     if state.membership.find(node) is not None:
@@ -92,6 +92,7 @@
         raise failures.MemberChangeRefused(f'{old} is not a member')
     if old == node:
         _require_other_voter(state, former)
+        # Members start as learners, so this demotes the voter of that name.
         learner = membership.Member(
             node=node, address=address or former.address
         )
@@ -196,8 +197,8 @@
     progress = term.progress.get(member.node)
     members = state.membership
     if member.voter and member.replaces:
-        replaced = attrs.evolve(member, replaces='')
-        remaining = members.with_member(replaced).without(member.replaces)
+        replacement = attrs.evolve(member, replaces='')
+        remaining = members.with_member(replacement).without(member.replaces)
         return remaining, f'{member.node} replaced {member.replaces}'
     if progress is None or not progress.disk_id:
         return None, ''
--- a/tamarackthread/shared/feed.py
+++ b/tamarackthread/shared/feed.py
@@ -24,10 +24,11 @@
 )
 
 MILLISECONDS = 1000
-# Added to the longest wait of a relay, for latency and a busy parent.
+# Added to the longest wait of a relay (a parent that is not a control host), for
+# latency and a busy parent.
 REPLY_MARGIN_SECONDS = 0.4
-# A parent that grants less has lost its own parent, so another is selected;
-# a higher limit would break up the tree at each election of a leader.
+# A parent that grants a shorter lease has lost its own parent, so another is
+# selected.  A higher limit would change parents at each leader election.
 MIN_PARENT_LEASE_SECONDS = 0.35
 MIN_WAIT_SECONDS = 0.1
 RETRY_SECONDS = 0.03
@@ -188,8 +189,9 @@
                 reply = await self._exchange(address, wait_seconds)
                 if not self._accept_parent(address, reply, wait_seconds):
                     break
-                ask_at_once = reply.more or reply.ask_whole
-                wait_seconds = 0 if ask_at_once else self._long_poll_seconds()
+                # ``ask_whole`` requests a full report.
+                poll_at_once = reply.more or reply.ask_whole
+                wait_seconds = 0 if poll_at_once else self._long_poll_seconds()
         except (errors.CodedError, TimeoutError) as exc:
             # Logged once for each lost parent and not for each retry.
             level = logging.INFO if self._parent else logging.DEBUG
@@ -269,6 +271,7 @@
             whole=whole,
             wait_ms=int(wait_seconds * MILLISECONDS),
             confirmed=report.confirmed,
+            # Identifies a partly fetched snapshot.
             floor=self._replica.floor,
         )
 
@@ -323,6 +326,7 @@
             gone=gone,
             incarnation=self._own.incarnation,
             address=self._own.address,
+            # Set by ``Subtree``.
             lags=False,
         )
 
