--- a/tamarackthread/shared/announcer.py
+++ b/tamarackthread/shared/announcer.py
@@ -89,9 +89,13 @@
 
     def matches(self, known: documents.Parsed) -> bool:
         """Return whether the document describes this start of the agent."""
-        found = (known.incarnation, known.address, known.service)
+        registered = (known.incarnation, known.address, known.service)
         own = self._own
-        return found == (own.incarnation, own.address, self._settings.service)
+        return registered == (
+            own.incarnation,
+            own.address,
+            self._settings.service,
+        )
 
 
 class AnnouncedEntry(Announced):
@@ -123,8 +127,8 @@
 
     def matches(self, known: documents.Parsed) -> bool:
         """Return whether the document describes this start of the entry."""
-        found = (known.incarnation, known.address, known.zone)
-        return found == (
+        registered = (known.incarnation, known.address, known.zone)
+        return registered == (
             self._own.incarnation,
             self._own.address,
             self._own.zone,
@@ -171,11 +175,11 @@
 
     def _is_registered(self) -> bool:
         kind = self._announced.kind
-        found = self._feed.documents.get(kind, self._announced.name)
-        if found is None:
+        document = self._feed.documents.get(kind, self._announced.name)
+        if document is None:
             return False
         try:
-            known = documents.parse(kind, found.body)
+            known = documents.parse(kind, document.body)
         except findings.DocumentUnreadable:
             return False
         return self._announced.matches(known)
--- a/tamarackthread/shared/handshake.py
+++ b/tamarackthread/shared/handshake.py
@@ -115,9 +115,11 @@
 
 async def _read_payload(reader: asyncio.StreamReader, kind: wire.Kind) -> bytes:
     header = await reader.readexactly(wire.HEADER_BYTES)
-    size, found = wire.unpack_header(header)[:2]
-    if found != kind:
-        raise errors.GreetingRefused(f'{found.name} instead of {kind.name}')
+    size, received_kind = wire.unpack_header(header)[:2]
+    if received_kind != kind:
+        raise errors.GreetingRefused(
+            f'{received_kind.name} instead of {kind.name}'
+        )
     return await reader.readexactly(size)
 
 
--- a/tamarackthread/shared/subtree.py
+++ b/tamarackthread/shared/subtree.py
@@ -126,9 +126,9 @@
                 known_state = merged.get(name)
                 if known_state is not None and known_state.revision >= revision:
                     continue
-                known = copy.copy(state)
-                known.revision = revision
-                merged[name] = known
+                merged_state = copy.copy(state)
+                merged_state.revision = revision
+                merged[name] = merged_state
         return merged
 
     def preview(self, own: messages.NodeState, now: float) -> Report:
@@ -195,9 +195,9 @@
         for name, state in self._reported.items():
             if name in states:
                 continue
-            gone = copy.copy(state)
-            gone.gone = True
-            yield gone
+            left_state = copy.copy(state)
+            left_state.gone = True
+            yield left_state
 
 
 def _apply_state(child: _Child, state: messages.NodeState) -> None:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -35,12 +35,12 @@
         net.leader.commit(2)
         await asyncio.sleep(0.3)
         self.assertEqual({node.revision for node in nodes}, {2})
-        known = net.descendants.nodes()
-        self.assertEqual(len(known), 12)
-        self.assertEqual({state.revision for state in known.values()}, {2})
+        states = net.descendants.nodes()
+        self.assertEqual(len(states), 12)
+        self.assertEqual({state.revision for state in states.values()}, {2})
 
     @paused
-    async def test_lost_relays_are_not_named(self):
+    async def test_redirect_omits_lost_relays(self):
         """A redirect never leads to a relay that was just lost: nodes would
         retry it until their leases expire.
         """
@@ -160,7 +160,7 @@
         self.assertFalse(restarted.is_ready())
 
     @paused
-    async def test_old_leader_grants_nothing(self):
+    async def test_leader_without_quorum_grants_no_lease(self):
         """A leader that has lost its quorum grants no leases, so its nodes
         stop accepting work.
         """
@@ -178,7 +178,7 @@
         self.assertTrue(node.is_ready())
 
     @paused
-    async def test_silent_node_is_a_laggard_and_then_gone(self):
+    async def test_silent_node_lags_and_then_times_out(self):
         net = feed_net.Net()
         net.leader.commit(1)
         node = net.node('n')
@@ -195,13 +195,13 @@
 
 class PagingCase(unittest.TestCase):
     @paused
-    async def test_snapshot_comes_whole_or_not_at_all(self):
+    async def test_snapshot_is_applied_atomically(self):
         """A snapshot replaces a node's documents only after its last page;
         half a snapshot is never acted on.
         """
-        held = catalogue.Catalogue()
+        documents = catalogue.Catalogue()
         body = 'x' * (catalogue.PAGE_BYTES // 2)
-        held.replace(
+        documents.replace(
             [
                 feed_net.document(f'd{place}', place, body)
                 for place in (7, 8, 9)
@@ -215,7 +215,7 @@
         pages = 0
         while node.documents.revision < 9:
             self.assertIsNotNone(node.documents.get('profile', 'old'))
-            page = held.after(node.after, node.floor)
+            page = documents.after(node.after, node.floor)
             reply = messages.FeedReply(
                 revision=page.revision,
                 documents=page.documents,
@@ -226,16 +226,16 @@
             node.apply_reply(reply, 0)
             pages += 1
         self.assertEqual(pages, 3)
-        names = [found.name for found in node.documents.each('profile')]
+        names = [each.name for each in node.documents.each('profile')]
         self.assertEqual(names, ['d7', 'd8', 'd9'])
         self.assertEqual(node.documents.floor, 6)
 
     @paused
     async def test_forgotten_deletions_lead_to_a_snapshot(self):
-        held = catalogue.Catalogue()
+        documents = catalogue.Catalogue()
         for revision in range(1, catalogue.DELETIONS_LIMIT + 2):
-            held.put(feed_net.document(f't{revision}', revision, ''))
-            held.advance(revision)
-        self.assertFalse(held.after(held.floor).snapshot)
-        self.assertTrue(held.after(held.floor - 1).snapshot)
-        self.assertEqual(len(held), catalogue.DELETIONS_KEPT)
+            documents.put(feed_net.document(f't{revision}', revision, ''))
+            documents.advance(revision)
+        self.assertFalse(documents.after(documents.floor).snapshot)
+        self.assertTrue(documents.after(documents.floor - 1).snapshot)
+        self.assertEqual(len(documents), catalogue.DELETIONS_KEPT)
--- a/tests/test_feed_history.py
+++ b/tests/test_feed_history.py
@@ -108,9 +108,9 @@
 
 def find_first_violation():
     for seed in range(FAULT_SEEDS):
-        found = find_violation(seed)
-        if found:
-            return found
+        violation = find_violation(seed)
+        if violation:
+            return violation
     return ''
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -82,9 +82,9 @@
         peer_link = await self.pool.link(self.address)
         slow = peer_link.open(messages.OpenCall(call_id=CALL))
         blocked = asyncio.ensure_future(slow.send(b'x' * 4_000_000))
-        quick = peer_link.open(messages.OpenCall(call_id=b'd' * 16))
-        await quick.send(b'hello')
-        self.assertEqual(await quick.receive(), b'hello')
+        other = peer_link.open(messages.OpenCall(call_id=b'd' * 16))
+        await other.send(b'hello')
+        self.assertEqual(await other.receive(), b'hello')
         self.assertFalse(blocked.done())
         blocked.cancel()
 
@@ -128,8 +128,8 @@
         self.tag = link.stream.frame_tag(CALL)
 
     def data(self, sequence, payload, tag=None):
-        found = self.tag if tag is None else tag
-        return wire.Frame(wire.Kind.DATA, 1, sequence, found, payload)
+        frame_tag = self.tag if tag is None else tag
+        return wire.Frame(wire.Kind.DATA, 1, sequence, frame_tag, payload)
 
     async def test_duplicate_frame_is_dropped(self):
         self.call.accept(self.data(0, b'a'))
