--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Prove that the check of clocks finds waits that hang on the machine's load."""
+"""Test the check for tests that depend on the real clock."""
 
 import unittest
 
@@ -14,12 +14,12 @@
 
 class ClocksCase(unittest.TestCase):
     def test_waits(self):
-        """Guards against bounds and waits in wall time."""
+        """Timeouts and sleeps in wall time are reported."""
         self.assertEqual([3], check_clocks.findings(REAL + BOUND))
         self.assertEqual([3], check_clocks.findings(REAL + SLEEP))
 
     def test_proper(self):
-        """Guards against findings where time is paused or a condition ends it."""
+        """Polls, yields and timeouts in simulated time are not reported."""
         self.assertEqual([], check_clocks.findings(REAL + POLL))
         self.assertEqual([], check_clocks.findings(REAL + YIELD))
         self.assertEqual([], check_clocks.findings(PAUSED + BOUND))
--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -1,4 +1,4 @@
-"""Prove that the check of comments finds the figures of runs."""
+"""Test the check for comments that cite measurements."""
 
 import unittest
 
@@ -22,14 +22,14 @@
 
 class CommentsCase(unittest.TestCase):
     def test_reasons_stay(self):
-        """A reason, a value and a time with its unit are no story."""
+        """A reason, a value and a time with its unit are allowed."""
         self.assertEqual([], check_comments.findings(KEPT))
 
     def test_figures_are_found(self):
-        """A share in the second line of a comment, and counts of a run."""
+        """A ratio on the second line of a comment and counts are reported."""
         self.assertEqual([2], check_comments.findings(STORY))
         self.assertEqual([2], check_comments.findings(COUNTED))
 
     def test_product(self):
-        """No comment of the product tells how a value was found."""
+        """No comment of the package cites a measurement."""
         self.assertEqual(0, check_comments.main())
--- a/tests/test_tools_run.py
+++ b/tests/test_tools_run.py
@@ -1,4 +1,4 @@
-"""Prove that the test runner cannot call a broken run a pass."""
+"""Test how the test runner counts failures and reads its files."""
 
 import pathlib
 import tempfile
@@ -14,7 +14,7 @@
 
 
 class TestTally(unittest.TestCase):
-    """Count outcomes against the list of known failures."""
+    """Test the counts against the list of expected failures."""
 
     def test_failure_counts(self) -> None:
         """A failed test is a failure unless it is listed."""
@@ -36,10 +36,10 @@
 
 
 class TestFiles(unittest.TestCase):
-    """Read the files that the runner goes by."""
+    """Test the outcome file and the list of expected failures."""
 
     def setUp(self) -> None:
-        """Make a scratch folder."""
+        """Create a temporary folder."""
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         self._folder = pathlib.Path(scratch.name)
@@ -57,7 +57,7 @@
         )
 
     def test_hung_test_has_a_name(self) -> None:
-        """A test that began and did not end counts as failed."""
+        """A test that started but never finished counts as failed."""
         path = self._folder / 'lines'
         path.write_text(
             outcomes.to_line(outcomes.Outcome(TEST, outcomes.STARTED))
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what developers and CI run: checks, the test runner, generators."""
+"""Provide the checks, the test runner and the generators for developers and CI."""
--- a/tools/check_clocks.py
+++ b/tools/check_clocks.py
@@ -1,8 +1,6 @@
-"""Check that no test hangs its verdict on the real clock.
+"""Check that no test outside an allowlist depends on the real clock.
 
-A bound in wall time, or a wait for some, passes or fails with the load of the
-machine.  Tests run on paused time, or wait for what they want to see; the runner
-ends a module that hangs.  The few that need the real clock are listed.
+Sleeps and timeouts in wall time make a test flaky on a loaded machine.
 """
 
 from __future__ import annotations
@@ -15,27 +13,29 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 TESTS = ROOT / 'tests'
 ALLOWED = ROOT / 'tools' / 'real_clocks.json'
-# Tests on the real clock make their loop so; all others have a paused one.
-REAL_LOOPS = ('IsolatedAsyncioTestCase', 'asyncio.run(', 'DirectCase')
-BOUNDS = frozenset(('timeout', 'timeout_at', 'wait_for', 'settimeout'))
-CLOCKS = frozenset(('monotonic', 'perf_counter', 'time_ns'))
+# Text that marks a real event loop; all other tests use simulated time.
+REAL_LOOP_MARKS = ('IsolatedAsyncioTestCase', 'asyncio.run(', 'DirectCase')
+TIMEOUT_CALLS = frozenset(('timeout', 'timeout_at', 'wait_for', 'settimeout'))
+CLOCK_CALLS = frozenset(('monotonic', 'perf_counter', 'time_ns'))
 
 
 def findings(text: str) -> list[int]:
-    """Return the lines that wait on, bound by or read the real clock."""
-    if not any(mark in text for mark in REAL_LOOPS):
+    """Return the lines that sleep on, set a timeout on or read the real clock."""
+    if not any(mark in text for mark in REAL_LOOP_MARKS):
         return []
     tree = ast.parse(text)
     polls = _polls(tree)
     return sorted(
         node.lineno
         for node in ast.walk(tree)
-        if isinstance(node, ast.Call) and _is_real(node) and node not in polls
+        if isinstance(node, ast.Call)
+        and _uses_real_clock(node)
+        and node not in polls
     )
 
 
 def _polls(tree: ast.AST) -> set[ast.AST]:
-    """Return the sleeps of loops that wait for a condition."""
+    """Return the sleeps inside loops that poll for a condition."""
     return {
         call
         for loop in ast.walk(tree)
@@ -47,12 +47,12 @@
     }
 
 
-def _is_real(call: ast.Call) -> bool:
+def _uses_real_clock(call: ast.Call) -> bool:
     if any(word.arg == 'timeout' for word in call.keywords):
         return True
     if not isinstance(call.func, ast.Attribute):
         return False
-    if call.func.attr in BOUNDS or call.func.attr in CLOCKS:
+    if call.func.attr in TIMEOUT_CALLS or call.func.attr in CLOCK_CALLS:
         return True
     if call.func.attr != 'sleep' or not call.args:
         return False
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    """Print each place that is not listed; return 1 if there is any."""
+    """Print each violation outside the allowlist; return 1 if there is any."""
     allowed = json.loads(ALLOWED.read_text())
     places = []
     for path in sorted(TESTS.glob('*.py')):
--- a/tools/check_comments.py
+++ b/tools/check_comments.py
@@ -1,8 +1,6 @@
-"""Check that no comment of the product holds a figure of a run.
+"""Check that no comment in the package cites a measurement.
 
-A reader of the code needs the reason of a value.  What was measured for it
-belongs into the commit and ``docs/DECISIONS.md``, where it can be found by its
-constant.
+Measurements belong in the commit message and ``docs/DECISIONS.md``.
 """
 
 from __future__ import annotations
@@ -16,9 +14,9 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / 'tamarackthread'
 GENERATED = 'generated'
-# A share or a factor with two places after the point and no unit, how often
-# something was counted in a run, and words that tell of one.
-FIGURE = re.compile(
+# A number with two or more decimals and no unit, a count of occurrences, or a
+# phrase that introduces a measurement.
+MEASUREMENT = re.compile(
     r'\b\d\.\d{2,}\b(?! ?(?:s|ms|%|MB)\b)'
     r'|\b\d+\s+times\s+in\s+\d'
     r'|\b(?:[Mm]easured|was tried|in the mean|one run)\b'
@@ -26,10 +24,7 @@
 
 
 def findings(text: str) -> list[int]:
-    """Return the lines at which comments hold a figure of a run.
-
-    Comments of several lines are read as one text.
-    """
+    """Return the first line of each comment block that cites a measurement."""
     found = []
     block: list[str] = []
     first = 0
@@ -39,16 +34,16 @@
             continue
         line = token.start[0]
         if line != last + 1:
-            found += _of_block(block, first)
+            found += _block_finding(block, first)
             block = []
             first = line
         block.append(token.string.lstrip('# '))
         last = line
-    return found + _of_block(block, first)
+    return found + _block_finding(block, first)
 
 
 def main() -> int:
-    """Print each place with such a comment; return 1 if there is any."""
+    """Print the location of each such comment; return 1 if there is any."""
     places = []
     for path in sorted(PACKAGE.rglob('*.py')):
         if GENERATED in path.parts:
@@ -63,8 +58,8 @@
     return 1 if places else 0
 
 
-def _of_block(block: list[str], first: int) -> list[int]:
-    return [first] if FIGURE.search(' '.join(block)) else []
+def _block_finding(block: list[str], first: int) -> list[int]:
+    return [first] if MEASUREMENT.search(' '.join(block)) else []
 
 
 if __name__ == '__main__':
--- a/tools/check_generated.py
+++ b/tools/check_generated.py
@@ -1,6 +1,6 @@
-"""Regenerate the committed code in a scratch folder and compare.
+"""Check that the committed Thrift code matches the generator's output.
 
-Exits with 75 where the pinned thrift compiler can't be had.
+Exits with 75 if the pinned Thrift compiler is not installed.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 COMMITTED = pathlib.Path('tamarackthread/generated/messages')
 
 
-def why_not() -> str:
-    """Say why the compiler can't be used, or nothing when it can."""
+def unavailable_reason() -> str:
+    """Return why the compiler can't be used, or an empty string."""
     if shutil.which(COMPILER) is None:
         return 'no thrift compiler on this machine'
     shown = subprocess.run(  # noqa: S603
@@ -45,8 +45,8 @@
 
 
 def main() -> int:
-    """Compare; return the exit code for ``tools.checks``."""
-    reason = why_not()
+    """Print the files that differ; return the exit code for ``tools.checks``."""
+    reason = unavailable_reason()
     if reason:
         print(reason)
         return checks.SKIPPED_CODE
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -1,8 +1,4 @@
-"""Run the checks that come before the tests: layout, linter, generated code.
-
-A check is a command that prints nothing of interest when all is well.  A check
-whose generator can't be had on this machine is skipped and says so.
-"""
+"""Run the checks that precede the tests: formatter, linter, generated code."""
 
 from __future__ import annotations
 
@@ -17,15 +13,15 @@
 
 @attrs.frozen
 class Check:
-    """One command to run from the root of the repository."""
+    """One command, run from the root of the repository."""
 
     name: str
     command: tuple[str, ...]
 
 
 @attrs.frozen
-class Found:
-    """What a check found: ``text`` is empty when it passed."""
+class CheckResult:
+    """Result of a check; ``text`` is empty unless it failed."""
 
     text: str
     note: str
@@ -44,7 +40,7 @@
 )
 
 
-def run(check: Check, root: pathlib.Path) -> Found:
+def run(check: Check, root: pathlib.Path) -> CheckResult:
     """Run one check; exit code 75 means skipped, with the reason printed."""
     done = subprocess.run(  # noqa: S603
         check.command,
@@ -56,7 +52,9 @@
     )
     output = (done.stdout + done.stderr).strip()
     if done.returncode == SKIPPED_CODE:
-        return Found(text='', note=f'skipped, {output}')
+        return CheckResult(text='', note=f'skipped, {output}')
     if done.returncode:
-        return Found(text=output or f'exit code {done.returncode}', note='')
-    return Found(text='', note='passed')
+        return CheckResult(
+            text=output or f'exit code {done.returncode}', note=''
+        )
+    return CheckResult(text='', note='passed')
--- a/tools/generate_errors.py
+++ b/tools/generate_errors.py
@@ -1,8 +1,4 @@
-"""Write ``docs/ERRORS.md`` from the catalogue of coded errors.
-
-Every module of the package is imported first: an error joins the catalogue
-when its class is made.
-"""
+"""Write ``docs/ERRORS.md`` from the catalogue of coded errors."""
 
 from __future__ import annotations
 
@@ -36,7 +32,7 @@
 
 
 def import_all() -> None:
-    """Import every module of the package, so that all errors are known."""
+    """Import every module of the package, which registers its error classes."""
     found = pkgutil.walk_packages(tamarackthread.__path__, 'tamarackthread.')
     for module in found:
         if not module.name.endswith('.__main__'):
@@ -44,7 +40,7 @@
 
 
 def row(kind: type[errors.CodedError]) -> str:
-    """Write one error as a row of the table."""
+    """Return the table row of one error class."""
     meaning = (inspect.getdoc(kind) or '').split('\n\n')[0].replace('\n', ' ')
     ran = messages.Ran(kind.ran).name.lower()
     cells = (
@@ -58,7 +54,7 @@
 
 
 def page() -> str:
-    """Write the whole page."""
+    """Return the text of the whole page."""
     import_all()
     own = (
         kind
--- a/tools/generate_reference.py
+++ b/tools/generate_reference.py
@@ -1,7 +1,6 @@
-"""Write the tables of fields in the pages from the schemas.
+"""Write the field tables of the documentation pages from the schemas.
 
-``python -m tools.generate_reference`` rewrites what stands between the marks
-``<!-- fields -->`` and ``<!-- end of fields -->`` and leaves all else alone.
+Only the text between ``<!-- fields -->`` and ``<!-- end of fields -->`` changes.
 """
 
 from __future__ import annotations
@@ -30,14 +29,14 @@
 
 @attrs.frozen
 class Page:
-    """One page and the schema whose fields it lists."""
+    """Documentation page and the schema whose fields it lists."""
 
     path: pathlib.Path
     schema_name: str
     roots: tuple[str, ...]
 
     def render(self) -> str:
-        """Return the page with fresh tables."""
+        """Return the text of the page with regenerated tables."""
         text = self.path.read_text(encoding='utf-8')
         before, _, rest = text.partition(START)
         after = rest.partition(END)[2]
@@ -68,7 +67,7 @@
     name: str,
     prefix: str,
 ) -> collections.abc.Iterator[str]:
-    """Yield the table of a class and then those of the classes in it."""
+    """Yield the table of a class, then those of its nested classes."""
     schema = classes[name]
     plain = {
         key: field
--- a/tools/generate_settings.py
+++ b/tools/generate_settings.py
@@ -1,7 +1,7 @@
 """Generate the settings and document classes from their JSON schemas.
 
-``python tools/generate_settings.py [DESTINATION]`` writes ``settings.py`` and
-``documents.py`` into the package, or into another folder for a comparison.
+Usage: ``python tools/generate_settings.py [DESTINATION]``; the default
+destination is ``tamarackthread/generated``.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 DESTINATION = ROOT / 'tamarackthread' / 'generated'
 NAMES = ('settings', 'documents')
 
-FOR_READERS = frozenset(('description', 'title', '$schema'))
+DESCRIPTIVE_KEYWORDS = frozenset(('description', 'title', '$schema'))
 CHECK_HEAD = '''"""Tell whether settings are sound, without words for what is not.
 
 Made from ``schema/{name}.schema.json``; do not edit.
@@ -35,8 +35,8 @@
 
 '''
 
-# The library need not be there where the code runs, and JSON has no decimals.
-REPLACED = types.MappingProxyType(
+# The generated module must not import fastjsonschema; JSON has no decimals.
+REPLACEMENTS = types.MappingProxyType(
     {
         'from fastjsonschema import'
         ' JsonSchemaValueException, JsonSchemaValuesException': CHECK_ERROR,
@@ -103,7 +103,7 @@
 
 
 def reference(schema: dict[str, typing.Any]) -> str:
-    """Name the class that a schema refers to, or return an empty string."""
+    """Return the name of the class that a schema refers to, or return an empty string."""
     return str(schema.get('$ref', '')).rpartition('/')[2]
 
 
@@ -177,7 +177,7 @@
     schema: dict[str, typing.Any],
     required: bool,
 ) -> Field:
-    """Choose the source text of one attribute."""
+    """Return the source text of one attribute."""
     if '$ref' in schema:
         return _object_field(name, schema, required)
     if schema.get('type') == 'array':
@@ -186,7 +186,7 @@
 
 
 def make_class(name: str, schema: dict[str, typing.Any]) -> Class:
-    """Choose the source text of one class."""
+    """Return the source text of one class."""
     required = schema.get('required', ())
     fields = [
         make_field(key, value, key in required)
@@ -196,7 +196,7 @@
 
 
 def children(schema: dict[str, typing.Any]) -> list[str]:
-    """List the classes that a class's attributes refer to."""
+    """List the names of the classes that a class refers to."""
     found = []
     for value in schema['properties'].values():
         for part in (value, value.get('items', {})):
@@ -206,7 +206,7 @@
 
 
 def ordered(schema: dict[str, typing.Any]) -> list[Class]:
-    """Order classes so that each stands after those that it refers to."""
+    """Return the classes, each after those that it refers to."""
     known = dict(schema['$defs'])
     if 'properties' in schema:
         known[schema['title']] = schema
@@ -247,27 +247,27 @@
 
 
 def render_check(name: str) -> str:
-    """Return the source text that tells whether a value is sound."""
+    """Return the source text of the module that validates a value."""
     path = ROOT / 'schema' / f'{name}.schema.json'
-    schema = _bare(json.loads(path.read_text(encoding='utf-8')))
-    made = fastjsonschema.compile_to_code(
+    schema = _strip_descriptions(json.loads(path.read_text(encoding='utf-8')))
+    code = fastjsonschema.compile_to_code(
         schema, use_default=False, detailed_exceptions=False
     )
-    for needless, put in REPLACED.items():
-        made = made.replace(needless, put)
-    return f'{CHECK_HEAD.format(name=name)}{made}'
+    for old, new in REPLACEMENTS.items():
+        code = code.replace(old, new)
+    return f'{CHECK_HEAD.format(name=name)}{code}'
 
 
-def _bare(schema: typing.Any) -> typing.Any:
-    """Leave out of a schema what only readers need."""
+def _strip_descriptions(schema: typing.Any) -> typing.Any:
+    """Return a schema without its descriptive keywords."""
     if isinstance(schema, list):
-        return [_bare(part) for part in schema]
+        return [_strip_descriptions(part) for part in schema]
     if not isinstance(schema, dict):
         return schema
     return {
-        key: _bare(part)
+        key: _strip_descriptions(part)
         for key, part in schema.items()
-        if key not in FOR_READERS or isinstance(part, dict)
+        if key not in DESCRIPTIVE_KEYWORDS or isinstance(part, dict)
     }
 
 
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,6 @@
-"""Read the list of tests that are known to fail for a real fault.
+"""Read ``KNOWN-RED.txt``, the list of expected failures: test, cause, issue.
 
-``KNOWN-RED.txt`` has one line for each: test, cause, issue.  A listed test
-that fails is printed and passed over; one that passes is itself a failure, so
-that the list can't outlive its faults.
+A listed test that passes counts as a failure, so the list can't go stale.
 """
 
 from __future__ import annotations
@@ -12,16 +10,16 @@
 import attrs
 
 FILE = 'KNOWN-RED.txt'
-MOST = 3
+MAX_ENTRIES = 3
 
 
 class ListInvalid(Exception):
-    """The list of known failures breaks its own rules."""
+    """The list of expected failures is malformed or too long."""
 
 
 @attrs.frozen
 class Known:
-    """One known failure: the test's dotted id, its cause, its issue."""
+    """Expected failure of a test, named by its dotted id."""
 
     test: str
     cause: str
@@ -29,7 +27,7 @@
 
 
 def read(folder: pathlib.Path) -> dict[str, Known]:
-    """Read the list below ``folder``; raise ``ListInvalid`` on misuse."""
+    """Read the list in ``folder``, by test id; raise ``ListInvalid``."""
     path = folder / FILE
     if not path.exists():
         return {}
@@ -39,8 +37,10 @@
             continue
         entry = _parse(line)
         known[entry.test] = entry
-    if len(known) > MOST:
-        raise ListInvalid(f'{FILE} lists {len(known)} tests, {MOST} at most')
+    if len(known) > MAX_ENTRIES:
+        raise ListInvalid(
+            f'{FILE} lists {len(known)} tests, {MAX_ENTRIES} at most'
+        )
     return known
 
 
--- a/tools/outcomes.py
+++ b/tools/outcomes.py
@@ -1,7 +1,6 @@
-"""Describe what came of the tests of one module, as lines of JSON.
+"""Record the outcomes of one module's tests as lines of JSON.
 
-The child that runs a module writes one line a test, so that the parent still
-has the tests that ended before a crash.
+They are written one by one, so those before a crash of the process are kept.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 @attrs.frozen
 class Outcome:
-    """What came of one test; ``text`` is a traceback or a reason."""
+    """Outcome of one test; ``text`` is a traceback or the reason of a skip."""
 
     test: str
     status: str
@@ -27,13 +26,13 @@
 
 
 def to_line(outcome: Outcome) -> str:
-    """Write an outcome as one line of JSON."""
+    """Serialise an outcome as one line of JSON."""
     line = json.dumps(attrs.asdict(outcome))
     return f'{line}\n'
 
 
 def read(path: pathlib.Path) -> list[Outcome]:
-    """Read a child's lines; a missing file means that nothing ran."""
+    """Read the last outcome of each test; a failure is never overwritten."""
     if not path.exists():
         return []
     merged: dict[str, Outcome] = {}
--- a/tools/recorder.py
+++ b/tools/recorder.py
@@ -1,4 +1,4 @@
-"""Write what came of each test as soon as nose2 knows it."""
+"""Record test outcomes in a nose2 plugin."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Recorder(events.Plugin):
-    """Write each outcome as soon as nose2 knows it."""
+    """Append each outcome to a file as soon as nose2 reports it."""
 
     alwaysOn = True
     path = ''
@@ -19,13 +19,13 @@
     def startTest(  # noqa: N802 - nose2 names its hooks so
         self, event: events.StartTestEvent
     ) -> None:
-        """Note the test, so that one that hangs or crashes has a name."""
+        """Record the start, which identifies a test that hangs or crashes."""
         self._write(event, outcomes.STARTED, '')
 
     def testOutcome(  # noqa: N802 - nose2 names its hooks so
         self, event: events.TestOutcomeEvent
     ) -> None:
-        """Append one line for the event."""
+        """Append the outcome of the test."""
         self._write(event, _status(event), _text(event))
 
     def _write(self, event: events.Event, status: str, text: str) -> None:
--- a/tools/run_module.py
+++ b/tools/run_module.py
@@ -15,31 +15,28 @@
 from tools import recorder
 
 
-# Ends only a run that hangs: no test takes this long on any machine.
+# Ends a module that hangs; far longer than any module takes.
 LIMIT_SECONDS = 1800
-# The last line of a module's output: the processor's time, in seconds.
-USED_MARK = 'processor: '
+# Prefix of the last output line, which holds the CPU time in seconds.
+CPU_PREFIX = 'processor: '
 
 
-class PlainRunner(asyncio.Runner):
-    """Runner without debug mode, whose tracebacks take longer than the tests.
+class NoDebugRunner(asyncio.Runner):
+    """Runner without asyncio's debug mode, which slows the tests down.
 
-    ``PYTHONASYNCIODEBUG=1`` sets the mode for a run that looks for its findings.
+    ``PYTHONASYNCIODEBUG=1`` still enables it.
     """
 
     def __init__(self, *, debug: bool | None = None, **named: object) -> None:
-        """Leave the debug mode to the environment, whatever is asked for."""
+        """Ignore ``debug``, so that the environment decides."""
         del debug
         super().__init__(**named)
 
 
 def main() -> int:
-    """Run the module named first and write to the file named second.
-
-    A module that takes too long prints where it stands and ends.
-    """
+    """Run the module; exit with all tracebacks printed if it hangs."""
     module, path = sys.argv[1:3]
-    asyncio.Runner = PlainRunner
+    asyncio.Runner = NoDebugRunner
     faulthandler.dump_traceback_later(LIMIT_SECONDS, exit=True)
     recorder.Recorder.path = path
     nose2.discover(
@@ -47,12 +44,12 @@
         plugins=[recorder.__name__],
         exit=False,
     )
-    print(f'{USED_MARK}{used_seconds():.1f}')
+    print(f'{CPU_PREFIX}{cpu_seconds():.1f}')
     return 0
 
 
-def used_seconds() -> float:
-    """Return the processor's time of this process and its ended children."""
+def cpu_seconds() -> float:
+    """Return the CPU seconds of this process and its finished children."""
     used = [
         resource.getrusage(who)
         for who in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,9 +1,6 @@
-"""Run checks and tests and close with the line ``N passed, N failed``.
+"""Run checks and tests, ending with the line ``N passed, N failed``.
 
-Usage: ``python -m tools.run_tests [--no-checks] [MODULE ...]``.  Each test
-module runs in a process of its own, ``JOBS`` of them at once, so that no
-module sees another's event loop or open sockets.  A check that fails, a module
-that crashes or hangs, and a run without tests each count as one failure.
+Each test module runs in its own isolated process, up to ``JOBS`` at once.
 """
 
 from __future__ import annotations
@@ -21,7 +18,7 @@
 from tools import checks, known_red, outcomes, run_module, tally
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# Longer than the module's own limit, which tells where it hung.
+# Longer than the module's own limit, which prints tracebacks first.
 MODULE_LIMIT_SECONDS = run_module.LIMIT_SECONDS + 10
 DEFAULT_JOBS = 4
 TIMEOUT_CODE = 124
@@ -29,7 +26,7 @@
 
 
 def modules(named: list[str]) -> list[str]:
-    """List the test modules to run, all of them unless some are named."""
+    """List the test modules to run: those named, or all of them."""
     if named:
         return [f'tests.{name}' for name in named]
     return sorted(
@@ -38,21 +35,21 @@
 
 
 class Run:
-    """Run test modules in processes of their own, a few at once."""
+    """Run test modules in separate processes, a limited number at once."""
 
     def __init__(
         self, counts: tally.Tally, known: dict[str, known_red.Known]
     ) -> None:
-        """Take the tally to fill and the failures to pass over."""
+        """Take the tally to update and the expected failures."""
         self._counts = counts
         self._known = known
-        self._used: dict[str, float] = {}
+        self._cpu_seconds: dict[str, float] = {}
         self._slots = asyncio.Semaphore(
             int(os.environ.get('JOBS', DEFAULT_JOBS))
         )
 
     async def all(self, names: list[str]) -> None:
-        """Run every module and wait for the last."""
+        """Run every module and wait for all of them."""
         with tempfile.TemporaryDirectory() as scratch:
             await asyncio.gather(
                 *(self._one(name, pathlib.Path(scratch)) for name in names)
@@ -63,37 +60,40 @@
         async with self._slots:
             started = loop.time()
             path = scratch / name
-            code, output = await _child(name, path)
+            code, output = await _run_captured(name, path)
         ended = outcomes.read(path)
         for outcome in ended:
             self._counts.add(outcome, self._known)
         if code or not ended:
             self._counts.fail(name, f'ended with code {code}\n{output}')
         seconds = loop.time() - started
-        self._used[name] = _used(output)
+        self._cpu_seconds[name] = _cpu_seconds(output)
         print(f'{name}: {len(ended)} tests, {seconds:.1f} s', flush=True)
 
-    def tell_slowest(self) -> None:
-        """Print the modules that took most of the processor's time."""
-        rows = sorted(self._used.items(), key=lambda row: row[1], reverse=True)
+    def print_slowest(self) -> None:
+        """Print the modules that used the most CPU time."""
+        rows = sorted(
+            self._cpu_seconds.items(), key=lambda row: row[1], reverse=True
+        )
         for name, seconds in rows[:SLOWEST_SHOWN]:
             print(f'slow: {name}: {seconds:.1f} s of the processor')
-        print(f'all modules: {sum(self._used.values()):.0f} s of the processor')
+        print(
+            f'all modules: {sum(self._cpu_seconds.values()):.0f} s of the processor'
+        )
 
 
-def _used(output: str) -> float:
-    """Read the processor's time off a module's output, 0 if it broke off."""
+def _cpu_seconds(output: str) -> float:
+    """Parse the CPU time from a module's output, 0 if it is missing."""
     last = output.rstrip().rpartition('\n')[2]
-    if not last.startswith(run_module.USED_MARK):
+    if not last.startswith(run_module.CPU_PREFIX):
         return 0
-    return float(last.removeprefix(run_module.USED_MARK))
+    return float(last.removeprefix(run_module.CPU_PREFIX))
 
 
-async def _child(name: str, path: pathlib.Path) -> tuple[int, str]:
-    """Run one module; return its exit code and what it printed.
+async def _run_captured(name: str, path: pathlib.Path) -> tuple[int, str]:
+    """Run one module; return its exit code and output.
 
-    It prints to a file: a process that it leaves behind would hold a pipe
-    open, and the run would wait for it.
+    Output goes to a file, since an orphaned process would keep a pipe open.
     """
     shown = path.with_name(f'{name}.output')
     with shown.open('wb') as output:
@@ -122,16 +122,11 @@
     except TimeoutError:
         return TIMEOUT_CODE
     finally:
-        await _end_all(process)
+        await _kill_group(process)
 
 
-async def _end_all(process: asyncio.subprocess.Process) -> None:
-    """End what a module left running.
-
-    A module that hangs or crashes never stops the roles that it started; they
-    would load the machine for all modules after it.  The module leads a
-    session, so its group holds them and nobody else.
-    """
+async def _kill_group(process: asyncio.subprocess.Process) -> None:
+    """Kill the process group of a module, with any role it left running."""
     with contextlib.suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
     await process.wait()
@@ -155,7 +150,7 @@
 
 
 def main() -> int:
-    """Run what the command line asks for; return the exit code."""
+    """Run the requested checks and tests; return the exit code."""
     parser = argparse.ArgumentParser(prog='run_tests', description=__doc__)
     parser.add_argument('modules', nargs='*')
     parser.add_argument('--no-checks', action='store_true')
@@ -166,7 +161,7 @@
     known = _read_known(counts)
     run = Run(counts, known)
     asyncio.run(run.all(modules(arguments.modules)))
-    run.tell_slowest()
+    run.print_slowest()
     if not (counts.passed or counts.failed or counts.red):
         counts.fail('run', 'no test ran')
     if not arguments.modules:
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -1,4 +1,4 @@
-"""Count what passed and failed in a run of checks and tests."""
+"""Count the outcomes of a run of checks and tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class Tally:
-    """Count what passed and failed over the whole run."""
+    """Counts of outcomes over the whole run."""
 
     passed: int = 0
     failed: int = 0
@@ -18,7 +18,7 @@
     seen: set[str] = attrs.field(factory=set)
 
     def fail(self, place: str, text: str) -> None:
-        """Count one failure and show it."""
+        """Count one failure and print it."""
         self.failed += 1
         print(f'FAILED {place}\n{text.rstrip()}\n', flush=True)
 
@@ -27,7 +27,7 @@
         outcome: outcomes.Outcome,
         known: dict[str, known_red.Known],
     ) -> None:
-        """Count one test."""
+        """Count the outcome of one test, with ``known`` failures apart."""
         self.seen.add(outcome.test)
         if outcome.status == outcomes.SKIPPED:
             self.skipped += 1
