--- a/binary/__init__.py
+++ b/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Build the one executable file that the product ships as."""
+"""Build the single executable file of the release."""
--- a/binary/build.py
+++ b/binary/build.py
@@ -1,7 +1,6 @@
 """Build the executable file: ``python -m binary.build [DESTINATION]``.
 
-The libraries are taken from the running environment, in the versions of
-``requirements.txt``, and compiled ahead.  Equal sources give equal bytes.
+Bundles the precompiled libraries of ``requirements.txt``, reproducibly.
 """
 
 from __future__ import annotations
@@ -20,24 +19,24 @@
 from binary import start
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-DESTINATION = ROOT / 'dist' / 'tamarackthread'
-# Isolated and without the host's own libraries: one that is missing here would
-# be found there, on some hosts only, and in any version.
+DEFAULT_DESTINATION = ROOT / 'dist' / 'tamarackthread'
+# Isolated mode without site-packages, so that a library missing from the file
+# is never loaded from the host.
 INTERPRETER = '/usr/bin/env -S python3.11 -IS'
-# Zip keeps times from 1980 on; one fixed time keeps the bytes equal.
-FIXED_TIME = 315_532_800 + 86_400
-BUILD_CHARACTERS = 16
-# Scripts outside the package folder, and what no role imports.
-_LEFT_OUT = frozenset(('..', '__pycache__', 'tests'))
+# Zip timestamps start in 1980; a fixed one makes the build reproducible.
+TIMESTAMP = 315_532_800 + 86_400
+BUILD_ID_LENGTH = 16
+# Path parts of scripts outside the package folder and of unused files.
+_EXCLUDED_PARTS = frozenset(('..', '__pycache__', 'tests'))
 MODE = 0o755
 
 
 class WrongVersion(Exception):
-    """Environment has another version than requirements.txt names."""
+    """Installed version of a library differs from requirements.txt."""
 
 
 def requirements() -> dict[str, str]:
-    """Read the libraries that the product runs with and their versions."""
+    """Return the pinned version of each runtime library."""
     pins: dict[str, str] = {}
     for line in (ROOT / 'requirements.txt').read_text().splitlines():
         name, separator, version = line.partition('==')
@@ -47,7 +46,7 @@
 
 
 def build(destination: pathlib.Path) -> None:
-    """Write the executable file, whole or not at all."""
+    """Write the executable file atomically; raise ``WrongVersion``."""
     with tempfile.TemporaryDirectory() as scratch:
         root = pathlib.Path(scratch) / 'root'
         libraries = root / start.LIBRARIES
@@ -57,14 +56,14 @@
         _compile(libraries)
         shutil.copyfile(start.__file__, root / '__main__.py')
         (root / start.BUILD_FILE).write_text(_digest(root))
-        _fix_times(root)
+        _set_timestamps(root)
         packed = pathlib.Path(scratch) / 'packed'
         zipapp.create_archive(root, packed, INTERPRETER, compressed=True)
         destination.parent.mkdir(parents=True, exist_ok=True)
-        waiting = destination.with_name(f'{destination.name}.new')
-        shutil.move(packed, waiting)
-        waiting.chmod(MODE)
-        waiting.replace(destination)
+        replacement = destination.with_name(f'{destination.name}.new')
+        shutil.move(packed, replacement)
+        replacement.chmod(MODE)
+        replacement.replace(destination)
 
 
 def _copy_library(name: str, version: str, libraries: pathlib.Path) -> None:
@@ -72,7 +71,7 @@
     if found.version != version:
         raise WrongVersion(f'{name} is {found.version}, not {version}')
     for file in found.files or ():
-        if _LEFT_OUT.intersection(file.parts):
+        if _EXCLUDED_PARTS.intersection(file.parts):
             continue
         target = libraries / file
         target.parent.mkdir(parents=True, exist_ok=True)
@@ -103,18 +102,18 @@
             continue
         digest.update(str(path.relative_to(root)).encode())
         digest.update(hashlib.sha256(path.read_bytes()).digest())
-    return digest.hexdigest()[:BUILD_CHARACTERS]
+    return digest.hexdigest()[:BUILD_ID_LENGTH]
 
 
-def _fix_times(root: pathlib.Path) -> None:
+def _set_timestamps(root: pathlib.Path) -> None:
     for path in root.rglob('*'):
-        os.utime(path, (FIXED_TIME, FIXED_TIME))
+        os.utime(path, (TIMESTAMP, TIMESTAMP))
 
 
 def main() -> int:
-    """Build to the path on the command line, else below ``dist``."""
+    """Build to the path on the command line, by default in ``dist``."""
     named = sys.argv[1:]
-    destination = pathlib.Path(named[0]) if named else DESTINATION
+    destination = pathlib.Path(named[0]) if named else DEFAULT_DESTINATION
     build(destination)
     sys.stdout.write(f'{destination}: {destination.stat().st_size} bytes\n')
     return 0
--- a/binary/start.py
+++ b/binary/start.py
@@ -1,12 +1,7 @@
-"""Unpack the program's libraries into a cache folder once, then run it.
+"""Unpack the libraries into a cache folder once, then run the program.
 
-This is the first code of the executable file, which is a zip.  Compiled
-libraries can't be loaded from a zip, so they are unpacked; all goes on in the
-one process.  Nothing but the standard library is there yet.
-
-The cache folder is the first that is named of: ``TAMARACKTHREAD_CACHE``, the
-settings' ``cache_folder``, ``cache`` in the settings' data folder, and the
-file's own path with ``.cache`` added.
+Entry point of the zip archive; only the standard library can be imported here.
+Extension modules can't be loaded from a zip.
 """
 
 from __future__ import annotations
@@ -38,7 +33,7 @@
 
 
 def settings_path(arguments: collections.abc.Sequence[str]) -> str:
-    """Find the value of ``--settings`` or ``-s``, empty when not given."""
+    """Return the value of ``--settings`` or ``-s``, empty if not given."""
     for number, argument in enumerate(arguments):
         if argument.startswith('--settings='):
             return argument.partition('=')[2]
@@ -50,10 +45,9 @@
 
 
 def named_string(text: str, key: str) -> str:
-    """Find a key's string in JSON with comments, without checking the rest.
+    """Find a key's string in JSON with comments; malformed text gives ``''``.
 
-    The settings are checked later by the program itself, which isn't unpacked
-    yet.  A file that makes no sense gives an empty string here.
+    The program validates the settings later, once it is unpacked.
     """
     tokens = [
         token
@@ -74,10 +68,9 @@
     arguments: collections.abc.Sequence[str],
     environment: collections.abc.Mapping[str, str],
 ) -> pathlib.Path:
-    """Choose the folder to unpack into.
+    """Choose from variable, ``cache_folder``, data folder and archive, in order.
 
-    A relative path in the settings is taken from the file's own folder, as
-    the program itself does.
+    A relative path in the settings starts from the folder of that file.
     """
     if environment.get(CACHE_VARIABLE):
         return pathlib.Path(environment[CACHE_VARIABLE])
@@ -96,13 +89,9 @@
 
 
 def unpack(archive: pathlib.Path, folder: pathlib.Path) -> pathlib.Path:
-    """Unpack this build unless it is there; raise ``CacheUnusable``.
+    """Unpack this build unless it is cached; raise ``CacheUnusable``.
 
-    A host that loses power while a cache is written comes back with files of
-    length zero, and the program would fail at each start until someone found
-    the cause.  So all is synced before the folder gets its final name: what
-    has that name is whole.  Processes that unpack at once each write a folder
-    of their own, and the first to rename wins.
+    Synced and renamed atomically, to survive power loss and concurrent starts.
     """
     with zipfile.ZipFile(archive) as opened:
         build = opened.read(BUILD_FILE).decode()
@@ -152,8 +141,8 @@
             f'cannot unpack into {exc}; name a folder that can be written '
             f'by {CACHE_VARIABLE} or by cache_folder in the settings',
         )
-    # The libraries are compiled already; a write beside them would only
-    # make the cache differ from what was synced.
+    # The libraries are precompiled; bytecode written beside them would make
+    # the cache differ from what was synced.
     sys.dont_write_bytecode = True
     sys.path.insert(0, str(libraries))
     from tamarackthread import __main__  # noqa: WPS433 - unpacked just now
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""Prove that each role of the built file is one process and writes little."""
+"""Test that each role of the built file is one process with known writes."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 def _ended_children_faults(pid: int) -> int:
-    """Count page faults of children that ended; the shortest has some."""
+    """Return the page faults of waited-for children, 0 if there were none."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2]
     return int(fields.split()[8])
 
@@ -41,7 +41,7 @@
         build.build(cls._file)
 
     def setUp(self) -> None:
-        """Make the folders that a role could write to, and a secret."""
+        """Create the home folder and the cluster key."""
         self._home = self._root / 'home'
         self._home.mkdir()
         self._key = self._root / 'cluster.key'
@@ -73,8 +73,8 @@
             stderr=asyncio.subprocess.STDOUT,
             cwd=self._home,
             env={
-                # A wrapper around the interpreter would start processes of
-                # its own before ours.
+                # Skips wrappers of the interpreter, which start processes of
+                # their own.
                 'PATH': f'{sys.base_prefix}/bin:{os.defpath}',
                 'HOME': str(self._home),
                 'TMPDIR': str(self._home),
@@ -82,7 +82,7 @@
         )
         self.addAsyncCleanup(self._end, process)
         line = await process.stdout.readline()
-        self.assertTrue(line, f'{role} ended before it served')
+        self.assertTrue(line, f'{role} exited before it was serving')
         return process, json.loads(line)
 
     async def _end(self, process: asyncio.subprocess.Process) -> None:
@@ -91,12 +91,9 @@
             await process.wait()
 
     async def test_roles(self) -> None:
-        """Each role runs as one process that starts no other.
+        """Each role starts no child process and exits with 0 on SIGTERM.
 
-        Control, entry and agent are started from the one file, with home,
-        temporary and working folder watched. Each has no child and waited
-        for none, stops on SIGTERM with code 0, and wrote only below its data
-        folder and the cache that the settings name.
+        It writes only to its data folder and the configured cache folder.
         """
         control, addresses = await self._start(
             'control', control={'data_folder': str(self._root / 'data')}
@@ -119,8 +116,8 @@
                 self.assertEqual(_children(process.pid), [])
                 self.assertEqual(_ended_children_faults(process.pid), 0)
                 process.send_signal(signal.SIGTERM)
-                words = await process.stdout.read()
-                self.assertEqual(0, await process.wait(), words.decode())
+                output = await process.stdout.read()
+                self.assertEqual(0, await process.wait(), output.decode())
         self.assertEqual(list(self._home.rglob('*')), [])
         self.assertEqual(
             {path.name for path in self._root.iterdir() if path.is_dir()},
--- a/tests/test_binary_start.py
+++ b/tests/test_binary_start.py
@@ -1,4 +1,4 @@
-"""Prove where the executable file unpacks and that a bad cache is named."""
+"""Test where the executable file unpacks and its error on a bad cache folder."""
 
 import contextlib
 import io
@@ -12,10 +12,10 @@
 
 
 class TestCacheFolder(unittest.TestCase):
-    """Choose the folder from variable, settings and the file's own place."""
+    """Test the choice of the cache folder and its precedence."""
 
     def setUp(self) -> None:
-        """Make a scratch folder."""
+        """Create a temporary folder."""
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         self._folder = pathlib.Path(scratch.name)
@@ -29,7 +29,7 @@
         return str(chosen)
 
     def test_order(self) -> None:
-        """The variable wins, then cache_folder, data_folder, the own place."""
+        """The variable wins, then cache_folder, data_folder, the archive path."""
         data = '"control": {"data_folder": "/data"}'
         both = f'{{"cache_folder": "/cache", {data}}}'
         self.assertEqual(
@@ -41,7 +41,7 @@
         self.assertEqual(self._choose('"cache'), '/opt/tamarackthread.cache')
 
     def test_other_ways_to_the_settings(self) -> None:
-        """Settings may come by the environment, and paths may be relative."""
+        """The environment may name the settings, and paths may be relative."""
         self._settings.write_text('{"cache_folder": "here"}')
         environment = {start.SETTINGS_VARIABLE: str(self._settings)}
         archive = pathlib.Path('/opt/tamarackthread')
@@ -49,7 +49,7 @@
         self.assertEqual(chosen, self._folder / 'here')
 
     def test_comments(self) -> None:
-        """A key in a comment or in another string isn't the setting."""
+        """A key inside a comment or another string is ignored."""
         text = r"""{
             // "cache_folder": "/line",
             /* "cache_folder": "/block", */
@@ -59,7 +59,7 @@
         self.assertEqual(self._choose(text), '/right/one')
 
     def test_settings_argument(self) -> None:
-        """Each way to write the option is understood."""
+        """Each spelling of the option is accepted."""
         for given in (
             ['--settings', 'b'],
             ['--settings=b'],
@@ -71,7 +71,7 @@
 
 
 class TestUnpack(unittest.TestCase):
-    """Unpack a small archive."""
+    """Test unpacking a small archive."""
 
     def setUp(self) -> None:
         """Write an archive with one library."""
@@ -85,7 +85,7 @@
             opened.writestr('libraries/one.py', 'ONE = 1')
 
     def test_unpacked_once(self) -> None:
-        """The second start reads what the first one wrote."""
+        """The second start reuses the cache of the first."""
         libraries = start.unpack(self._archive, self._cache)
         (libraries / 'one.py').write_text('kept')
         again = start.unpack(self._archive, self._cache)
@@ -93,22 +93,14 @@
         self.assertEqual(len(list(self._cache.iterdir())), 1)
 
     def test_killed_while_unpacking(self) -> None:
-        """A process was killed while it unpacked.
-
-        What it wrote has no final name, so the next start doesn't take the
-        half of it for the whole and unpacks anew.
-        """
+        """A partial unpack by a killed process is not used as the cache."""
         half = self._cache / 'unpacking-b1-1' / start.LIBRARIES
         half.mkdir(parents=True)
         libraries = start.unpack(self._archive, self._cache)
         self.assertTrue((libraries / 'one.py').is_file())
 
     def test_two_at_once(self) -> None:
-        """Two processes unpack at once and the other renames first.
-
-        The rename fails because the name is taken; the loser uses what the
-        winner wrote, which is the same build, and removes its own.
-        """
+        """A process that loses the rename race uses the winner's folder."""
         other = self._cache / 'tamarackthread-b1'
 
         def win() -> None:
@@ -120,11 +112,7 @@
         self.assertEqual(list(self._cache.iterdir()), [other])
 
     def test_unwritable(self) -> None:
-        """The cache folder can't be made because a file has its name.
-
-        The operator sees one sentence that names the folder and both ways to
-        name another, and the exit code of a file that can't be created.
-        """
+        """The error for an unwritable cache names the folder and the setting."""
         self._cache.parent.write_text('a file')
         shown = io.StringIO()
         environment = {start.CACHE_VARIABLE: str(self._cache)}
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Prove that documents are checked whole and read by older versions."""
+"""Test the validation of documents and their forward compatibility."""
 
 import json
 import pathlib
--- a/tests/test_errors_page.py
+++ b/tests/test_errors_page.py
@@ -1,4 +1,4 @@
-"""Prove that the page of errors tells what the code does."""
+"""Test that the page of errors matches the error classes."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class TestErrorsPage(unittest.TestCase):
-    """Compare page and catalogue."""
+    """Compare the page with the catalogue."""
 
     def test_page_matches(self) -> None:
         """The committed page is what ``make docs`` writes."""
@@ -17,7 +17,7 @@
         )
 
     def test_meanings(self) -> None:
-        """Every error has a meaning of its own and a code of the scheme."""
+        """Every error has its own docstring, a valid code and a valid status."""
         generate_errors.import_all()
         for kind in errors.catalogue():
             with self.subTest(code=kind.code):
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Prove that the links between the pages lead somewhere."""
+"""Test that links between the documentation pages resolve."""
 
 import pathlib
 import re
@@ -9,10 +9,10 @@
 
 
 class TestPages(unittest.TestCase):
-    """Follow the links of every page."""
+    """Check the relative links of every page."""
 
     def test_links(self) -> None:
-        """Each linked file is there."""
+        """Each linked file exists."""
         pages = [*ROOT.glob('*.md'), *(ROOT / 'docs').rglob('*.md')]
         broken = []
         for page in pages:
--- a/tests/test_requirements.py
+++ b/tests/test_requirements.py
@@ -1,4 +1,4 @@
-"""Prove that the product's libraries are those that are shipped."""
+"""Test that requirements.txt covers the imports and the environment."""
 
 import ast
 import importlib.metadata
@@ -29,14 +29,10 @@
 
 
 class TestRequirements(unittest.TestCase):
-    """Compare imports, fixed versions and what is installed."""
+    """Compare imports, pinned versions and installed versions."""
 
     def test_imports_are_shipped(self) -> None:
-        """Each library that the package imports is in requirements.txt.
-
-        One that only developers have works in every test and is missing on
-        the first host; the executable file holds just these.
-        """
+        """Each imported library is in requirements.txt and so in the build."""
         shipped = {name.lower() for name in build.requirements()}
         providers = importlib.metadata.packages_distributions()
         missing = {
@@ -47,7 +43,7 @@
         self.assertEqual(missing, set())
 
     def test_versions_are_installed(self) -> None:
-        """The environment has the versions that are fixed."""
+        """The environment has the pinned versions."""
         for name, version in build.requirements().items():
             with self.subTest(library=name):
                 self.assertEqual(importlib.metadata.version(name), version)
--- a/tests/test_style_page.py
+++ b/tests/test_style_page.py
@@ -1,4 +1,4 @@
-"""Prove that the page on style explains what setup.cfg says."""
+"""Test that the style page covers the linter settings of setup.cfg."""
 
 import configparser
 import pathlib
@@ -19,7 +19,7 @@
         self._page = (ROOT / 'docs' / 'STYLE.md').read_text()
 
     def test_rules(self) -> None:
-        """Each rule that is left out has its reason."""
+        """Each ignored rule is mentioned on the page."""
         left_out = self._flake8['ignore'] + self._flake8['per-file-ignores']
         rules = set(re.findall(r'\b[A-Z]+\d+\b', left_out))
         self.assertTrue(rules)
@@ -28,7 +28,7 @@
         )
 
     def test_limits(self) -> None:
-        """Each limit stands on the page with the value in force."""
+        """Each limit is on the page with its configured value."""
         for name, limit in self._flake8.items():
             if not name.startswith('max-'):
                 continue
