--- a/binary/start.py
+++ b/binary/start.py
@@ -68,7 +68,7 @@
     arguments: collections.abc.Sequence[str],
     environment: collections.abc.Mapping[str, str],
 ) -> pathlib.Path:
-    """Choose from variable, ``cache_folder``, data folder and archive, in order.
+    """Choose from, in order: variable, ``cache_folder``, data folder, archive.
 
     A relative path in the settings starts from the folder of that file.
     """
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -1,4 +1,4 @@
-"""Prove what the regression run plays, keeps and complains of."""
+"""Test the selection, storage and findings of regression runs."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 
 
 def entry(**fields):
-    """Build a journal's entry of two days."""
+    """Build a journal entry of three days."""
     days = [
         {'name': 'quiet-1', 'G': 0.9, 'rules': {}, 'kind': 'quiet'},
         {'name': 'trouble-1', 'G': 0.7, 'rules': {}, 'kind': 'trouble'},
@@ -37,17 +37,17 @@
         scratch = self.enterContext(tempfile.TemporaryDirectory())
         self.folder = pathlib.Path(scratch)
 
-    def read(self, held, kind='score'):
+    def read(self, body, kind='score'):
         path = self.folder / 'entry.json'
-        path.write_text(json.dumps(held))
-        return results.of_entry(kind, 's', 'code', path)
+        path.write_text(json.dumps(body))
+        return results.read_entry(kind, 's', 'code', path)
 
     def test_mean(self):
-        """The calm day and the one drawn for this play do not count."""
+        """Quiet days and those drawn for this run are left out of the mean."""
         self.assertEqual(0.7, self.read(entry()).mean)
 
     def test_findings(self):
-        """A broken rule, a failed gate and a fall are told, each by its name."""
+        """A broken rule, a fault, a failed gate and a drop are reported."""
         days = entry()['days']
         days[1] |= {'rules': {'MAP': 1}, 'fault': 'ended'}
         fresh = self.read(entry(days=days, figures={'gate': 0.0}))
@@ -62,18 +62,18 @@
         )
 
     def test_small_fall(self):
-        """Less than 0.03 is the noise of a run."""
+        """A drop within the tolerance is not reported."""
         self.assertEqual([], results.findings(self.read(entry()), 0.72))
 
     def test_unreadable_entry(self):
-        """An entry without its days is told with its place."""
+        """The error for an entry without days names the file."""
         with self.assertRaisesRegex(
             results.ResultsUnreadableError, r'entry\.json'
         ):
             self.read({'id': 'abc'})
 
     def test_cut_off(self):
-        """A hunt was stopped after no day, or lacks some: it is not clean."""
+        """An incomplete hunt is rejected instead of counted as clean."""
         for cut in ({'days': []}, {'ok': False}, {'days_left_out': 2}):
             with self.assertRaisesRegex(
                 results.ResultsUnreadableError, 'cut off'
@@ -81,21 +81,28 @@
                 self.read(entry(**cut), kind='hunt')
 
     def test_resumes(self):
-        """What was played on this code is left; on other code it is due."""
+        """Runs with a result are skipped unless the code has changed."""
         held = results.Results(self.folder / 'held.json')
         held.put(self.read(entry()))
         known = [self.site('s', 12), self.site('t', 60)]
         again = results.Results(self.folder / 'held.json')
-        due = plan.plays(known, again, 'code', ['score', 'hunt'])
+        outstanding = plan.outstanding_runs(
+            known, again, 'code', ['score', 'hunt']
+        )
         self.assertEqual(
             [('t', 'score'), ('s', 'hunt'), ('t', 'hunt')],
-            [(play.site.name, play.kind) for play in due],
+            [
+                (bench_run.site.name, bench_run.kind)
+                for bench_run in outstanding
+            ],
+        )
+        outstanding = plan.outstanding_runs(known, again, 'other', ['score'])
+        self.assertEqual(
+            ['s', 't'], [bench_run.site.name for bench_run in outstanding]
         )
-        due = plan.plays(known, again, 'other', ['score'])
-        self.assertEqual(['s', 't'], [play.site.name for play in due])
 
     def test_order_and_days(self):
-        """Sites come in the order of the settings; large ones hunt 8 days."""
+        """Sites follow the configured order; large ones hunt fewer days."""
         for name, hosts in (('a', 12), ('b', 63)):
             folder = self.folder / name
             folder.mkdir()
@@ -103,28 +110,28 @@
             (folder / f'{name}.toml').write_text(text)
         found = plan.sites(self.folder, ['b'], {'a': 0.7})
         self.assertEqual(['b', 'a'], [site.name for site in found])
-        self.assertEqual(0.7, found[1].before)
+        self.assertEqual(0.7, found[1].baseline)
         days = [
-            plan.Play(site=site, kind='hunt').arguments('why')[5]
+            plan.BenchRun(site=site, kind='hunt').arguments('why')[5]
             for site in found
         ]
         self.assertEqual(['8', '40'], days)
 
     def test_code(self):
-        """A page changes nothing, a module of the product does."""
+        """Changes to modules alter the hash; changes to pages do not."""
         for name in ('tamarackthread', 'docs'):
             (self.folder / name).mkdir()
         (self.folder / 'requirements.txt').write_text('a')
         module = self.folder / 'tamarackthread' / 'm.py'
         module.write_text('1')
-        before = results.product_code(self.folder)
+        original = results.product_code(self.folder)
         (self.folder / 'docs' / 'page.md').write_text('new')
-        self.assertEqual(before, results.product_code(self.folder))
+        self.assertEqual(original, results.product_code(self.folder))
         module.write_text('2')
-        self.assertNotEqual(before, results.product_code(self.folder))
+        self.assertNotEqual(original, results.product_code(self.folder))
 
     def test_table(self):
-        """What was not played is said so, and what is of earlier code too."""
+        """Missing results and those of earlier code are marked."""
         held = results.Results(self.folder / 'held.json')
         held.put(self.read(entry()))
         text = table.markdown([self.site('s', 12)], held, 'other')
@@ -137,5 +144,5 @@
             name=name,
             path=self.folder / f'{name}.toml',
             is_large=hosts >= plan.LARGE_HOSTS,
-            before=None,
+            baseline=None,
         )
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the checks, the test runner and the generators for developers and CI."""
+"""Provide checks, the test runner and generators for developers and CI."""
--- a/tools/check_clocks.py
+++ b/tools/check_clocks.py
@@ -20,7 +20,7 @@
 
 
 def findings(text: str) -> list[int]:
-    """Return the lines that sleep on, set a timeout on or read the real clock."""
+    """Return the lines that sleep, time out or read time on the real clock."""
     if not any(mark in text for mark in REAL_LOOP_MARKS):
         return []
     tree = ast.parse(text)
--- a/tools/check_generated.py
+++ b/tools/check_generated.py
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Print the files that differ; return the exit code for ``tools.checks``."""
+    """Print differing files; return the exit code for ``tools.checks``."""
     reason = unavailable_reason()
     if reason:
         print(reason)
--- a/tools/generate_reference.py
+++ b/tools/generate_reference.py
@@ -1,6 +1,6 @@
 """Write the field tables of the documentation pages from the schemas.
 
-Only the text between ``<!-- fields -->`` and ``<!-- end of fields -->`` changes.
+Replaces the text between ``<!-- fields -->`` and ``<!-- end of fields -->``.
 """
 
 from __future__ import annotations
--- a/tools/generate_settings.py
+++ b/tools/generate_settings.py
@@ -103,7 +103,7 @@
 
 
 def reference(schema: dict[str, typing.Any]) -> str:
-    """Return the name of the class that a schema refers to, or return an empty string."""
+    """Return the name of the class a schema refers to, or an empty string."""
     return str(schema.get('$ref', '')).rpartition('/')[2]
 
 
--- a/tools/regression/__init__.py
+++ b/tools/regression/__init__.py
@@ -1,1 +1,1 @@
-"""Play the users' days on the code at hand and keep what they gave."""
+"""Run the bench's sites on the current code and record the results."""
--- a/tools/regression/__main__.py
+++ b/tools/regression/__main__.py
@@ -1,8 +1,6 @@
-"""Play what was not played on the code at hand, within a time, and say how it went.
+"""Run the outstanding bench runs for the current code, within a time limit.
 
-Usage: ``make regression BENCH=PATH SITES=FOLDER MINUTES=60``.  Each play leaves its
-entry in ``journal/``; ``docs/regression.json`` and ``docs/REGRESSION.md`` hold the
-newest of each site and kind.  Called again it goes on where it was cut off.
+Usage: ``make regression BENCH=PATH SITES=FOLDER MINUTES=60``; can be resumed.
 """
 
 from __future__ import annotations
@@ -18,9 +16,9 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 SETTINGS = ROOT / 'tools' / 'regression' / 'settings.json'
-HELD = ROOT / 'docs' / 'regression.json'
+RESULTS_PATH = ROOT / 'docs' / 'regression.json'
 PAGE = ROOT / 'docs' / 'REGRESSION.md'
-# The bench ends each play with the name of its entry in the journal.
+# Output line in which the bench names its journal entry.
 _ENTRY = re.compile(r'^snapshot (\w+)$', re.MULTILINE)
 PAGE_HEAD = """# Regression
 
@@ -31,85 +29,92 @@
 
 
 class Run:
-    """Play some of what is due, a few at once."""
+    """Execute outstanding bench runs, a limited number at once."""
 
-    def __init__(self, given: argparse.Namespace) -> None:
-        """Take what was asked for on the command line."""
+    def __init__(self, options: argparse.Namespace) -> None:
+        """Read the settings and the stored results; select the sites."""
         settings = json.loads(SETTINGS.read_text())
-        self._given = given
+        self._options = options
         self._code = results.product_code(ROOT)
-        self._held = results.Results(HELD)
+        self._results = results.Results(RESULTS_PATH)
         self._sites = plan.sites(
-            given.sites.resolve(), settings['order'], settings['before']
+            options.sites.resolve(), settings['order'], settings['before']
         )
-        if given.only:
+        if options.only:
             self._sites = [
-                site for site in self._sites if site.name in given.only
+                site for site in self._sites if site.name in options.only
             ]
         self._findings: list[str] = []
 
     async def all(self) -> int:
-        """Play until all is played or time is up; return the exit code."""
-        due = plan.plays(self._sites, self._held, self._code, self._given.kinds)
-        left = iter(due)
+        """Execute runs until the deadline; return 1 if any has a finding."""
+        outstanding = plan.outstanding_runs(
+            self._sites, self._results, self._code, self._options.kinds
+        )
+        queue = iter(outstanding)
         loop = asyncio.get_running_loop()
-        self._until = loop.time() + 60 * self._given.minutes
+        self._deadline = loop.time() + 60 * self._options.minutes
         await asyncio.gather(
-            *(self._work(left) for _ in range(self._given.at_once))
+            *(self._work(queue) for _ in range(self._options.at_once))
         )
         self._write()
         for finding in self._findings:
             print(f'regression: {finding}')
         return 1 if self._findings else 0
 
-    async def _work(self, left) -> None:
+    async def _work(self, queue) -> None:
         loop = asyncio.get_running_loop()
-        for play in left:
-            if loop.time() >= self._until:
+        for bench_run in queue:
+            if loop.time() >= self._deadline:
                 return
-            await self._play(play)
+            await self._execute(bench_run)
 
-    async def _play(self, play: plan.Play) -> None:
-        print(f'regression: {play.site.name} {play.kind} begins', flush=True)
-        running = await asyncio.create_subprocess_exec(
-            str(self._given.bench.resolve()),
-            *play.arguments(f'regression: {play.kind} on the code at hand'),
+    async def _execute(self, bench_run: plan.BenchRun) -> None:
+        print(
+            f'regression: {bench_run.site.name} {bench_run.kind} begins',
+            flush=True,
+        )
+        process = await asyncio.create_subprocess_exec(
+            str(self._options.bench.resolve()),
+            *bench_run.arguments(
+                f'regression: {bench_run.kind} on the code at hand'
+            ),
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
         try:
-            async with asyncio.timeout_at(self._until):
-                said, _ = await running.communicate()
+            async with asyncio.timeout_at(self._deadline):
+                output, _ = await process.communicate()
         except TimeoutError:
-            running.terminate()
-            await running.wait()
-            print(f'regression: {play.site.name} {play.kind} cut off')
+            process.terminate()
+            await process.wait()
+            print(f'regression: {bench_run.site.name} {bench_run.kind} cut off')
             return
-        self._take(play, said.decode(errors='replace'))
+        self._record(bench_run, output.decode(errors='replace'))
 
-    def _take(self, play: plan.Play, said: str) -> None:
-        place = f'{play.site.name} {play.kind}'
-        entry = _ENTRY.search(said)
+    def _record(self, bench_run: plan.BenchRun, output: str) -> None:
+        place = f'{bench_run.site.name} {bench_run.kind}'
+        entry = _ENTRY.search(output)
         paths = sorted(ROOT.glob(f'journal/*-{entry[1]}.json')) if entry else []
         if not paths:
-            self._findings.append(f'{place}: no entry, {said[-200:]!r}')
+            self._findings.append(f'{place}: no entry, {output[-200:]!r}')
             return
         try:
-            found = results.of_entry(
-                play.kind, play.site.name, self._code, paths[-1]
+            found = results.read_entry(
+                bench_run.kind, bench_run.site.name, self._code, paths[-1]
             )
         except results.ResultsUnreadableError as exc:
             self._findings.append(f'{place}: {exc}')
             return
-        self._held.put(found)
-        self._findings += results.findings(found, play.site.before)
+        self._results.put(found)
+        self._findings += results.findings(found, bench_run.site.baseline)
         print(f'regression: {place} ends, mean {found.mean}', flush=True)
         self._write()
 
     def _write(self) -> None:
         PAGE.write_text(
-            PAGE_HEAD + table.markdown(self._sites, self._held, self._code)
+            PAGE_HEAD + table.markdown(self._sites, self._results, self._code)
         )
 
 
--- a/tools/regression/plan.py
+++ b/tools/regression/plan.py
@@ -1,4 +1,4 @@
-"""Decide what to play, and in which order."""
+"""Select the outstanding bench runs and their order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tools.regression import results
 
-# A deployment with so many targets' hosts is a large one: a day takes minutes.
+# Target hosts from which a deployment is large; its days take minutes.
 LARGE_HOSTS = 60
 DAYS_OF_LARGE = 8
 DAYS_OF_SMALL = 40
@@ -19,69 +19,69 @@
 
 @attrs.frozen(kw_only=True)
 class Site:
-    """A deployment: its file, its place in the order, and what it had."""
+    """Deployment under test; ``baseline`` is its expected mean."""
 
     name: str
     path: pathlib.Path
     is_large: bool
-    before: float | None
+    baseline: float | None
 
 
 @attrs.frozen(kw_only=True)
-class Play:
-    """One call of the users' bench."""
+class BenchRun:
+    """One invocation of the bench."""
 
     site: Site
     kind: str
 
     def arguments(self, why: str) -> list[str]:
-        """Return the words after the bench's own name."""
-        words = [self.kind, str(self.site.path), '--jobs', str(DEFAULT_JOBS)]
+        """Return the command-line arguments of the bench."""
+        options = [self.kind, str(self.site.path), '--jobs', str(DEFAULT_JOBS)]
         if self.kind == 'hunt':
             days = DAYS_OF_LARGE if self.site.is_large else DAYS_OF_SMALL
-            words += ['--days', str(days)]
-        return [*words, '--why', why]
+            options += ['--days', str(days)]
+        return [*options, '--why', why]
 
 
 def sites(
-    folder: pathlib.Path, order: list[str], before: dict[str, float]
+    folder: pathlib.Path, order: list[str], baselines: dict[str, float]
 ) -> list[Site]:
-    """List the deployments below a folder, those of ``order`` first."""
+    """List the deployments in a folder, those of ``order`` first."""
     found = []
     for path in sorted(folder.glob('*/*.toml')):
-        held = tomllib.loads(path.read_text())
-        if 'day' not in held:
+        site_file = tomllib.loads(path.read_text())
+        if 'day' not in site_file:
             continue
         hosts = sum(
             row.get('count', 0)
-            for row in held.get('machines', ())
+            for row in site_file.get('machines', ())
             if row.get('class') == 'side'
         )
         found.append(
             Site(
-                name=held['name'],
+                name=site_file['name'],
                 path=path,
                 is_large=hosts >= LARGE_HOSTS,
-                before=before.get(held['name']),
+                baseline=baselines.get(site_file['name']),
             )
         )
     found.sort(key=lambda site: _place(site.name, order))
     return found
 
 
-def plays(
+def outstanding_runs(
     known: list[Site],
-    held: results.Results,
+    stored: results.Results,
     code: str,
     kinds: list[str],
-) -> list[Play]:
-    """List what was not played on this code, the most telling first."""
+) -> list[BenchRun]:
+    """List the runs without a result for this code, by kind, then site."""
     found = []
     for kind in kinds:
         for site in known:
-            row = held.get(site.name, kind)
+            row = stored.get(site.name, kind)
             if row is None or row.code != code:
-                found.append(Play(site=site, kind=kind))
+                found.append(BenchRun(site=site, kind=kind))
     return found
 
 
--- a/tools/regression/results.py
+++ b/tools/regression/results.py
@@ -1,4 +1,4 @@
-"""Hold what plays of the users' bench gave, and whether it still counts."""
+"""Store bench results and tell which are current."""
 
 from __future__ import annotations
 
@@ -10,27 +10,24 @@
 
 import attrs
 
-# What a day depends on; tests and pages make no result stale.
-PRODUCT = ('tamarackthread', 'deploy/*.toml', 'deploy/*.json')
+# Paths whose changes invalidate a result; tests and pages do not.
+PRODUCT_PATHS = ('tamarackthread', 'deploy/*.toml', 'deploy/*.json')
 REQUIREMENTS = 'requirements.txt'
-# Days that do not count for the mean: calm ones, and those drawn for one play.
-UNCOUNTED = frozenset(('quiet', 'replay'))
-# A site may not fall by more than this below what it had.
-MOST_FALL = 0.03
+# Kinds of days left out of the mean: no trouble, or drawn for a single run.
+EXCLUDED_KINDS = frozenset(('quiet', 'replay'))
+# Largest drop of a site's mean below its baseline.
+MAX_DROP = 0.03
 
 
 class ResultsUnreadableError(Exception):
-    """File of results, or an entry of the bench, can't be read."""
+    """Results file or journal entry is unreadable or incomplete."""
 
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """What one play gave.
+    """Result of one bench run; ``code`` is the hash of the product.
 
-    ``kind`` is ``score``, ``hunt`` or ``sweep``, ``code`` the product's hash and
-    ``entry`` the journal's entry.  ``worth`` is by day, ``mean`` that of a score's
-    standard days with trouble, and ``broken`` names the rules that broke with their
-    days.  ``gate`` is ``None`` where none was asked for.
+    ``worth`` is by day, ``mean`` for scores; ``gate`` is None if not requested.
     """
 
     site: str
@@ -44,10 +41,10 @@
 
 
 class Results:
-    """Keep the newest result of each site and kind in a file."""
+    """File of the newest result of each site and kind."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """Read what is held; raises ``ResultsUnreadableError``."""
+        """Load the file; raises ``ResultsUnreadableError``."""
         self._path = path
         self._rows: dict[str, Result] = {}
         if not path.exists():
@@ -55,28 +52,28 @@
         try:
             rows = json.loads(path.read_text())
             for row in rows:
-                self._hold(_result_of(row))
+                self._store(_result_from_row(row))
         except (ValueError, KeyError, TypeError) as exc:
             raise ResultsUnreadableError(f'{path}: {exc}') from exc
 
     def get(self, site: str, kind: str) -> Result | None:
-        """Return the newest result of a kind."""
+        """Return the newest result of a site and kind."""
         return self._rows.get(f'{site} {kind}')
 
     def put(self, fresh: Result) -> None:
-        """Hold a result and write all down."""
-        self._hold(fresh)
+        """Store a result and write the file."""
+        self._store(fresh)
         rows = [attrs.asdict(row) for _, row in sorted(self._rows.items())]
         self._path.write_text(f'{json.dumps(rows, indent=1)}\n')
 
-    def _hold(self, row: Result) -> None:
+    def _store(self, row: Result) -> None:
         self._rows[f'{row.site} {row.kind}'] = row
 
 
 def product_code(root: pathlib.Path) -> str:
-    """Return a hash of all that a day depends on."""
+    """Return a hash of the files that affect a result."""
     paths = {root / REQUIREMENTS}
-    for pattern in PRODUCT:
+    for pattern in PRODUCT_PATHS:
         for found in root.glob(pattern):
             paths.update(found.rglob('*') if found.is_dir() else (found,))
     digest = hashlib.sha256()
@@ -88,27 +85,27 @@
     return digest.hexdigest()[:16]
 
 
-def of_entry(kind: str, site: str, code: str, path: pathlib.Path) -> Result:
-    """Read a journal's entry; raises ``ResultsUnreadableError``."""
+def read_entry(kind: str, site: str, code: str, path: pathlib.Path) -> Result:
+    """Read a journal entry; raises ``ResultsUnreadableError``."""
     try:
-        return _of_held(kind, site, code, json.loads(path.read_text()))
+        return _parse_entry(kind, site, code, json.loads(path.read_text()))
     except OSError as exc:
         raise ResultsUnreadableError(f'{path}: {exc}') from exc
     except (ValueError, KeyError, TypeError) as exc:
         raise ResultsUnreadableError(f'{path}: {exc!r}') from exc
 
 
-def _of_held(
+def _parse_entry(
     kind: str, site: str, code: str, held: dict[str, typing.Any]
 ) -> Result:
     days = held['days']
     if not days or not held['ok'] or held['days_left_out']:
-        raise ValueError(f'play was cut off after {len(days)} days')
+        raise ValueError(f'bench run was cut off after {len(days)} days')
     broken = [
         f'{rule} on {row["name"]}' for row in days for rule in row['rules']
     ]
     broken += [f'fault on {row["name"]}' for row in days if row.get('fault')]
-    counted = [row['G'] for row in days if row['kind'] not in UNCOUNTED]
+    counted = [row['G'] for row in days if row['kind'] not in EXCLUDED_KINDS]
     mean = None
     if kind == 'score' and counted:
         mean = round(statistics.mean(counted), 3)
@@ -127,18 +124,18 @@
 
 def findings(
     fresh: Result,
-    before: float | None,
+    baseline: float | None,
 ) -> list[str]:
-    """List what a result must not show: a broken rule, a gate, a fall."""
+    """List broken rules, a failed gate and a drop below the baseline."""
     place = f'{fresh.site} {fresh.kind}'
     found = [f'{place}: {broken}' for broken in fresh.broken]
     if fresh.gate is False:
         found.append(f'{place}: gate failed')
-    if before is not None and fresh.mean is not None:
-        if fresh.mean < before - MOST_FALL:
-            found.append(f'{place}: {fresh.mean} after {before}')
+    if baseline is not None and fresh.mean is not None:
+        if fresh.mean < baseline - MAX_DROP:
+            found.append(f'{place}: {fresh.mean} after {baseline}')
     return found
 
 
-def _result_of(row: dict) -> Result:
+def _result_from_row(row: dict) -> Result:
     return Result(**{**row, 'broken': tuple(row['broken'])})
--- a/tools/regression/table.py
+++ b/tools/regression/table.py
@@ -1,4 +1,4 @@
-"""Write the table of all results."""
+"""Format the results as a Markdown table."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 )
 
 
-def markdown(known: list[plan.Site], held: results.Results, code: str) -> str:
-    """Return the table; what was not played on this code is said so."""
-    rows = [_row(site, held, code) for site in known]
+def markdown(known: list[plan.Site], stored: results.Results, code: str) -> str:
+    """Return the table, with missing and outdated results marked."""
+    rows = [_row(site, stored, code) for site in known]
     return '\n'.join([*HEAD, *rows, ''])
 
 
-def _row(site: plan.Site, held: results.Results, code: str) -> str:
-    score = held.get(site.name, 'score')
-    before = '-' if site.before is None else f'{site.before:.3f}'
+def _row(site: plan.Site, stored: results.Results, code: str) -> str:
+    score = stored.get(site.name, 'score')
+    baseline = '-' if site.baseline is None else f'{site.baseline:.3f}'
     cells = [
         site.name,
         _days(score, code),
         NOT_RUN if score is None else str(score.mean),
-        before,
+        baseline,
         _gate(score),
-        _rules(held.get(site.name, 'hunt'), code),
-        _rules(held.get(site.name, 'sweep'), code),
+        _rules(stored.get(site.name, 'hunt'), code),
+        _rules(stored.get(site.name, 'sweep'), code),
     ]
     return f'| {" | ".join(cells)} |'
 
@@ -35,22 +35,22 @@
 def _days(score: results.Result | None, code: str) -> str:
     if score is None:
         return NOT_RUN
-    told = ', '.join(
+    text = ', '.join(
         f'{name} {worth:.3f}' for name, worth in score.worth.items()
     )
-    return told if score.code == code else f'{told} (earlier code)'
+    return text if score.code == code else f'{text} (earlier code)'
 
 
 def _gate(score: results.Result | None) -> str:
     if score is None:
         return NOT_RUN
-    told = 'passed' if score.gate else 'FAILED'
-    return '; '.join([told, *score.broken])
+    text = 'passed' if score.gate else 'FAILED'
+    return '; '.join([text, *score.broken])
 
 
 def _rules(row: results.Result | None, code: str) -> str:
     if row is None:
         return NOT_RUN
-    told = '; '.join(row.broken) or 'clean'
-    told = f'{len(row.worth)} days: {told}'
-    return told if row.code == code else f'{told} (earlier code)'
+    text = '; '.join(row.broken) or 'clean'
+    text = f'{len(row.worth)} days: {text}'
+    return text if row.code == code else f'{text} (earlier code)'
