--- a/binary/start.py
+++ b/binary/start.py
@@ -100,7 +100,7 @@
             return final / LIBRARIES
         scratch = folder / f'unpacking-{build}-{os.getpid()}'
         try:
-            _fill(opened, scratch, final)
+            _extract(opened, scratch, final)
         except OSError as exc:
             raise CacheUnusable(f'{folder}: {exc.strerror}') from exc
         finally:
@@ -108,7 +108,7 @@
     return final / LIBRARIES
 
 
-def _fill(
+def _extract(
     opened: zipfile.ZipFile, scratch: pathlib.Path, final: pathlib.Path
 ) -> None:
     scratch.mkdir(parents=True)
--- a/tests/test_tools_run.py
+++ b/tests/test_tools_run.py
@@ -9,8 +9,8 @@
 TEST = 'tests.test_a.TestA.test_b'
 
 
-def _known() -> dict[str, known_red.Known]:
-    return {TEST: known_red.Known(TEST, 'link drops', '7')}
+def _known() -> dict[str, known_red.KnownFailure]:
+    return {TEST: known_red.KnownFailure(TEST, 'link drops', '7')}
 
 
 class TestTally(unittest.TestCase):
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Known:
+class KnownFailure:
     """Expected failure of a test, named by its dotted id."""
 
     test: str
@@ -26,12 +26,12 @@
     issue: str
 
 
-def read(folder: pathlib.Path) -> dict[str, Known]:
+def read(folder: pathlib.Path) -> dict[str, KnownFailure]:
     """Read the list in ``folder``, by test id; raise ``ListInvalid``."""
     path = folder / FILE
     if not path.exists():
         return {}
-    known: dict[str, Known] = {}
+    known: dict[str, KnownFailure] = {}
     for line in path.read_text().splitlines():
         if not line.strip() or line.startswith('#'):
             continue
@@ -44,10 +44,10 @@
     return known
 
 
-def _parse(line: str) -> Known:
+def _parse(line: str) -> KnownFailure:
     test, _, rest = line.partition(',')
     cause, _, issue = rest.rpartition(',')
     fields = [field.strip() for field in (test, cause, issue)]
     if not all(fields):
         raise ListInvalid(f'{FILE}: expected test, cause, issue: {line}')
-    return Known(*fields)
+    return KnownFailure(*fields)
--- a/tools/run_module.py
+++ b/tools/run_module.py
@@ -22,10 +22,7 @@
 
 
 class NoDebugRunner(asyncio.Runner):
-    """Runner without asyncio's debug mode, which slows the tests down.
-
-    ``PYTHONASYNCIODEBUG=1`` still enables it.
-    """
+    """Runner without the slow debug mode, unless PYTHONASYNCIODEBUG is set."""
 
     def __init__(self, *, debug: bool | None = None, **named: object) -> None:
         """Ignore ``debug``, so that the environment decides."""
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -38,7 +38,7 @@
     """Run test modules in separate processes, a limited number at once."""
 
     def __init__(
-        self, counts: tally.Tally, known: dict[str, known_red.Known]
+        self, counts: tally.Tally, known: dict[str, known_red.KnownFailure]
     ) -> None:
         """Take the tally to update and the expected failures."""
         self._counts = counts
@@ -52,10 +52,10 @@
         """Run every module and wait for all of them."""
         with tempfile.TemporaryDirectory() as scratch:
             await asyncio.gather(
-                *(self._one(name, pathlib.Path(scratch)) for name in names)
+                *(self._run_one(name, pathlib.Path(scratch)) for name in names)
             )
 
-    async def _one(self, name: str, scratch: pathlib.Path) -> None:
+    async def _run_one(self, name: str, scratch: pathlib.Path) -> None:
         loop = asyncio.get_running_loop()
         async with self._slots:
             started = loop.time()
@@ -91,10 +91,8 @@
 
 
 async def _run_captured(name: str, path: pathlib.Path) -> tuple[int, str]:
-    """Run one module; return its exit code and output.
-
-    Output goes to a file, since an orphaned process would keep a pipe open.
-    """
+    """Run one module; return its exit code and output."""
+    # A file, since an orphaned child process would keep a pipe open.
     shown = path.with_name(f'{name}.output')
     with shown.open('wb') as output:
         code = await _run_module(name, path, output)
@@ -141,7 +139,7 @@
             print(f'check {check.name}: {found.note}', flush=True)
 
 
-def _read_known(counts: tally.Tally) -> dict[str, known_red.Known]:
+def _read_known(counts: tally.Tally) -> dict[str, known_red.KnownFailure]:
     try:
         return known_red.read(ROOT)
     except known_red.ListInvalid as exc:
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -25,7 +25,7 @@
     def add(
         self,
         outcome: outcomes.Outcome,
-        known: dict[str, known_red.Known],
+        known: dict[str, known_red.KnownFailure],
     ) -> None:
         """Count the outcome of one test, with ``known`` failures apart."""
         self.seen.add(outcome.test)
@@ -42,7 +42,7 @@
     def _add_known(
         self,
         outcome: outcomes.Outcome,
-        known: dict[str, known_red.Known],
+        known: dict[str, known_red.KnownFailure],
     ) -> None:
         entry = known[outcome.test]
         if outcome.status == outcomes.PASSED:
