--- a/binary/start.py
+++ b/binary/start.py
@@ -68,7 +68,7 @@
     arguments: collections.abc.Sequence[str],
     environment: collections.abc.Mapping[str, str],
 ) -> pathlib.Path:
-    """Choose from variable, ``cache_folder``, data folder and archive, in order.
+    """Choose from, in order: variable, ``cache_folder``, data folder, archive.
 
     A relative path in the settings starts from the folder of that file.
     """
@@ -100,7 +100,7 @@
             return final / LIBRARIES
         scratch = folder / f'unpacking-{build}-{os.getpid()}'
         try:
-            _fill(opened, scratch, final)
+            _extract(opened, scratch, final)
         except OSError as exc:
             raise CacheUnusable(f'{folder}: {exc.strerror}') from exc
         finally:
@@ -108,7 +108,7 @@
     return final / LIBRARIES
 
 
-def _fill(
+def _extract(
     opened: zipfile.ZipFile, scratch: pathlib.Path, final: pathlib.Path
 ) -> None:
     scratch.mkdir(parents=True)
