--- a/bench/fuzzing/links.py
+++ b/bench/fuzzing/links.py
@@ -11,11 +11,11 @@
 from tamarackthread.generated.messages import ttypes as messages
 from tamarackthread.shared import (
     errors,
-    greeting,
+    handshake,
     identity,
     link,
+    link_pool,
     listener,
-    peers,
     stream,
     wire,
 )
@@ -25,7 +25,7 @@
 _LIMIT_SECONDS = 10.0
 _FRAMES_EACH = 5
 _CALL = b'c' * 16
-_TAG = stream.tag_of(_CALL)
+_TAG = stream.frame_tag(_CALL)
 _SENDABLE = tuple(kind for kind in wire.Kind if kind > wire.Kind.PROOF)
 
 
@@ -121,7 +121,7 @@
         logger.propagate = False
         accepting = listener.Listener(_options('b'), _Answering())
         self._address = await accepting.start(_HOST, 0)
-        bystander = peers.Peers(_options('a'))
+        bystander = link_pool.LinkPool(_options('a'))
         for number in range(runs):
             with self._counted.run(number):
                 await attack(random.Random(f'{self._seed} {number}'))
@@ -139,7 +139,7 @@
                 self._counted.fault(number, found)
         self._faults.found.clear()
 
-    async def _ask(self, bystander: peers.Peers) -> None:
+    async def _ask(self, bystander: link_pool.LinkPool) -> None:
         request = messages.Request(status=messages.StatusRequest(revision=1))
         try:
             await bystander.request(self._address, request, _LIMIT_SECONDS)
@@ -163,7 +163,9 @@
 
     async def _mutated_frames(self, rng: random.Random) -> None:
         reader, writer = await self._dial()
-        await greeting.greet(reader, writer, _options('evil'), dialer=True)
+        await handshake.authenticate(
+            reader, writer, _options('evil'), dialer=True
+        )
         opening = wire.encode(messages.OpenCall(call_id=_CALL))
         writer.write(wire.pack(wire.Kind.OPEN, opening, 1, 0, _TAG))
         for _ in range(rng.randint(1, _FRAMES_EACH)):
--- a/tamarackthread/control/member_history.py
+++ b/tamarackthread/control/member_history.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from tamarackthread.control import membership, segments
-from tamarackthread.control import parts as building
+from tamarackthread.control import dependencies, membership, segments
 from tamarackthread.generated.messages import ttypes as messages
 
 
@@ -14,7 +13,7 @@
     an earlier index may be taken.
     """
 
-    def __init__(self, parts: building.Parts) -> None:
+    def __init__(self, parts: dependencies.Dependencies) -> None:
         """Start without members; addresses are passed to the transport."""
         self._parts = parts
         self._versions = [(0, membership.Membership())]
--- a/tamarackthread/control/site/maps/map_planner.py
+++ b/tamarackthread/control/site/maps/map_planner.py
@@ -13,7 +13,7 @@
 )
 from tamarackthread.policy import group_planning, rebalancing
 from tamarackthread.shared import log_events, offload
-from tamarackthread.shared.site import figures
+from tamarackthread.shared.site import site_metrics
 
 # Minimum ratio of the busiest rank's load to the mean; below it the copies cost
 # more than the shorter steps save.
@@ -51,7 +51,7 @@
         tokens = state.demand.tokens
         paces = [report.pace for report in group.reports]
         current_skew = group_maps.skew(state.placement, tokens, paces)
-        figures.GROUP_SKEW.labels(group.name).set(current_skew)
+        site_metrics.GROUP_SKEW.labels(group.name).set(current_skew)
         if current_skew < MIN_SKEW:
             return None
         new_map, planned = await self._balance(
@@ -59,7 +59,7 @@
         )
         copies = group_maps.total_copies(state.placement, new_map)
         max_per_rank = group_maps.max_copies(state.placement, new_map)
-        log_events.tell(
+        log_events.emit(
             _log,
             log_events.Event.PLAN,
             'control: group %s is uneven by %.2f, a map of %d copies has %.2f',
