--- a/bench/experiments/asked.py
+++ b/bench/experiments/asked.py
@@ -74,7 +74,7 @@
         begun = now % REST_EVERY < REST_BEGINS
         if self.kind == 'rest' and is_needy and begun:
             self.rests[entry] = now
-            return False, backpressure.Backpressure(rest=REST)
+            return False, backpressure.Backpressure(cooldown=REST)
         if is_needy and self.kind in {'limit', 'leave'}:
             self.told.setdefault(entry, now)
         asked = backpressure.Backpressure(
--- a/tamarackthread/entry/direct/call_progress.py
+++ b/tamarackthread/entry/direct/call_progress.py
@@ -71,7 +71,7 @@
         other_calls=target.other_calls,
         state=target.announcement.state.name.lower(),
         heard_ms_ago=_milliseconds(now - target.announced_at),
-        asked_rest_ms=_milliseconds(target.last_backpressure.rest),
+        asked_rest_ms=_milliseconds(target.last_backpressure.cooldown),
         is_leaving=target.last_backpressure.is_leaving,
         paused_ms=_milliseconds(max(0, target.backoff_until - now)),
         may_have_run=progress.may_have_run,
--- a/tamarackthread/entry/direct/instances.py
+++ b/tamarackthread/entry/direct/instances.py
@@ -107,8 +107,8 @@
         self.limit.update(requested.rate, now)
         if requested.is_leaving:
             self.draining_since = self.draining_since or now
-        if requested.rest:
-            self.cooldown.start(requested.rest, now)
+        if requested.cooldown:
+            self.cooldown.start(requested.cooldown, now)
         elif is_taken:
             self.cooldown.record_accepted(now)
 
--- a/tamarackthread/entry/direct/poison_requests.py
+++ b/tamarackthread/entry/direct/poison_requests.py
@@ -59,7 +59,7 @@
             return
         now = asyncio.get_running_loop().time()
         instance = f'{target.name}/{target.announcement.born}'
-        self._suspects.record_crash(fingerprint(call), instance, now)
+        self._suspects.record_loss(fingerprint(call), instance, now)
         site_metrics.CALLS_SUSPECTED.labels('lost').inc()
         self._log_suspect(call, 'lost')
 
--- a/tamarackthread/platform/calls.py
+++ b/tamarackthread/platform/calls.py
@@ -119,7 +119,7 @@
         )
         return backpressure.Backpressure(
             is_leaving=headers.get(wire.LEAVING) == _TRUE,
-            rest=backpressure.parse_retry_after(rest),
+            cooldown=backpressure.parse_retry_after(rest),
             rate=backpressure.parse_rate(headers.get(wire.RATE_LIMIT, '')),
         )
 
--- a/tamarackthread/policy/backpressure.py
+++ b/tamarackthread/policy/backpressure.py
@@ -18,8 +18,8 @@
 
     # No new calls may be sent.
     is_leaving: bool = False
-    # Cooldown in seconds, 0 for none.
-    rest: float = 0
+    # In seconds, 0 for none.
+    cooldown: float = 0
     # Calls a second of all entries together, ``None`` if unlimited.
     rate: float | None = None
 
@@ -36,7 +36,7 @@
         self._probe_until: float = 0
 
     def start(self, duration: float, now: float) -> None:
-        """Start or extend the cooldown to ``wanted`` seconds from now."""
+        """Start or extend the cooldown to ``duration`` seconds from now."""
         self._until = max(self._until, now + duration)
 
     def remaining(self, now: float) -> float:
--- a/tamarackthread/policy/cold_start.py
+++ b/tamarackthread/policy/cold_start.py
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
-        fleet: known_entries.KnownEntries,
+        entries: known_entries.KnownEntries,
         allowance: float = 1,
         slack: float = 0,
     ) -> None:
         """Share limits of ``allowance`` times the rate plus ``slack``."""
-        self._fleet = fleet
+        self._entries = entries
         self._allowance = allowance
         self._slack = slack
         self._rates: dict[str, float] = {}
@@ -43,10 +43,10 @@
         limit = self.limit(service)
         if not limit:
             return None
-        share = int(limit / LIMIT_PARTS / self._fleet.count())
+        share = int(limit / LIMIT_PARTS / self._entries.count())
         return share or int(self._is_selected(target, int(limit / LIMIT_PARTS)))
 
     def _is_selected(self, target: str, selected: int) -> bool:
         """Tell whether this entry is among the few that use a target."""
-        place = self._fleet.position(target)
-        return place is not None and place < selected
+        rank = self._entries.position(target)
+        return rank is not None and rank < selected
--- a/tamarackthread/policy/poison_calls.py
+++ b/tamarackthread/policy/poison_calls.py
@@ -39,7 +39,7 @@
     """The crashes caused by one call; ``mark`` is its fingerprint."""
 
     mark: bytes
-    # Starts of targets that were lost while running the call.
+    # Target instances that were lost while running the call.
     starts: frozenset[str] = frozenset()
     # Seconds since the last loss and the last answer, or infinity.
     lost: float = math.inf
@@ -115,8 +115,8 @@
         """Tell whether there are histories, so that calls need a look-up."""
         return bool(self._records or self._pending)
 
-    def record_crash(self, mark: bytes, start: str, now: float) -> None:
-        """Record that a target's start was lost before it answered a call."""
+    def record_loss(self, mark: bytes, start: str, now: float) -> None:
+        """Record that a target instance was lost before answering a call."""
         loss = _Loss(mark, start, now)
         self._losses.append(loss)
         self._pending.append(loss)
@@ -158,7 +158,7 @@
         return [self._history(mark, now) for mark in self._records]
 
     def crash_count(self, mark: bytes, now: float) -> int:
-        """Count the starts that a call has crashed, 0 if it is harmless."""
+        """Count the instances that a call has crashed, 0 if it is harmless."""
         self._attribute_losses(now)
         found = self._history(mark, now)
         return 0 if found.is_harmless else len(found.starts)
--- a/tamarackthread/policy/rate_limit.py
+++ b/tamarackthread/policy/rate_limit.py
@@ -37,7 +37,7 @@
 
 
 class RateLimit:
-    """The rate limit set by one start of a target."""
+    """The rate limit set by one instance of a target."""
 
     def __init__(self) -> None:
         """Start without a limit."""
@@ -81,23 +81,23 @@
 
     demand: Demand
     # Number of entries that may send to the target.
-    fleet: int
-    # Rank of this entry among them, ``None`` while unknown.
-    place: int | None
+    entry_count: int
+    # Position of this entry among them, ``None`` while unknown.
+    position: int | None
 
     def max_calls(self, rate: float) -> int:
         """Return how many calls this entry may send in a window."""
         # Sides of a network partition share by their numbers of entries.
-        connected = min(1, self.demand.entries / self.fleet)
+        connected = min(1, self.demand.entries / self.entry_count)
         even = EVEN_SHARE / self.demand.entries
         own = even + (1 - EVEN_SHARE) * self.demand.share
-        # Rounding by rank keeps the sum of all entries.
-        rounding = (self.place or 0) + 0.5
-        if self.place is None:
+        # Rounding by position keeps the sum of all entries.
+        rounding = (self.position or 0) + 0.5
+        if self.position is None:
             rounding = 0
         wanted = rate * WINDOW_SECONDS * connected * own
-        return int(wanted + rounding / self.fleet)
+        return int(wanted + rounding / self.entry_count)
 
     def probe_after(self) -> float:
         """Return the seconds without an answer after which to probe."""
-        return max(STALE_SECONDS, PROBE_SECONDS * self.fleet)
+        return max(STALE_SECONDS, PROBE_SECONDS * self.entry_count)
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -40,7 +40,7 @@
         """Guards against a poison call that crashes a fourth target."""
         found = []
         for number in range(3):
-            self.known.record_crash(POISON, f't{number}', 10.0 * number)
+            self.known.record_loss(POISON, f't{number}', 10.0 * number)
             found.append(
                 self.known.verdict(POISON, 10.0 * number + ATTRIBUTION_SECONDS)
             )
@@ -50,8 +50,8 @@
         """Guards against blaming an ordinary call on the crashed target."""
         for number in range(3):
             moment = 10.0 * number
-            self.known.record_crash(POISON, f't{number}', moment)
-            self.known.record_crash(ORDINARY, f't{number}', moment)
+            self.known.record_loss(POISON, f't{number}', moment)
+            self.known.record_loss(ORDINARY, f't{number}', moment)
             self.known.record_answer(ORDINARY, moment + 1)
             self.assertEqual(ALLOWED, self.known.verdict(ORDINARY, moment + 2))
         self.assertEqual(REFUSED, self.known.verdict(POISON, 30))
@@ -61,7 +61,7 @@
         for number in range(3):
             for target in range(poison_calls.CORRELATED_LOSS_TARGETS):
                 mark = POISON if target == 0 else bytes([target])
-                self.known.record_crash(
+                self.known.record_loss(
                     mark, f't{number}-{target}', 10.0 * number
                 )
         self.assertEqual(ALLOWED, self.known.verdict(POISON, 21))
@@ -69,13 +69,13 @@
     def test_failing_target(self):
         """Guards against blaming a call for a target that drops connections."""
         for number in range(9):
-            self.known.record_crash(POISON, 't0', 10.0 * number)
+            self.known.record_loss(POISON, 't0', 10.0 * number)
         self.assertEqual(ALLOWED, self.known.verdict(POISON, 90))
 
     def test_forgotten(self):
         """Guards against refusing a call for ever."""
         for number in range(3):
-            self.known.record_crash(POISON, f't{number}', 10.0 * number)
+            self.known.record_loss(POISON, f't{number}', 10.0 * number)
         later = 20 + poison_calls.HISTORY_TTL_SECONDS + 1
         self.assertEqual(ALLOWED, self.known.verdict(POISON, later))
         self.assertFalse(self.known)
@@ -83,7 +83,7 @@
     def test_bounded(self):
         """Guards against unbounded memory."""
         for number in range(10 * poison_calls.MAX_CALLS):
-            self.known.record_crash(
+            self.known.record_loss(
                 number.to_bytes(4), f't{number}', number / 100
             )
         self.assertLessEqual(
@@ -99,7 +99,7 @@
             mark = number.to_bytes(4)
             while generator.random() < 0.03:
                 start = f't{generator.randrange(60)}/{int(now)}'
-                self.known.record_crash(mark, start, now)
+                self.known.record_loss(mark, start, now)
                 now += 0.3
                 self.assertNotEqual(REFUSED, self.known.verdict(mark, now))
             self.known.record_answer(mark, now)
