--- a/tamarackthread/agent/balancer.py
+++ b/tamarackthread/agent/balancer.py
@@ -102,7 +102,7 @@
         try:
             await self._balance()
         except errors.CodedError as exc:
-            _log.warning('balancer: map switch failed, %s %s', exc.code, exc)
+            _log.warning('balancer: rebalancing failed, %s %s', exc.code, exc)
 
     async def _balance(self) -> None:
         current = await self._current_map()
--- a/tamarackthread/agent/claims.py
+++ b/tamarackthread/agent/claims.py
@@ -56,7 +56,7 @@
         return self.state in {_State.STARTED, _State.FINISHED}
 
     def extend_past(self, time_ms: int) -> None:
-        """Extend the time to live to a whole retention period from here."""
+        """Keep the entry for at least the retention period after ``time_ms``."""
         self.expires_at_ms = max(
             self.expires_at_ms,
             time_ms + claim_times.remember_ms(self.fence),
@@ -92,23 +92,23 @@
         """
         handover = self._check_window(opening.handover)
         self._evict_expired()
-        known = self._entries.get(opening.claim)
-        if known is None:
-            known = self._add(opening.claim, opening.fence, handover)
+        entry = self._entries.get(opening.claim)
+        if entry is None:
+            entry = self._add(opening.claim, opening.fence, handover)
         # A started claim is refused under a higher fencing number too: the
         # call would run twice if a takeover was granted by mistake.
-        stale = opening.fence < known.fence or known.has_started
-        if stale or _is_sealed(known, opening.fence):
+        stale = opening.fence < entry.fence or entry.has_started
+        if stale or _is_sealed(entry, opening.fence):
             raise claim_errors.ClaimFenced
-        known.fence = opening.fence
-        known.state = _State.STARTED
-        known.extend_past(handover.until_ms)
+        entry.fence = opening.fence
+        entry.state = _State.STARTED
+        entry.extend_past(handover.until_ms)
 
     def withdraw(self, opening: messages.OpenCall) -> None:
         """Undo ``admit`` for a call that did not reach the target."""
-        known = self._entries.get(opening.claim)
-        if known is not None and known.fence == opening.fence:
-            known.state = _State.WAITING
+        entry = self._entries.get(opening.claim)
+        if entry is not None and entry.fence == opening.fence:
+            entry.state = _State.WAITING
 
     def finish(
         self,
@@ -116,15 +116,15 @@
         answer: Answer | None,
     ) -> None:
         """Record that an admitted call ended, with its complete answer if any."""
-        known = self._entries.get(opening.claim)
-        if known is None or known.fence != opening.fence:
+        entry = self._entries.get(opening.claim)
+        if entry is None or entry.fence != opening.fence:
             return
-        if known.state is not _State.STARTED:
+        if entry.state is not _State.STARTED:
             return
-        known.state = _State.FINISHED
-        known.extend_past(_now_ms())
+        entry.state = _State.FINISHED
+        entry.extend_past(_now_ms())
         if answer is not None and self._has_room(answer):
-            known.answer = answer
+            entry.answer = answer
             self._answer_bytes += answer.size
 
     def probe(self, request: messages.ClaimProbe) -> messages.ClaimProof:
@@ -138,14 +138,14 @@
                 finished=False,
                 sealed=False,
             )
-        known = self._entries.get(request.claim)
-        if known is not None and known.has_started:
-            return _proof_of_start(known)
+        entry = self._entries.get(request.claim)
+        if entry is not None and entry.has_started:
+            return _proof_of_start(entry)
         return messages.ClaimProof(
             known=True,
             reached=False,
             finished=False,
-            sealed=self._seal(request, known) if request.seal else False,
+            sealed=self._seal(request, entry) if request.seal else False,
         )
 
     def _check_window(
@@ -186,42 +186,42 @@
         if len(self._entries) >= self._max_claims:
             raise claim_errors.GateFull
         expires_at = handover.until_ms + claim_times.remember_ms(fence)
-        known = _ClaimEntry(fence, _State.WAITING, expires_at)
-        self._entries[key] = known
+        entry = _ClaimEntry(fence, _State.WAITING, expires_at)
+        self._entries[key] = entry
         heapq.heappush(self._expirations, (expires_at, key))
-        return known
+        return entry
 
     def _seal(
-        self, request: messages.ClaimProbe, known: _ClaimEntry | None
+        self, request: messages.ClaimProbe, entry: _ClaimEntry | None
     ) -> bool:
-        if known is None:
+        if entry is None:
             try:
-                known = self._add(
+                entry = self._add(
                     request.claim, request.fence, request.handover
                 )
             except claim_errors.GateFull:
                 # Without room for an entry, an expired window is the seal.
                 return _now_ms() > request.handover.until_ms
-        if request.fence >= known.fence:
-            known.fence = request.fence
-            known.state = _State.SEALED
-            known.extend_past(request.handover.until_ms)
+        if request.fence >= entry.fence:
+            entry.fence = request.fence
+            entry.state = _State.SEALED
+            entry.extend_past(request.handover.until_ms)
         return True
 
     def _evict_expired(self) -> None:
         now = _now_ms()
         while self._expirations and self._expirations[0][0] <= now:
             key = heapq.heappop(self._expirations)[1]
-            known = self._entries[key]
-            if known.state is _State.STARTED:
+            entry = self._entries[key]
+            if entry.state is _State.STARTED:
                 # A running call is never evicted.
-                known.extend_past(now)
-            if known.expires_at_ms > now:
-                heapq.heappush(self._expirations, (known.expires_at_ms, key))
+                entry.extend_past(now)
+            if entry.expires_at_ms > now:
+                heapq.heappush(self._expirations, (entry.expires_at_ms, key))
                 continue
             self._entries.pop(key)
-            if known.answer is not None:
-                self._answer_bytes -= known.answer.size
+            if entry.answer is not None:
+                self._answer_bytes -= entry.answer.size
 
     def _has_room(self, answer: Answer) -> bool:
         if answer.size > MAX_ANSWER_BYTES:
@@ -229,22 +229,22 @@
         return self._answer_bytes + answer.size <= MAX_ANSWERS_BYTES
 
 
-def _is_sealed(known: _ClaimEntry, fence: int) -> bool:
-    return known.state is _State.SEALED and known.fence >= fence
+def _is_sealed(entry: _ClaimEntry, fence: int) -> bool:
+    return entry.state is _State.SEALED and entry.fence >= fence
 
 
-def _proof_of_start(known: _ClaimEntry) -> messages.ClaimProof:
+def _proof_of_start(entry: _ClaimEntry) -> messages.ClaimProof:
     proof = messages.ClaimProof(
         known=True,
         reached=True,
-        finished=known.state is _State.FINISHED,
+        finished=entry.state is _State.FINISHED,
         sealed=False,
-        answered=known.answer is not None,
+        answered=entry.answer is not None,
     )
-    if known.answer is not None:
-        proof.status = known.answer.status
-        proof.headers = list(known.answer.headers)
-        proof.body = known.answer.body
+    if entry.answer is not None:
+        proof.status = entry.answer.status
+        proof.headers = list(entry.answer.headers)
+        proof.body = entry.answer.body
     return proof
 
 
--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -34,7 +34,7 @@
         empty decision only reads; id 0 reads the group's latest.
         """
 
-    async def fence(self, name: str) -> int:
+    async def highest_fence(self, name: str) -> int:
         """Return the highest fencing number issued for a lease."""
         # Releasing with an empty holder reads it without changing the lease.
         request = messages.LeaseRequest(
--- a/tamarackthread/agent/orders.py
+++ b/tamarackthread/agent/orders.py
@@ -47,7 +47,7 @@
 
 
 class OrderExecutor:
-    """Check and execute the orders of one rank, each id at most once."""
+    """Check, execute and track the orders of one rank, by id."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         """
         while self._highest_fence is None:
             try:
-                fence = await self._control.fence(self._group)
+                fence = await self._control.highest_fence(self._group)
             except errors.CodedError as exc:
                 _log.warning('orders: cannot read the fencing number, %s', exc)
                 await asyncio.sleep(_RETRY_SECONDS)
--- a/tamarackthread/agent/store_slots.py
+++ b/tamarackthread/agent/store_slots.py
@@ -39,8 +39,8 @@
 
 @attrs.frozen
 class SlotSettings:
-    """``slots`` includes the urgent one; ``margin_ms`` of a lease must be left
-    when a piece starts, more than it takes.
+    """Slots, urgent one included; ``margin_ms``, longer than a piece takes,
+    must be left of a lease when a piece starts.
     """
 
     slots: int = 16
--- a/tamarackthread/agent/switch_coordinator.py
+++ b/tamarackthread/agent/switch_coordinator.py
@@ -1,6 +1,4 @@
-"""Switch a group to another expert map, as the coordinator of a two-phase
-commit.
-"""
+"""Coordinate map switches of a group as two-phase commits."""
 
 from __future__ import annotations
 
@@ -34,8 +32,8 @@
 
 @attrs.frozen
 class CoordinatorSettings:
-    """Timing of a switch.  ``lead_seconds`` until its step exceed a lease and
-    a takeover, so that ranks don't hold if the owner is lost after arming.
+    """Timing of a switch.  Its step is ``lead_seconds`` ahead, longer than a
+    lease and a takeover, so that ranks don't hold if the owner is lost.
     """
 
     lead_seconds: float = 4
--- a/tamarackthread/agent/switch_participant.py
+++ b/tamarackthread/agent/switch_participant.py
@@ -188,7 +188,7 @@
 
     async def _restore(self) -> switch_record.SwitchRecord:
         await self._loader.sync_loaded()
-        self._fence = await self._control.fence(self._group)
+        self._fence = await self._control.highest_fence(self._group)
         record = await self._control.latest(self._group)
         record = record or self._initial_record()
         digests = {record.base, record.settled_map}
--- a/tamarackthread/agent/switch_record.py
+++ b/tamarackthread/agent/switch_record.py
@@ -1,5 +1,5 @@
-"""Define the record of a map switch, a write-once decision at control: id ``2
-* number - 1`` for the intent, before any rank arms, ``2 * number`` after.
+"""Define the record of a map switch.  Control stores it as two write-once
+decisions: the intent, before any rank arms, and the outcome.
 """
 
 from __future__ import annotations
--- a/tests/test_group_links.py
+++ b/tests/test_group_links.py
@@ -105,7 +105,7 @@
         )
         granted = await control.lease(request)
         self.assertTrue(granted.granted)
-        self.assertEqual(await control.fence(GROUP), granted.fence)
+        self.assertEqual(await control.highest_fence(GROUP), granted.fence)
         self.assertIsNone(await control.latest(GROUP))
         intent = switch_record.SwitchRecord(
             1,
@@ -121,7 +121,7 @@
         """Without a reachable control host a single coded error is raised."""
         control = control_client.LinkControlClient(self._peers, ['127.0.0.1:1'])
         with self.assertRaises(order_errors.ControlUnreachable):
-            await control.fence(GROUP)
+            await control.highest_fence(GROUP)
 
     async def test_map_of_full_size(self) -> None:
         """A map of 58 layers is fetched from a peer."""
