--- a/tamarackthread/agent/control_client.py
+++ b/tamarackthread/agent/control_client.py
@@ -34,7 +34,7 @@
         one.  An empty ``decision`` only reads; ``switch_id`` 0 means the latest.
         """
 
-    async def fence(self, name: str) -> int:
+    async def highest_fence(self, name: str) -> int:
         """Return the highest fencing number issued for a lease."""
         # Releasing with an empty holder reads it without changing the lease.
         request = messages.LeaseRequest(
