--- a/tamarackthread/policy/concurrency.py
+++ b/tamarackthread/policy/concurrency.py
@@ -110,7 +110,7 @@
         """Record the seconds between two pieces of one stream."""
         super().record_pass(seconds, now)
         # The load when the pass began: with the current load, calls admitted
-        # since would lower the measured time per call and raise the limit.
+        # since would lower the time per call and raise the limit.
         load = self._load_at(now - seconds)
         if load is None:
             return
--- a/tamarackthread/shared/security.py
+++ b/tamarackthread/shared/security.py
@@ -104,8 +104,8 @@
         try:
             context.load_verify_locations(tls.authority_file)
         except OSError as exc:
-            problems = _secret_finding(tls.authority_file, str(exc))
-            raise findings.InvalidError([problems]) from exc
+            problem = _secret_finding(tls.authority_file, str(exc))
+            raise findings.InvalidError([problem]) from exc
 
 
 def _secret_finding(name: str, text: str) -> findings.Finding:
